--- a/crates/pool/src/answer.rs
+++ b/crates/pool/src/answer.rs
@@ -1,36 +1,36 @@
-//! Answers to orders.
+//! Answers of workers to commands.
 
 use crate::task::Ms;
 
-/// Answer to a start.
+/// Outcome of a start command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// It runs.
+    /// The run is in progress.
     Running,
-    /// Another owner has a higher epoch there.
+    /// The worker has accepted an owner with a higher epoch.
     Fenced,
-    /// A run with this number or a higher one ended or was stopped there.
+    /// A run with this number or a higher one has ended or was stopped on the worker.
     Old,
-    /// It came after its last moment.
+    /// The command arrived after its deadline.
     Late,
-    /// There is no room.
+    /// The worker doesn't have enough free capacity.
     Room,
-    /// The ticket doesn't hold (any more).
+    /// The ticket is invalid or has expired.
     Ticket,
-    /// The worker can't read the order.
+    /// The worker could not parse the command.
     Unreadable,
-    /// The worker is not well and did nothing.
+    /// The worker reported itself unhealthy and did nothing.
     Unwell,
-    /// The worker is not there; nothing was done.
+    /// The worker is not at this address; nothing was done.
     Away,
-    /// No answer in time: it may run or begin yet.
+    /// No answer in time: the task may be running or may still start.
     Lost,
-    /// No answer, since the connection has ended: it may run, or the worker may have crashed under it.
+    /// The connection was closed without an answer: the task may be running, or may have crashed the worker.
     Cut,
 }
 
 impl Answer {
-    /// A short name, as logs and metrics have it.
+    /// Short name for logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -49,13 +49,13 @@
     }
 }
 
-/// Answer to a stop.
+/// Outcome of a stop command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopAnswer {
-    /// The run is stopped and won't begin any more; with the worker's clock.
+    /// The run is stopped and can't start any more; holds the worker's clock.
     Stopped(Ms),
-    /// Another owner has a higher epoch there.
+    /// The worker has accepted an owner with a higher epoch.
     Fenced,
-    /// Nothing is known; it is to be sent again.
+    /// No answer: the outcome is unknown and the command must be sent again.
     Lost,
 }
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -1,11 +1,11 @@
-//! Tasks that crash the workers which start them.
+//! Detects tasks that crash their workers.
 //!
-//! A worker that crashes tells neither the end of a run nor which of its runs was the cause. So a note is made against each
-//! task of which it had just begun a run. Such a task, a suspect, is started where no other suspect is: this tells the cause
-//! of a crash from its neighbours, which are stable elsewhere and lose their notes. A task with [`CRASHES_MOST`] notes is
-//! given up, and its job fails.
+//! A worker that crashes reports neither the end of its runs nor which of them was the cause. So a crash is recorded for each
+//! task whose run had only just begun. Such a task, a suspect, is not started together with other suspects: this separates the
+//! cause of a crash from its neighbours, which run stably elsewhere and lose their records. A task with [`CRASHES_MOST`] records
+//! is abandoned and its job fails.
 //!
-//! The notes are stored with the job's progress, so that the next owner goes on from them.
+//! The records are stored with the progress of the job, so that the next owner continues from them.
 
 use std::sync::Arc;
 
@@ -16,64 +16,65 @@
 use crate::state::State;
 use crate::task::{Ms, Run, Task, TaskKey, WorkerId};
 
-/// A run is put down as the cause of a crash only if the worker was not heard of for longer than this after the order.
+/// A run counts as a possible cause of a crash only if the worker answered no poll that was sent later than this after the start
+/// command.
 const CRASH_WINDOW: Ms = 2_000;
-/// A task that has run for this long is stable: all notes against it are dropped.
+/// A task that has run for this long is stable: all its crash records are dropped.
 pub(crate) const STABLE_AFTER: Ms = 10_000;
-/// A task that has crashed this many workers starts alone: nothing else is started there until it has outlived
+/// A task that has crashed this many workers is isolated: nothing else is started on its worker until it has outlived
 /// [`CRASH_WINDOW`].
 pub(crate) const CRASHES_ALONE: usize = 2;
-/// A task with this many notes is given up, if at least [`CRASHES_SURE`] of them are sure.
+/// A task with this many crash records is abandoned if at least [`CRASHES_SURE`] of them are confirmed.
 const CRASHES_MOST: usize = 3;
-/// Least number of sure notes among them.
+/// Minimum number of confirmed crash records of an abandoned task.
 const CRASHES_SURE: usize = 2;
 
-/// Workers that a suspect may yet crash, with the most crashes of any such suspect.
+/// Workers that run suspects still within [`CRASH_WINDOW`], with the highest number of crashes of any such suspect.
 pub(crate) type Trials = FxHashMap<WorkerId, usize>;
 
-/// A run that may have crashed its worker.
+/// Record of a run that may have crashed its worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Crash {
-    /// The run.
+    /// Number of the run.
     pub run: u32,
-    /// The worker surely lived when it was ordered. Otherwise the order may have met a worker that was gone already.
+    /// Whether the worker was certainly up when the start command was sent. Otherwise it may have been down already.
     pub sure: bool,
 }
 
-/// What is held against a task.
+/// Crash history of a task.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Suspicion {
-    /// How many workers it may have crashed.
+    /// Number of workers that the task may have crashed.
     pub crashes: usize,
-    /// When the last of them was found to be lost.
+    /// When the loss of the latest of them was detected.
     pub since: Ms,
 }
 
-/// A task that was given up because its runs crashed their workers.
+/// A task that was abandoned because its runs crashed their workers.
 #[derive(Clone, Debug)]
 pub struct GivenUp {
     /// The task.
     pub task: TaskKey,
-    /// Numbers of its runs that crashed their workers, or may have.
+    /// Numbers of the runs that crashed their workers, or may have.
     pub crashed: Vec<u32>,
 }
 
 impl Run {
-    /// Whether it may yet be the cause of a crash of its worker, as far as the worker was heard of.
+    /// Whether a crash of the worker could still be attributed to this run, given when the latest answered poll was sent.
     const fn is_on_trial(&self, last_hold: Ms) -> bool {
         last_hold.saturating_sub(self.ordered) < CRASH_WINDOW
     }
 }
 
 impl Task {
-    /// Takes up the stored notes of a former owner.
+    /// Restores the crash records stored by the previous owner.
     pub(crate) fn restore_crashes(&mut self, runs: &[u32]) {
         self.crashed = runs.iter().map(|&run| Crash { run, sure: true }).collect();
         self.crashes_stored = runs.len();
         self.top = self.top.max(runs.iter().max().copied().unwrap_or(0));
     }
 
-    /// How many workers it has crashed, its present run and one that is only announced left aside.
+    /// Number of workers that the task may have crashed, not counting its current run and an announced one.
     pub(crate) fn crashes(&self) -> usize {
         self.past_crashes().count()
     }
@@ -85,18 +86,18 @@
             .filter(move |it| Some(it.run) != present && Some(it.run) != self.announced)
     }
 
-    /// Whether it has crashed so many workers that it isn't started again.
+    /// Whether the task has crashed so many workers that it must not be started again.
     fn is_crash_loop(&self) -> bool {
         let sure = self.past_crashes().filter(|crash| crash.sure).count();
         self.crashes() >= CRASHES_MOST && sure >= CRASHES_SURE
     }
 
-    /// The runs that are noted, as they are stored.
+    /// Numbers of the recorded runs, as they are stored.
     pub(crate) fn crashed_runs(&self) -> Vec<u32> {
         self.crashed.iter().map(|crash| crash.run).collect()
     }
 
-    /// What is held against it.
+    /// The crash history of the task.
     pub(crate) fn suspicion(&self) -> Suspicion {
         Suspicion {
             crashes: self.crashes(),
@@ -104,15 +105,15 @@
         }
     }
 
-    /// Drops the note against a run, since the worker lives on after it; tells whether there was one.
+    /// Drops the record of a run that its worker has survived; returns whether there was one.
     pub(crate) fn clear_crash(&mut self, number: u32) -> bool {
         let before = self.crashed.len();
         self.crashed.retain(|crash| crash.run != number);
         before != self.crashed.len()
     }
 
-    /// Drops the notes against a run that has outlived the time in which it would have crashed its worker, and against all but
-    /// one before it: a worker on which tasks stand still doesn't crash either. Tells whether there were any.
+    /// Drops the record of a run that has outlived [`CRASH_WINDOW`], and all earlier records but one; returns whether there were
+    /// any. One stays because a worker on which tasks have stalled doesn't crash either.
     fn clear_survived(&mut self, number: u32) -> bool {
         let before = self.crashed.len();
         self.clear_crash(number);
@@ -120,8 +121,9 @@
         before != self.crashed.len()
     }
 
-    /// Notes a start of a suspect as one that crashes its worker, until the worker is known to live on. So is that of a task
-    /// which a former owner may have started: it may have been lost with a worker that crashed. Tells whether it is noted.
+    /// Records a start of a suspect as a crash until the worker is known to have survived it. The same applies to a task that a
+    /// previous owner may have started, because it may have been lost with a worker that crashed. Returns whether a record was
+    /// made.
     pub(crate) fn note_trial(&mut self, number: u32, inherited: bool) -> bool {
         if let Some(announced) = self.announced.take() {
             self.clear_crash(announced);
@@ -136,15 +138,15 @@
         true
     }
 
-    /// Whether the next start has to be stored before it is ordered, and is not. An owner that is lost with the worker would
-    /// leave one start too few to the next owner.
+    /// Whether the next start must be stored before its command is sent, and isn't yet. If the owner were lost together with the
+    /// worker, the next owner would not count that start.
     pub(crate) fn awaits_storing(&self) -> bool {
         self.crashed.len() >= CRASHES_ALONE && self.crashes_stored < self.crashed.len()
     }
 }
 
 impl Pool {
-    /// Notes a crash against the present run of a task whose worker was lost, if the run may be the cause.
+    /// Records a crash for the current run of a task whose worker was lost, if the run may be the cause.
     pub(crate) fn note_crash(&mut self, now: Ms, key: &TaskKey, loss: Loss) {
         let Some(run) = self.task_mut(key).and_then(|task| task.run.clone()) else {
             return;
@@ -173,8 +175,8 @@
         self.mark(&key.stage.job);
     }
 
-    /// A worker lists the present run of a suspect. Once the run has outlived the time in which it would have crashed the
-    /// worker, the note against it is dropped, and later all notes are.
+    /// Handles a report of the current run of a suspect. When the run has outlived [`CRASH_WINDOW`], its crash record is dropped;
+    /// after [`STABLE_AFTER`], all records of the task are.
     pub(crate) fn note_survival(&mut self, now: Ms, key: &TaskKey) {
         let Some(task) = self.task_mut(key) else {
             return;
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Finds the suspects of a job that was taken up with its progress.
+    /// Finds the suspects of a job that was restored from stored progress.
     pub(crate) fn find_suspects(&mut self, job: &str) {
         let Some(live) = self.jobs.get(job) else {
             return;
@@ -200,8 +202,8 @@
         self.suspects.extend(found.map(|(key, _)| key));
     }
 
-    /// Decides what becomes of suspects that wait for a start: after too many crashes their jobs fail, and from the second one
-    /// on the next start is announced in the store first.
+    /// Reviews the suspects that wait for a start: after too many crashes their jobs fail, and from the second crash on the next
+    /// start is announced in the store first.
     pub(crate) fn review_suspects(&mut self, now: Ms, unix: u64) {
         let suspects: Vec<TaskKey> = self.suspects.iter().cloned().collect();
         for key in suspects {
@@ -238,12 +240,12 @@
         }
     }
 
-    /// Takes the tasks that were given up since the last call.
+    /// Returns and clears the tasks abandoned since the last call.
     pub fn take_given_up(&mut self) -> Vec<GivenUp> {
         std::mem::take(&mut self.given_up)
     }
 
-    /// Looks where suspects run that may yet crash their workers.
+    /// Determines which workers run suspects that are still within [`CRASH_WINDOW`].
     pub(crate) fn find_trials(&mut self) {
         let mut trials = Trials::default();
         for key in &self.suspects {
--- a/crates/pool/src/ends.rs
+++ b/crates/pool/src/ends.rs
@@ -1,4 +1,4 @@
-//! What follows when a run ends.
+//! Handles the ends of runs.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 use crate::task::{JobId, Ms, Phase, StageKey, TaskKey, WorkerId};
 use crate::timeline::StepTimes;
 
-/// A task that failed waits this long, so that a worker which fails at once doesn't use up all attempts in one place
-/// before its doubt has grown. Short against the objective of quick work.
+/// Delay before a failed task is started again, so that a worker on which everything fails at once doesn't use up all attempts
+/// before its failure score has grown. Short compared with the objectives of quick jobs.
 const RETRY_FAILED: Ms = 20;
-/// A task that lasts and failed waits this long: it must be back soon, and may not spin.
+/// Delay before a failed long-running task is started again: it must be back soon, but must not be restarted in a tight loop.
 const RETRY_LASTING: Ms = 200;
 
 impl Pool {
-    /// Frees the room of a task's run.
+    /// Releases the capacity of a task's run.
     pub(crate) fn detach(&mut self, key: &TaskKey, worker: &WorkerId) {
         let Some(size) = self.size(&key.stage) else {
             return;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes room for a task's run.
+    /// Reserves capacity for a task's run.
     pub(crate) fn attach(&mut self, key: &TaskKey, worker: &WorkerId, number: u32) {
         let Some(size) = self.size(&key.stage) else {
             return;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The task's present run is over, in whatever way; `how` is `None` if nothing is known of an end.
+    /// Clears the current run of a task, however it ended. The task is not started again within `retry` milliseconds.
     pub(crate) fn run_over(&mut self, now: Ms, key: &TaskKey, retry: Ms) {
         let Some(task) = self.task_mut(key) else {
             return;
@@ -61,7 +61,7 @@
             .task(key.stage.occurrence, key.stage.step, key.index)
     }
 
-    /// Applies an end that a worker lists.
+    /// Applies the end of a run as reported by its worker.
     pub(crate) fn apply_end(&mut self, now: Ms, unix: u64, worker: &WorkerId, end: &End) {
         let key = &end.task;
         if let Some(host) = self.workers.get_mut(worker)
@@ -87,7 +87,7 @@
         let Some(task) = live.task(key.stage.occurrence, key.stage.step, key.index) else {
             return;
         };
-        // A task that lasts is never done, however it ends.
+        // A long-running task is never done, however it ends.
         let how = if step.lasting && end.how == How::Done {
             How::Stopped
         } else {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Number of runs of a gang in which a member failed.
+    /// Number of runs of a gang in which at least one member failed.
     fn gang_failures(&self, key: &StageKey) -> usize {
         let Some(stage) = self.stage(key) else {
             return 0;
@@ -167,13 +167,13 @@
             .get_mut(usize::from(key.step))
     }
 
-    /// A task is done: counts it, and lets steps begin that waited for it.
+    /// Counts the completed tasks of a step, and opens the steps that depend on it if it is complete.
     fn done(&mut self, now: Ms, unix: u64, key: &StageKey, run: u32, gang: bool) {
         let Some(stage) = self.stage_mut(key) else {
             return;
         };
         if gang {
-            // One member's end stands for all of its run.
+            // The end of one member completes all members of the same gang run.
             for task in &mut stage.tasks {
                 if task.run.as_ref().is_none_or(|own| own.number == run) {
                     task.done = true;
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Notes the course of a step that is complete, for the log.
+    /// Records the summary of a completed step, for the log.
     fn note_times(&mut self, now: Ms, key: &StageKey) {
         let (Some(live), Some(stage)) = (self.jobs.get(&key.job), self.stage(key)) else {
             return;
@@ -217,12 +217,12 @@
         self.steps_done.push(times);
     }
 
-    /// Takes the courses of the steps that were completed since the last call.
+    /// Returns and clears the summaries of the steps that were completed since the last call.
     pub fn take_steps_done(&mut self) -> Vec<StepTimes> {
         std::mem::take(&mut self.steps_done)
     }
 
-    /// Completes a job if its last run is over, and lets steps begin.
+    /// Completes a job if its last run is over, and otherwise opens the steps that have become ready.
     pub(crate) fn complete_or_advance(&mut self, now: Ms, unix: u64, id: &JobId) {
         let Some(live) = self.jobs.get_mut(id) else {
             return;
@@ -236,7 +236,7 @@
         self.advance(id, now, unix);
     }
 
-    /// Marks a task's run as one to be stopped.
+    /// Marks a task's run to be stopped.
     pub(crate) fn stop_run(&mut self, key: &TaskKey) {
         if let Some(task) = self.task_mut(key)
             && let Some(run) = &mut task.run
--- a/crates/pool/src/inherit.rs
+++ b/crates/pool/src/inherit.rs
@@ -1,5 +1,5 @@
-//! What a new owner has to wait for: what its predecessor may have started where nobody has looked yet, and jobs that it
-//! could not read yet.
+//! Restrictions on a new owner: tasks that its predecessor may have started on workers that haven't reported yet, and jobs that
+//! it could not read yet.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use crate::worker::Silent;
 
 impl Pool {
-    /// A new owner has to hear from these workers before jobs it inherits may start anew, but waits no longer than the
-    /// time after which the former owner's orders and leases are surely over. Of workers that were silent already it is
-    /// known what may run there: only those tasks wait.
+    /// Sets the workers of the previous owner that must report before inherited jobs may start new tasks. The wait ends when all
+    /// commands and leases of the previous owner have certainly expired. For workers that were already unavailable to the
+    /// previous owner, `silent` holds the runs they may have, and only those tasks wait.
     ///
-    /// Without this, a task that still runs on a worker which only the new owner can't reach would run a second time.
+    /// Otherwise, a task that still runs on a worker that only the new owner can't reach would run a second time.
     pub fn inherit(
         &mut self,
         now: Ms,
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Holds back the tasks of a job that may run on workers which the former owner could not reach, nor this one yet.
+    /// Holds back the tasks of a job that may run on workers that neither the previous owner could reach nor this owner has
+    /// reached yet.
     pub(crate) fn hold_back(&mut self, now: Ms, job: &JobId) {
         let mut runs = Vec::new();
         for silent in &self.silent {
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Whether there are jobs, accepted before this owner came, that it can't know yet: a part of the store doesn't answer.
-    /// Until all are known, a run or an end of an unknown job is left alone, however long that takes.
+    /// Sets whether jobs accepted before this owner took over may be missing, because a part of the store doesn't answer. As long
+    /// as they may be, runs and ends of unknown jobs are left alone.
     pub fn set_partial(&mut self, now: Ms, partial: bool) {
         self.partial = partial;
         if partial {
@@ -88,18 +89,20 @@
         }
     }
 
-    /// The former owner gives no order after this: it has lost its majority, and its last orders are too late.
+    /// Time after which no command of the previous owner can take effect: it has lost its majority, and its last commands have
+    /// expired. `None` until this owner has a majority.
     pub(crate) fn former_orders_end(&self) -> Option<Ms> {
         let since = self.proved_at?;
         Some(since + self.options.proof + self.options.order_life)
     }
 
-    /// Once a majority is behind this owner, the time until which others may run something unknown is bounded.
+    /// Ends the wait for unreported workers once all commands and leases of the previous owner have expired. The time is bounded
+    /// only from when this owner first had a majority.
     pub(crate) fn settle_inheritance(&mut self, now: Ms) {
         if self.proved_at.is_none() && self.proved(now) {
             self.proved_at = Some(now);
         }
-        // Clocks of workers may be 2% slow; 400 ms cover ways and timers.
+        // Clocks of workers may be 2% slow; 400 ms cover network delays and timers.
         let leases = self.options.lease_most + self.options.lease_most / 33 + 400;
         if self
             .former_orders_end()
@@ -115,8 +118,8 @@
         }
     }
 
-    /// Whether an inherited job may run on a worker that has not answered yet, as far as is known of it: a worker runs tasks of
-    /// its own service alone.
+    /// Whether an inherited job may be running on a worker that hasn't reported yet. A worker whose service is known runs only
+    /// tasks of that service.
     pub(crate) fn may_run_unseen(&self, job: &Job) -> bool {
         self.unseen.iter().any(|id| {
             let service = self.workers.get(id).map(|it| it.news.service.as_str());
@@ -124,7 +127,7 @@
         })
     }
 
-    /// Workers of the former owner that have not answered yet: inherited jobs wait for them.
+    /// Workers of the previous owner that haven't reported to this one; inherited jobs wait for them.
     #[must_use]
     pub fn unseen(&self) -> &BTreeSet<WorkerId> {
         &self.unseen
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -1,4 +1,4 @@
-//! What a caller asked for.
+//! Jobs as submitted by callers and stored.
 
 use std::fmt;
 
@@ -7,117 +7,118 @@
 
 use crate::task::{JobId, Ms};
 
-/// A step of a job: tasks of one kind.
+/// A step of a job: a number of tasks of one kind.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Step {
     /// Number of tasks.
     pub count: u32,
-    /// What each task takes.
+    /// Resources that each task needs.
     pub size: Size,
-    /// The caller's rough estimate of a task's duration.
+    /// Estimated duration of one task, as given by the caller.
     pub estimate: Ms,
-    /// Steps whose tasks must all be done before.
+    /// Indices of the steps that must be complete before this one opens.
     pub after: Vec<u16>,
-    /// Its tasks save their progress.
+    /// Whether its tasks save checkpoints.
     pub checkpoints: bool,
-    /// Its tasks work only together.
+    /// Whether its tasks form a gang: they run only together.
     pub gang: bool,
-    /// Its tasks are slower when they run on more than one rack.
+    /// Whether its tasks run more slowly when spread over several racks.
     pub same_rack: bool,
-    /// A label that the worker must have; empty for none.
+    /// Label that the worker must have; empty if none is required.
     pub label: String,
-    /// The rack of its data; empty for none.
+    /// Rack that holds the step's input data; empty if none.
     pub near: String,
-    /// At most this many tasks on one worker; 0 for no limit.
+    /// Maximum number of its tasks on one worker; 0 for no limit.
     pub per_worker: u32,
-    /// Copies of a task may run at once.
+    /// Whether two copies of a task may run at the same time.
     pub copies: bool,
-    /// Its tasks run until the job is cancelled.
+    /// Whether its tasks run until the job is cancelled.
     pub lasting: bool,
-    /// What its tasks run.
+    /// Image that its tasks run.
     pub image: String,
     /// Response time that its tasks must keep, in milliseconds; 0 for none.
     pub target: Ms,
-    /// Its tasks use what processors others leave.
+    /// Whether its tasks are best-effort: they use processors that other tasks leave idle.
     pub fills: bool,
-    /// How many of its tasks may be away at once by our doing, if that is limited.
+    /// Maximum number of its tasks that the scheduler may interrupt at the same time; `None` for no limit.
     pub may_miss: Option<u32>,
 }
 
-/// Times at which the steps of a job run.
+/// Recurrence of a job.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Schedule {
     /// When the first occurrence is due, in Unix milliseconds.
     pub first: u64,
-    /// Time between occurrences in milliseconds.
+    /// Time between occurrences, in milliseconds.
     pub every: u64,
     /// Number of occurrences.
     pub times: u32,
 }
 
-/// A queue's rule that its steps run only where the advisor allows.
+/// Marks a queue whose steps run only on workers that the advisor allows, with the expected cost of a query.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Advice {
-    /// Time that a question takes, in milliseconds.
+    /// Fixed part of the duration of a query, in milliseconds.
     pub base: f64,
-    /// Further time for each worker that is asked about, in milliseconds.
+    /// Additional duration per worker in the query, in milliseconds.
     pub each: f64,
-    /// How long a ticket holds, in milliseconds.
+    /// How long a ticket stays valid, in milliseconds.
     pub valid: Ms,
 }
 
-/// What a queue lays down for its jobs.
+/// Scheduling policy that a queue applies to its jobs.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Policy {
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// How often a task may fail.
+    /// Number of failed runs of a task after which the job fails.
     pub attempts: u32,
-    /// The objective is this many times the longest chain of work, and [`Policy::objective`] more.
+    /// Factor of the job's objective: the objective is the longest chain of estimated work times this factor plus
+    /// [`Policy::objective`].
     pub stretch: f64,
-    /// Fixed part of the objective, in milliseconds.
+    /// Constant part of the job's objective, in milliseconds.
     pub objective: Ms,
-    /// Where its steps may run is asked, if set.
+    /// Set if the advisor must be asked where steps may run.
     pub advice: Option<Advice>,
 }
 
-/// A job as it was accepted and stored.
+/// A job as accepted and stored.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Job {
-    /// The caller's id.
+    /// Job id chosen by the caller.
     pub id: JobId,
-    /// The queue it was sent to.
+    /// Queue that the job was submitted to.
     pub queue: String,
-    /// The service whose workers run it.
+    /// Service whose workers run the job.
     pub service: String,
-    /// The caller's text, handed to each task as it is.
+    /// Opaque text from the caller, passed unchanged to each task.
     pub payload: String,
-    /// Its steps.
+    /// The job's steps; a step may depend only on earlier ones.
     pub steps: Vec<Step>,
-    /// Its times, if it has any.
+    /// Recurrence; `None` for a job that runs once.
     pub schedule: Option<Schedule>,
-    /// The queue's policy when it was accepted.
+    /// The queue's policy at the time of acceptance.
     pub policy: Policy,
-    /// When it was accepted, in Unix milliseconds.
+    /// When the job was accepted, in Unix milliseconds.
     pub accepted: u64,
-    /// Epoch of its pool's owner, as far as the host knew that accepted it; 0 if it knew none. An owner with a smaller epoch
-    /// must not start it, so one with this epoch knows that no former owner has.
+    /// Epoch of the pool's owner as known to the accepting host; 0 if it knew none. An owner with a smaller epoch must not start
+    /// the job, so the owner with this epoch knows that no earlier owner has started it.
     pub epoch: u64,
 }
 
-/// Why a job can't be taken.
+/// Why a submitted job is rejected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Unfit {
-    /// It has no step, or a step without tasks.
+    /// The job has no steps, or a step has no tasks.
     Empty,
-    /// It has more tasks than [`Job::TASKS_MOST`].
+    /// The job has more than [`Job::TASKS_MOST`] tasks.
     TooMany,
-    /// A step comes after one that doesn't stand before it.
+    /// The step with this index depends on itself or on a later step.
     Order(usize),
 }
 
@@ -132,13 +133,13 @@
 }
 
 impl Job {
-    /// Most tasks of a job in one occurrence. One row of the store has room for the course of this many.
+    /// Maximum number of tasks in one occurrence. One row of the store can hold the progress of this many tasks.
     pub const TASKS_MOST: u64 = 10_000;
 
-    /// Checks what a caller sent.
+    /// Validates a submitted job.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns the first violated rule.
     pub fn check(&self) -> Result<(), Unfit> {
         if self.steps.is_empty() || self.steps.iter().any(|step| step.count == 0) {
             return Err(Unfit::Empty);
@@ -155,7 +156,7 @@
         Ok(())
     }
 
-    /// Longest chain of estimated work from a step to the end, that step included, in milliseconds.
+    /// Longest chain of estimated work from the start of `step` to the end of the job, in milliseconds.
     #[must_use]
     pub fn chain_from(&self, step: usize) -> Ms {
         let mut longest = vec![0; self.steps.len()];
@@ -169,7 +170,7 @@
         longest.get(step).copied().unwrap_or(0)
     }
 
-    /// Longest chain of estimated work, in milliseconds.
+    /// Longest chain of estimated work in the job, in milliseconds.
     #[must_use]
     pub fn chain(&self) -> Ms {
         (0..self.steps.len())
@@ -178,13 +179,13 @@
             .unwrap_or(0)
     }
 
-    /// The time from acceptance in which it should be completed, in milliseconds.
+    /// Target for the time from acceptance to completion, in milliseconds.
     #[must_use]
     pub fn objective(&self) -> Ms {
         (self.chain() as f64 * self.policy.stretch) as Ms + self.policy.objective
     }
 
-    /// Whether it runs until it is cancelled.
+    /// Whether the job runs until it is cancelled.
     #[must_use]
     pub fn lasting(&self) -> bool {
         self.steps.iter().any(|step| step.lasting)
@@ -192,7 +193,8 @@
 }
 
 impl Step {
-    /// What a task takes of its worker's room. Tasks that fill use processors that others leave.
+    /// Resources that a task reserves on its worker. Best-effort tasks reserve no processors: they use what other tasks leave
+    /// idle.
     #[must_use]
     pub const fn room(&self) -> Size {
         if self.fills {
--- a/crates/pool/src/listing.rs
+++ b/crates/pool/src/listing.rs
@@ -1,26 +1,26 @@
-//! What a worker says about its runs.
+//! Reports of workers about their runs.
 
 use crate::task::{Ms, TaskKey};
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum How {
-    /// Well.
+    /// It completed successfully.
     Done,
-    /// By its own fault or the worker's.
+    /// It failed, because of the task or of the worker.
     Failed,
-    /// By an order.
+    /// It was stopped by a command.
     Stopped,
-    /// Its lease ran out.
+    /// The worker's lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come in time.
+    /// The other members of its gang did not arrive in time.
     Alone,
 }
 
 impl How {
-    /// A short name, as logs and metrics have it.
+    /// Short name for logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -34,49 +34,49 @@
     }
 }
 
-/// A run that is there.
+/// Status of a run in progress.
 #[derive(Clone, Debug)]
 pub struct Running {
     /// The task.
     pub task: TaskKey,
-    /// The run.
+    /// Number of the run.
     pub run: u32,
-    /// Newest checkpoint; empty if none.
+    /// Newest checkpoint; empty if there is none.
     pub saved: String,
     /// Progress in percent.
     pub percent: u32,
-    /// Response time in milliseconds of a task that serves, or millicores in use of any other.
+    /// Response time in milliseconds for a latency-sensitive task; millicores in use for any other.
     pub load: u32,
 }
 
-/// A run that ended.
+/// End of a run.
 #[derive(Clone, Debug)]
 pub struct End {
-    /// Counts the ends of the worker's present life.
+    /// Number of the end, counted from the start of the worker's incarnation.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
-    /// The run.
+    /// Number of the run.
     pub run: u32,
-    /// How it ended.
+    /// How the run ended.
     pub how: How,
-    /// Newest checkpoint; empty if none.
+    /// Newest checkpoint; empty if there is none.
     pub saved: String,
 }
 
-/// A worker's answer to a hold.
+/// A worker's answer to a poll.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
     /// The worker's clock.
     pub clock: Ms,
-    /// Start of the worker's life in Unix milliseconds; 0 if it doesn't say.
+    /// Incarnation of the worker in Unix milliseconds; 0 if not reported.
     pub born: u64,
-    /// The lease that was asked for, on the worker's clock; 0 for none.
+    /// End of the lease that the poll requested, on the worker's clock; 0 if it requested none.
     pub lease: Ms,
-    /// When it was asked, on our clock.
+    /// When the poll was sent, on this process's clock.
     pub asked: Ms,
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<Running>,
-    /// What ended and was not forgotten.
+    /// Ends of runs that the worker has not been told to forget.
     pub ended: Vec<End>,
 }
--- a/crates/pool/src/live.rs
+++ b/crates/pool/src/live.rs
@@ -1,4 +1,4 @@
-//! The live state of a job.
+//! Runtime state of a job while it is held by the pool's owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,44 +11,44 @@
 use crate::task::{Ms, StageKey, Task, TaskKey, WorkerId};
 use crate::timeline::Timeline;
 
-/// A ticket of the advisor.
+/// Permission from the advisor to run a step on one worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
-    /// What the worker wants to see.
+    /// Text that the worker verifies.
     pub text: String,
-    /// It holds until then.
+    /// End of validity.
     pub until: Ms,
-    /// The worker's life it was given for.
+    /// Incarnation of the worker that the ticket was issued for.
     pub born: u64,
 }
 
-/// What the advisor said about a step. Answers never change; tickets run out.
+/// What the advisor has answered about a step. Answers don't change, but tickets expire.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Advised {
-    /// Workers that may run it, with the newest ticket.
+    /// Workers that may run the step, each with its newest ticket.
     pub allowed: FxHashMap<WorkerId, Ticket>,
-    /// Workers that may not.
+    /// Workers that may not run the step.
     pub denied: BTreeSet<WorkerId>,
-    /// A question is under way since then.
+    /// When the query in flight was sent; `None` if there is none.
     pub asking: Option<Ms>,
-    /// A question was sent last then.
+    /// When the latest query was sent.
     pub asked: Option<Ms>,
-    /// No question before this.
+    /// No query is sent before this time.
     pub rest: Ms,
 }
 
-/// The live state of one step of one occurrence.
+/// Runtime state of one step of one occurrence.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Stage {
-    /// Its tasks.
+    /// The step's tasks.
     pub tasks: Vec<Task>,
-    /// How many are done.
+    /// Number of completed tasks.
     pub done: usize,
-    /// When all steps before it were done.
+    /// When the step opened, that is, when all steps it depends on were complete.
     pub opened: Option<Ms>,
-    /// What the advisor said.
+    /// Answers of the advisor.
     pub advised: Advised,
-    /// When it was asked about and started.
+    /// When the step was queried and started.
     pub timeline: Timeline,
 }
 
@@ -109,7 +109,7 @@
         self.tasks.iter().map(|task| task.top).max().unwrap_or(0)
     }
 
-    /// How many of its tasks run on each worker.
+    /// Number of tasks with a run on each worker.
     pub(crate) fn spread(&self) -> FxHashMap<WorkerId, u32> {
         let mut spread = FxHashMap::default();
         for run in self.tasks.iter().filter_map(|task| task.run.as_ref()) {
@@ -123,13 +123,13 @@
         self.done == self.tasks.len()
     }
 
-    /// Whether all tasks are done and no run of them is left anywhere.
+    /// Whether all tasks are done and none has a run left on any worker.
     pub(crate) fn over(&self) -> bool {
         self.complete() && self.tasks.iter().all(|task| task.run.is_none())
     }
 }
 
-/// The live state of one occurrence.
+/// Runtime state of one occurrence.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Occurrence {
     /// Its steps.
@@ -149,7 +149,7 @@
         Self { stages, due }
     }
 
-    /// Opens the steps whose turn has come; tells which.
+    /// Opens the steps whose dependencies are complete, and returns their indices.
     pub(crate) fn open(&mut self, job: &Job, now: Ms) -> Vec<usize> {
         let mut opened = Vec::new();
         for at in 0..self.stages.len() {
@@ -167,41 +167,42 @@
     }
 }
 
-/// The live state of a job.
+/// Runtime state of a job.
 #[derive(Clone, Debug)]
 pub(crate) struct Live {
-    /// As it was accepted.
+    /// The job as accepted.
     pub job: Arc<Job>,
-    /// As decided here.
+    /// The state as decided by this owner.
     pub state: State,
-    /// As stored, and so told.
+    /// The state as stored, which is what callers are shown.
     pub shown: State,
-    /// When it became final, in Unix milliseconds.
+    /// When the state became final, in Unix milliseconds.
     pub closed: u64,
-    /// Occurrences under way.
+    /// Occurrences in progress.
     pub open: BTreeMap<u32, Occurrence>,
-    /// Occurrences that are over.
+    /// Finished occurrences.
     pub over: BTreeSet<u32>,
-    /// The next occurrence that will be due.
+    /// The next occurrence to become due.
     pub next: u32,
-    /// It was accepted before this owner came: what an unreachable worker runs may be of it.
+    /// Whether the job was accepted before this owner took over. If so, workers that have not reported to this owner may be
+    /// running tasks of it.
     pub inherited: bool,
-    /// How many workers have to be heard before it may start anything.
+    /// Number of workers that must report before any task of the job may start.
     pub awaits: usize,
-    /// Since when the pool can't serve it, even if nothing else ran.
+    /// Since when the pool could not run the job even if it ran nothing else; `None` if it could.
     pub misfit: Option<Ms>,
-    /// It is to go to another pool: nothing of it is started here.
+    /// Whether the job is being transferred to another pool; no task of it is started here.
     pub leaves: bool,
-    /// When it was accepted, on our clock.
+    /// When the job was accepted, on this process's clock.
     pub since: Ms,
-    /// It is among those to be stored.
+    /// Whether the progress has changed since it was last stored.
     pub dirty: bool,
-    /// Longest chain of estimated work from each step on.
+    /// Longest chain of estimated work from each step to the end, in milliseconds.
     pub chains: Vec<Ms>,
 }
 
 impl Live {
-    /// Takes up a job from what is stored of it.
+    /// Creates the runtime state from the stored progress.
     pub(crate) fn new(job: Arc<Job>, progress: Option<&Progress>, now: Ms, unix: u64) -> Self {
         let state = progress.map_or(State::Queued, |progress| progress.state);
         let mut live = Self {
@@ -233,13 +234,13 @@
         live
     }
 
-    /// Whether nothing of it runs, as far as this owner knows.
+    /// Whether no task of the job has a run, as far as this owner knows.
     pub(crate) fn is_idle(&self) -> bool {
         let mut stages = self.open.values().flat_map(|course| &course.stages);
         stages.all(|stage| stage.tasks.iter().all(|task| task.run.is_none()))
     }
 
-    /// The steps of which something is still to be done, in an occurrence under way or in one to come.
+    /// Indices of the steps that have tasks left, in an occurrence in progress or a future one.
     pub(crate) fn steps_left(&self) -> Vec<usize> {
         let all_left = self.next_due().is_some();
         let left = |step: &usize| {
@@ -249,12 +250,12 @@
         (0..self.job.steps.len()).filter(left).collect()
     }
 
-    /// How many occurrences it has.
+    /// Number of occurrences.
     pub(crate) fn times(&self) -> u32 {
         self.job.schedule.map_or(1, |schedule| schedule.times)
     }
 
-    /// When the next occurrence is due, in Unix milliseconds, if there is one.
+    /// When the next occurrence is due, in Unix milliseconds; `None` if there is none.
     pub(crate) fn next_due(&self) -> Option<u64> {
         if self.state.is_final() || self.next >= self.times() {
             return None;
@@ -264,7 +265,7 @@
         }))
     }
 
-    /// Takes up all occurrences that are due, and opens steps whose turn has come.
+    /// Begins all occurrences that are due and opens steps whose dependencies are complete; returns the steps that were opened.
     pub(crate) fn advance(&mut self, now: Ms, unix: u64) -> Vec<StageKey> {
         let mut opened = Vec::new();
         while self.next_due().is_some_and(|due| due <= unix) {
@@ -293,7 +294,7 @@
         opened
     }
 
-    /// Closes occurrences that are over; `true` if the job is completed with that.
+    /// Closes finished occurrences; returns whether that completes the job.
     pub(crate) fn close_occurrences(&mut self) -> bool {
         let over: Vec<u32> = self
             .open
@@ -308,7 +309,7 @@
         self.over.len() as u32 >= self.times() && !self.job.lasting()
     }
 
-    /// What must last.
+    /// The progress to be stored.
     pub(crate) fn progress(&self) -> Progress {
         Progress {
             state: self.state,
@@ -328,7 +329,7 @@
         }
     }
 
-    /// Takes note that this progress is stored.
+    /// Records that this progress is stored.
     pub(crate) fn note_stored(&mut self, progress: &Progress) {
         for course in &progress.open {
             for (step, stored) in course.steps.iter().enumerate() {
@@ -341,7 +342,7 @@
         }
     }
 
-    /// The tasks of all occurrences under way, with their names.
+    /// All tasks of the occurrences in progress, with their keys.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = (TaskKey, &Task)> {
         self.open.iter().flat_map(move |(&occurrence, course)| {
             course
@@ -360,7 +361,7 @@
         })
     }
 
-    /// The task with this place, if its occurrence is under way.
+    /// The task at this position, if its occurrence is in progress.
     pub(crate) fn task(&mut self, occurrence: u32, step: u16, index: u32) -> Option<&mut Task> {
         self.open
             .get_mut(&occurrence)?
--- a/crates/pool/src/loss.rs
+++ b/crates/pool/src/loss.rs
@@ -1,4 +1,4 @@
-//! Runs that are over without an end: their worker lost them.
+//! Runs that workers lost: they are over, but no end was reported.
 
 use std::sync::Arc;
 
@@ -8,16 +8,16 @@
 /// How a worker lost a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Loss {
-    /// It answers in a new life.
+    /// The worker answered with a new incarnation.
     Restarted,
-    /// It has not answered until the lease was over.
+    /// The worker did not answer before its lease expired.
     Lapsed,
-    /// It answers in the same life and lists neither the run nor its end.
+    /// The same incarnation answered and reported neither the run nor its end.
     Missing,
 }
 
 impl Loss {
-    /// A short name, as logs and metrics have it.
+    /// Short name for logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -28,33 +28,33 @@
     }
 }
 
-/// A run that is over without an end.
+/// A run that was lost by its worker.
 #[derive(Clone, Debug)]
 pub struct LostRun {
     /// The task.
     pub task: TaskKey,
-    /// The run.
+    /// Number of the run.
     pub run: u32,
-    /// The worker that lost it.
+    /// The worker that lost the run.
     pub worker: WorkerId,
-    /// How.
+    /// How it was lost.
     pub loss: Loss,
-    /// Whether the order to start was answered, or the run listed.
+    /// Whether the start command was answered or the run was reported.
     pub confirmed: bool,
-    /// The least time for which the worker surely lived with it, in milliseconds: from the order to the last hold that was
+    /// Minimum time that the worker was up with the run, in milliseconds: from the start command to the latest poll that was
     /// answered.
     pub survived: Ms,
-    /// How many runs the worker had, this one included.
+    /// Number of runs that the worker had, including this one.
     pub runs: usize,
 }
 
 impl Pool {
-    /// Takes the runs that were lost since the last call.
+    /// Returns and clears the runs lost since the last call.
     pub fn take_lost_runs(&mut self) -> Vec<LostRun> {
         std::mem::take(&mut self.lost_runs)
     }
 
-    /// Notes that a worker has lost the present run of a task: for the log, and against the task if it may be the cause.
+    /// Records the loss of a task's current run for the log, and as a crash of the task if the run may be the cause.
     pub(crate) fn note_loss(&mut self, now: Ms, key: &TaskKey, loss: Loss) {
         let Some(run) = self.task_mut(key).and_then(|task| task.run.as_ref()) else {
             return;
--- a/crates/pool/src/progress.rs
+++ b/crates/pool/src/progress.rs
@@ -1,28 +1,29 @@
-//! What must last of a job's course.
+//! Progress of a job, as stored.
 
 use serde::{Deserialize, Serialize};
 
 use crate::state::State;
 
-/// Course of one step.
+/// Progress of one step.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct StepCourse {
-    /// Tasks that ended well: one character for four tasks, hexadecimal, lowest task first.
+    /// Bitmap of completed tasks in hexadecimal: one digit for four tasks, the task with the lowest index in the lowest bit of
+    /// the first digit.
     pub done: String,
-    /// Tasks with the numbers of their runs that failed.
+    /// Indices of tasks with the numbers of their failed runs.
     pub failed: Vec<(u32, Vec<u32>)>,
-    /// Tasks with the numbers of their runs that may have crashed their workers.
+    /// Indices of tasks with the numbers of their runs that may have crashed their workers.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub crashed: Vec<(u32, Vec<u32>)>,
-    /// Tasks with their newest checkpoint.
+    /// Indices of tasks with their newest checkpoints.
     pub saved: Vec<(u32, String)>,
     /// Highest run number of any task.
     pub top: u32,
 }
 
 impl StepCourse {
-    /// Packs the marks of done tasks.
+    /// Encodes the bitmap of completed tasks.
     pub(crate) fn pack(done: impl Iterator<Item = bool>) -> String {
         let marks: Vec<bool> = done.collect();
         marks
@@ -37,7 +38,7 @@
             .collect()
     }
 
-    /// Whether the task with this number ended well.
+    /// Whether the task with this index has completed.
     #[must_use]
     pub fn is_done(&self, index: u32) -> bool {
         self.done
@@ -48,26 +49,26 @@
     }
 }
 
-/// Course of one occurrence.
+/// Progress of one occurrence.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Course {
-    /// The occurrence.
+    /// Index of the occurrence.
     pub number: u32,
-    /// Its steps.
+    /// Progress of each step.
     pub steps: Vec<StepCourse>,
 }
 
-/// What must last of a job's course.
+/// Progress of a job: what the next owner needs to continue it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Progress {
-    /// The state that callers are told.
+    /// The state shown to callers.
     pub state: State,
-    /// When it became final, in Unix milliseconds; 0 before.
+    /// When the state became final, in Unix milliseconds; 0 before.
     pub closed: u64,
-    /// Occurrences that are over.
+    /// Indices of finished occurrences.
     pub over: Vec<u32>,
-    /// Occurrences under way.
+    /// Occurrences in progress.
     pub open: Vec<Course>,
 }
--- a/crates/pool/src/reconcile.rs
+++ b/crates/pool/src/reconcile.rs
@@ -1,4 +1,4 @@
-//! Reconciles the pool's state with what workers list.
+//! Reconciles the pool's state with the reports of workers.
 
 use std::sync::Arc;
 
@@ -8,17 +8,17 @@
 use crate::task::{JobId, Ms, Phase, Run, TaskKey, WorkerId};
 use crate::worker::{Stray, UnknownEnds};
 
-/// A run of a job that nobody knows is stopped after this time. The row of a job may reach this owner later than the
-/// task does (a few milliseconds as a rule, seconds while the store is in trouble).
+/// A run of an unknown job is stopped after this time. The row of a job may reach this owner after the report of its run: usually
+/// by a few milliseconds, but by seconds while the store has problems.
 const UNKNOWN_JOB_TIMEOUT: Ms = 3_000;
-/// A run that should be there and is neither listed nor ended for this long is taken as over. Ends come in order and
-/// all of them, so this happens only if the worker contradicts itself.
+/// A run that should be in progress but is reported neither as running nor as ended for this long counts as lost. Ends are
+/// reported completely and in order, so this happens only if the worker contradicts itself.
 const MISSING_RUN_TIMEOUT: Ms = 4_000;
-/// Time that covers ways, timers and rounding when a lease of a worker is reckoned on our clock.
+/// Margin for network delay, timers and rounding when the lease of a worker is converted to this process's clock.
 const LEASE_SLACK: Ms = 400;
 
 impl Pool {
-    /// Applies a worker's answer to a hold.
+    /// Applies a worker's answer to a poll.
     pub fn apply_listing(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &Listing) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -46,13 +46,13 @@
         if listing.clock > worker.clock.0 {
             worker.clock = (listing.clock, now);
         }
-        // A former owner may have asked for the longest lease just before; without one of ours, that is what runs there.
+        // If this owner hasn't requested a lease yet, the previous owner may just have requested one of the maximum length.
         let left = if listing.lease > 0 {
             listing.lease.saturating_sub(listing.clock)
         } else {
             self.options.lease_most
         };
-        // Its clock may be 2% slow.
+        // The worker's clock may be 2% slow.
         worker.lapses = worker.lapses.max(now + left + left / 33 + LEASE_SLACK);
         self.unseen.remove(id);
         self.apply_ends(now, unix, id, listing);
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Applies the ends that are new. One of a job that nobody knows is not forgotten, nor are those after it: its row is on the
-    /// way, and an end that is passed over would be lost. Those after it are applied all the same.
+    /// Applies new ends. An end of an unknown job, and all ends after it, are not acknowledged: the row of the job is still to
+    /// come, and an end that was skipped would be lost. The later ends are applied nevertheless.
     fn apply_ends(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &Listing) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -108,11 +108,11 @@
         }
     }
 
-    /// A job has become known. Workers may have listed runs and ends of it before: it has to take up the runs, and wait
-    /// for the ends to be listed again, before it starts anything.
+    /// Handles a job that has become known after workers may already have reported runs and ends of it. It adopts these runs, and
+    /// starts nothing before the ends have been reported again.
     ///
-    /// The former owner may have started it just before it was fenced, while its row reached this owner after the
-    /// workers' listings. Without this it was started a second time beside the first.
+    /// The previous owner may have started the job just before it was fenced, while the row of the job reached this owner after
+    /// the workers' reports. Without this, the job would be started a second time next to the first.
     pub(crate) fn adopt_observed_runs(&mut self, now: Ms, job: &JobId) {
         let mut runs = Vec::new();
         let mut waits = Vec::new();
@@ -151,12 +151,13 @@
         }
     }
 
-    /// A worker is about to be held; tells the lease to ask for, on its clock, or `None` if it must not be renewed.
+    /// Extends the lease of a worker that is about to be polled. Returns the end of the lease to request, on the worker's clock,
+    /// or `None` if the lease must not be renewed.
     ///
-    /// A hold whose answer is lost has renewed the lease all the same. So the lease counts from when it is asked for, and
-    /// a worker that did not answer the last hold is asked without one until it answers: else its tasks would run on, under
-    /// leases that this owner takes for lapsed, beside the ones it starts in their place. An owner without a recent
-    /// majority renews nothing: it may have been replaced by one that can't reach this worker and counts on its lease.
+    /// A poll renews the lease even if its answer is lost. So the lease counts from when it is requested, and a worker that did
+    /// not answer the latest poll is polled without one until it answers. Otherwise its tasks would go on running under leases
+    /// that this owner considers expired, next to the ones it starts in their place. An owner without a recent majority renews
+    /// nothing: it may have been replaced by an owner that can't reach this worker and relies on the lease to expire.
     pub fn holding(&mut self, now: Ms, id: &WorkerId) -> Option<Ms> {
         let most = self.options.lease_most;
         if !self.proved(now) {
@@ -171,15 +172,16 @@
         Some(clock + most)
     }
 
-    /// A hold got no answer. Until one does, nothing is started there: the order would be in doubt, and if the owner were
-    /// lost as well, the next one would have to wait for that worker before it could start anything it inherits.
+    /// Records that a poll got no answer. Nothing is started on the worker until it answers one: the outcome of the command would
+    /// be unknown, and if this owner were lost as well, the next one would have to wait for the worker before it could start any
+    /// inherited job.
     pub fn mark_unresponsive(&mut self, id: &WorkerId) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.unresponsive = true;
         }
     }
 
-    /// The worker has restarted: nothing of its former life runs any more.
+    /// Handles a restart of the worker: no run of the previous incarnation exists any more.
     fn worker_restarted(&mut self, now: Ms, unix: u64, id: &WorkerId) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -210,8 +212,8 @@
                 .task_mut(&key)
                 .and_then(|task| task.run.as_mut())
                 .is_some_and(|run| {
-                    // An order that was not answered may reach the new life, which has forgotten the epoch: its
-                    // room stays taken until a stop is confirmed there.
+                    // An unanswered start command may reach the new incarnation, which has forgotten the epoch. Its capacity
+                    // stays reserved until a stop is confirmed there.
                     let doubtful = run.phase == Phase::Ordered || run.phase == Phase::Unsure;
                     if doubtful {
                         run.phase = Phase::Stopping;
@@ -230,7 +232,7 @@
         }
     }
 
-    /// Compares what runs on a worker with what should.
+    /// Compares the runs reported by a worker with the expected ones.
     fn compare(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &Listing) {
         for row in &listing.running {
             self.observe_run(now, id, row);
@@ -266,7 +268,7 @@
             };
             let over = match run.phase {
                 Phase::Ordered | Phase::Unsure => listing.clock > run.latest,
-                // An answer that was long on its way says nothing of a run that was ordered meanwhile.
+                // A report that was long in transit says nothing about a run that was started in the meantime.
                 Phase::Running => {
                     !full
                         && listing.asked.saturating_sub(run.moved.max(run.ordered))
@@ -298,7 +300,7 @@
         }
     }
 
-    /// Takes note of a run that a worker lists.
+    /// Handles a run reported by a worker.
     fn observe_run(&mut self, now: Ms, id: &WorkerId, row: &Running) {
         let key = &row.task;
         let closed = self
@@ -337,7 +339,7 @@
             }
             return;
         }
-        // A later start proves that the former owner took an earlier run, of which only its roster tells, for over.
+        // A later start proves that the previous owner knew the earlier run, which is known only from its roster, to be over.
         let outdated = task
             .run
             .as_ref()
@@ -371,7 +373,7 @@
         self.started(&key.stage.job);
     }
 
-    /// A run that no task calls its own: it takes room until it is gone.
+    /// Records a run that isn't the current run of any task; it occupies capacity until it is gone.
     fn stray(&mut self, now: Ms, id: &WorkerId, row: &Running, size: Option<resource::Size>) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -392,7 +394,7 @@
             .plus(size.unwrap_or_default());
     }
 
-    /// Stops strays: at once if their job is known, after a while if it isn't.
+    /// Stops orphaned runs: at once if their job is known, otherwise after [`UNKNOWN_JOB_TIMEOUT`].
     pub(crate) fn stop_strays(&mut self, now: Ms) {
         let partial = self.partial;
         for worker in self.workers.values_mut() {
--- a/crates/pool/src/repeat.rs
+++ b/crates/pool/src/repeat.rs
@@ -1,29 +1,29 @@
-//! When a call without an answer is made again, and how often that may be.
+//! Timing and budget of repeated calls.
 //!
-//! Answers two loads that look alike. Where workers leave a share of the calls unanswered, a step of ten tasks is held up by a
-//! single one; a copy has no effect where the order was carried out, so it is sent as soon as the answer is overdue by what the
-//! worker usually takes. Where a line is full or a host has no time, answers come late, and copies make that worse: so what an
-//! answer took counts also if the call was repeated meanwhile, copies follow at growing intervals, and they have a budget, a share of
-//! all calls.
+//! A call without an answer is repeated under two kinds of load that look alike. If workers leave a share of the calls
+//! unanswered, a single one holds up a step of ten tasks; a copy has no effect where the command was carried out, so it is sent
+//! as soon as the answer is overdue by the worker's usual response time. If a link is saturated or a host is overloaded, answers
+//! come late and copies make that worse. Therefore the response time of a repeated call is counted too, the interval between
+//! copies grows, and copies have a budget, which is a share of all calls.
 
 use crate::task::Ms;
 
-/// Shortest time until a call is repeated: a worker that is busy for a moment answers within it.
+/// Minimum time until a call is repeated; a worker that is briefly busy answers within it.
 const LEAST: Ms = 60;
-/// The time where no answer of the worker is known.
+/// Time until a call is repeated if no response time of the worker is known.
 const UNKNOWN: Ms = 200;
-/// Longest time until the first copy.
+/// Maximum time until the first copy.
 const MOST: Ms = 1_000;
-/// An answer is overdue after this many times the usual time.
+/// An answer is overdue after this multiple of the usual response time.
 const OVERDUE: Ms = 3;
-/// Each copy is awaited this many times as long as the one before it.
+/// Factor by which the interval grows with each copy.
 const GROWTH: Ms = 2;
-/// Copies for each call: more than the share of unanswered calls that is worth mending.
+/// Copies earned per call; higher than any share of unanswered calls for which repeating is worthwhile.
 const COPIES_A_CALL: f64 = 0.2;
-/// Copies that are saved up: those of a few dozen workers that fall silent at once.
+/// Maximum number of saved copies; enough for a few dozen workers that stop answering at the same time.
 const SAVED_MOST: f64 = 50.0;
 
-/// Copies that may be sent.
+/// Budget of copies that may be sent.
 ///
 /// ```
 /// use pool::repeat::Budget;
@@ -48,12 +48,12 @@
 }
 
 impl Budget {
-    /// A call was made for the first time.
+    /// Adds the share of a copy that a new call earns.
     pub fn earn(&mut self) {
         self.copies = (self.copies + COPIES_A_CALL).min(SAVED_MOST);
     }
 
-    /// Takes a copy; `false` if there is none left.
+    /// Consumes one copy; returns `false` if the budget is exhausted.
     pub fn spend(&mut self) -> bool {
         let may = self.copies >= 1.0;
         if may {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Time from one copy of an order to the next, given the worker's usual time to answer and how often it was sent.
+/// Time until the next copy of a command, given the worker's usual response time and how often the command was sent.
 #[must_use]
 pub(crate) fn delay(usual: Ms, copies: u32) -> Ms {
     let first = if usual == 0 {
@@ -74,7 +74,7 @@
     first * GROWTH.pow(copies.saturating_sub(1).min(4))
 }
 
-/// The usual time to answer after another answer took `took`; each counts a quarter.
+/// Moving average of the response time; the new value `took` has a weight of one quarter.
 #[must_use]
 pub(crate) fn usual(before: Ms, took: Ms) -> Ms {
     let took = took.max(1);
--- a/crates/pool/src/replies.rs
+++ b/crates/pool/src/replies.rs
@@ -1,4 +1,4 @@
-//! What follows from answers to orders.
+//! Handles answers to commands.
 
 use crate::answer::{Answer, StopAnswer};
 use crate::live::Ticket;
@@ -8,15 +8,16 @@
 use crate::state::State;
 use crate::task::{JobId, Ms, Phase, WorkerId};
 
-/// A worker that said it is not well, or wasn't there, gets nothing for this long.
+/// Time without new starts on a worker that reported itself unhealthy or was not at its address.
 const REST: Ms = 400;
-/// A worker without room, against our own sums, gets nothing until it has been listed again.
+/// Time without new starts on a worker that refused a task for lack of capacity although it should have had enough; it reports
+/// its runs again within this time.
 const REST_ROOM: Ms = 250;
-/// After a question that failed, the step waits this long.
+/// Delay before a step is queried again after a failed query.
 const REST_ASK: Ms = 150;
 
 impl Pool {
-    /// A start was answered.
+    /// Handles the answer to a start command.
     pub fn answered(&mut self, now: Ms, start: &Start, answer: Answer) {
         let Some(run) = self
             .task_mut(&start.task)
@@ -28,7 +29,7 @@
             return;
         }
         let waiting = matches!(run.phase, Phase::Ordered | Phase::Unsure);
-        // If it was repeated, this is the most that the answer can have taken.
+        // If the command was repeated, this is an upper bound of the response time.
         let took = now.saturating_sub(run.ordered);
         if let Some(worker) = self.workers.get_mut(&start.worker)
             && !matches!(answer, Answer::Lost | Answer::Cut)
@@ -63,7 +64,7 @@
             Answer::Fenced => self.deposed = true,
             _ => {}
         }
-        // An earlier copy of the same order may still be on its way, so a refusal says nothing about that one.
+        // An earlier copy of the command may still be in transit, so a refusal doesn't prove that the task won't start.
         if run_repeated(self, start) {
             self.stop_run(&start.task);
             return;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// If one member of a gang can't start, the others would wait for it in vain: all are stopped.
+    /// Stops all members of a gang if one of them can't start, because the others would wait for it in vain.
     fn break_gang(&mut self, start: &Start) {
         let gang = start
             .job
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Something of a job has started.
+    /// Records that a task of the job has started.
     pub(crate) fn started(&mut self, job: &JobId) {
         if let Some(live) = self.jobs.get_mut(job)
             && live.state == State::Queued
@@ -126,7 +127,7 @@
         }
     }
 
-    /// A stop was answered.
+    /// Handles the answer to a stop command.
     pub fn stopped(&mut self, now: Ms, stop: &Stop, answer: StopAnswer) {
         match answer {
             StopAnswer::Fenced => self.deposed = true,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// The advisor answered, or didn't.
+    /// Handles the answer of the advisor; `None` if the query failed.
     pub fn advised(&mut self, now: Ms, ask: &Ask, allowed: Option<(&[(WorkerId, String)], Ms)>) {
         let lives: Vec<u64> = allowed.map_or_else(Vec::new, |(rows, _)| {
             rows.iter()
@@ -187,7 +188,7 @@
     }
 }
 
-/// Whether the order was sent more than once.
+/// Whether the start command was sent more than once.
 fn run_repeated(pool: &mut Pool, start: &Start) -> bool {
     pool.task_mut(&start.task)
         .and_then(|task| task.run.as_ref())
--- a/crates/pool/src/save.rs
+++ b/crates/pool/src/save.rs
@@ -1,4 +1,4 @@
-//! What is to be stored, in groups.
+//! Batches of progress to be stored.
 
 use std::sync::Arc;
 
@@ -8,19 +8,19 @@
 use crate::task::{JobId, WorkerId};
 use crate::timeline::JobTimes;
 
-/// What is stored in one transaction, and what may be forgotten elsewhere once it is.
+/// Rows to be stored in one transaction, and the ends that workers may forget once they are stored.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     /// Jobs with their progress.
     pub rows: Vec<(JobId, Progress)>,
-    /// Workers with their life and the number of their last end that these rows cover.
+    /// Workers with their incarnation and the number of the last end that these rows cover.
     pub ends: Vec<(WorkerId, u64, u64)>,
-    /// A job is completed, failed or cancelled with it: somebody waits for that.
+    /// Whether the batch makes a job completed, failed or cancelled; callers wait for that.
     pub urgent: bool,
 }
 
 impl Pool {
-    /// Whether something is to be stored.
+    /// Whether there is progress to be stored.
     #[must_use]
     pub fn unsaved(&self) -> bool {
         !self.dirty.is_empty()
@@ -30,7 +30,7 @@
                 .any(|worker| worker.noted < worker.applied)
     }
 
-    /// Whether somebody waits for something to be stored.
+    /// Whether a caller waits for progress to be stored.
     #[must_use]
     pub fn urgent(&self) -> bool {
         self.dirty.iter().any(|id| {
@@ -40,7 +40,7 @@
         })
     }
 
-    /// Takes up to this many jobs. Ends are covered only if all jobs fit.
+    /// Takes up to `most` jobs. Ends are covered only if no job is left over.
     pub fn batch(&mut self, most: usize) -> Batch {
         let ids: Vec<JobId> = self.dirty.iter().take(most).cloned().collect();
         let mut batch = Batch::default();
@@ -63,7 +63,7 @@
         batch
     }
 
-    /// A batch is stored: callers may be told, and workers may forget.
+    /// Handles a stored batch: from now on callers see these states, and workers may forget these ends.
     pub fn saved(&mut self, batch: &Batch) {
         for (id, progress) in &batch.rows {
             let Some(live) = self.jobs.get_mut(id) else {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Notes the course of a job whose final state is stored, for the log.
+    /// Records the summary of a job whose final state is stored, for the log.
     fn note_job(&mut self, id: &JobId) {
         let Some(live) = self.jobs.get(id) else {
             return;
@@ -100,19 +100,19 @@
         self.jobs_done.push(times);
     }
 
-    /// Takes the courses of the jobs whose final states were stored since the last call.
+    /// Returns and clears the summaries of the jobs whose final states were stored since the last call.
     pub fn take_jobs_done(&mut self) -> Vec<JobTimes> {
         std::mem::take(&mut self.jobs_done)
     }
 
-    /// A batch was not stored: its jobs are to be stored again.
+    /// Handles a batch that could not be stored: marks its jobs to be stored again.
     pub fn failed(&mut self, batch: &Batch) {
         for (id, _) in &batch.rows {
             self.mark(id);
         }
     }
 
-    /// Forgets jobs that have been final for long; their rows may go.
+    /// Removes jobs whose retention period has passed since they became final; returns them so that their rows can be deleted.
     pub fn sweep(&mut self, unix: u64) -> Vec<JobId> {
         let remember = self.options.remember;
         let old: Vec<JobId> = self
--- a/crates/pool/src/state.rs
+++ b/crates/pool/src/state.rs
@@ -1,4 +1,4 @@
-//! States of a job as its caller sees them.
+//! States of a job as shown to its caller.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,21 +6,21 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Nothing of it has started.
+    /// No task has started.
     #[default]
     Queued,
-    /// Some of it has started.
+    /// At least one task has started.
     Running,
-    /// All tasks have ended well.
+    /// All tasks have completed successfully.
     Completed,
-    /// A task has failed as often as it may.
+    /// A task has reached the maximum number of failed runs, or was abandoned because it crashed its workers.
     Failed,
-    /// Its caller took it back.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
 impl State {
-    /// Whether nothing of it will start any more.
+    /// Whether no task of the job will start any more.
     #[must_use]
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
--- a/crates/pool/src/task.rs
+++ b/crates/pool/src/task.rs
@@ -1,4 +1,4 @@
-//! Names of tasks, and what is known of one task.
+//! Keys of tasks and the state of a single task.
 
 use std::sync::Arc;
 
@@ -7,26 +7,26 @@
 use crate::crash::Crash;
 use crate::listing::How;
 
-/// A job's id, chosen by its caller.
+/// Job id, chosen by the caller.
 pub type JobId = Arc<str>;
-/// A worker's id.
+/// Worker id.
 pub type WorkerId = Arc<str>;
-/// Milliseconds since the process began, on a clock that counts suspended time.
+/// Milliseconds since the start of the process, on a clock that keeps running while the machine is suspended.
 pub type Ms = u64;
 
-/// One step of one occurrence of a job.
+/// Identifies one step of one occurrence of a job.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct StageKey {
     /// The job.
     pub job: JobId,
-    /// The occurrence, counted from 0; 0 for a job without a schedule.
+    /// Index of the occurrence; 0 for a job without a schedule.
     pub occurrence: u32,
-    /// The step, counted from 0.
+    /// Index of the step.
     pub step: u16,
 }
 
 impl StageKey {
-    /// The task of this step with this number.
+    /// Key of the task with this index in the step.
     #[must_use]
     pub fn task(&self, index: u32) -> TaskKey {
         TaskKey {
@@ -36,67 +36,68 @@
     }
 }
 
-/// One task of a step.
+/// Identifies one task of a step.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TaskKey {
     /// The step it belongs to.
     pub stage: StageKey,
-    /// Its number within the step, counted from 0.
+    /// Index of the task within the step.
     pub index: u32,
 }
 
-/// How far the order for a run has come.
+/// Execution state of a run as known to the owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// Sent, not answered yet.
+    /// The start command was sent and is not answered yet.
     Ordered,
-    /// The answer is lost: it may run, or may still begin until its last moment.
+    /// The answer was lost: the task may be running, or may still start until the command expires.
     Unsure,
     /// It runs.
     Running,
-    /// A stop is on its way; its room stays taken until the end is listed.
+    /// A stop command was sent; the capacity stays reserved until the worker reports the end of the run.
     Stopping,
 }
 
-/// One start of a task.
+/// One attempt to run a task.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
-    /// Counts the starts of the task; rises.
+    /// Number of the run; increases with each start of the task.
     pub number: u32,
-    /// Where.
+    /// Worker that the start command was sent to.
     pub worker: WorkerId,
-    /// How far.
+    /// Execution state.
     pub phase: Phase,
-    /// When it was ordered.
+    /// When the start command was first sent.
     pub ordered: Ms,
-    /// Last moment at which the order may still be carried out, on the worker's clock.
+    /// Last moment at which the worker may still carry out the start command, on the worker's clock.
     pub latest: Ms,
-    /// How often the order was sent.
+    /// How often the start command was sent.
     pub copies: u32,
-    /// When the order was sent last.
+    /// When the start command was last sent.
     pub sent: Ms,
-    /// When a stop was sent last.
+    /// When a stop command was last sent.
     pub stop_sent: Ms,
     /// The worker's clock when it confirmed a stop; 0 if it has not.
     pub stop_confirmed: Ms,
-    /// Progress in percent as last listed.
+    /// Progress in percent as last reported.
     pub percent: u32,
-    /// When the percentage last rose.
+    /// When the percentage last changed.
     pub moved: Ms,
-    /// Response time in milliseconds of a task that serves, or millicores in use of any other.
+    /// Response time in milliseconds for a latency-sensitive task; millicores in use for any other.
     pub load: u32,
-    /// The share in percent at which it is paced.
+    /// Share of full speed at which the run is paced, in percent.
     pub pace: u32,
-    /// Only the former owner's roster tells of it.
+    /// Whether the run is known only from the roster of the previous owner.
     pub inherited: bool,
-    /// The worker lived when the order came to it: it answered, it lists the run, or its connection ended only then.
+    /// Whether the worker was known to be running when it received the start command: it answered, it reported the run, or its
+    /// connection was lost only after the command was sent.
     pub proven: bool,
-    /// Its worker was lost, and it may be the cause.
+    /// Whether the worker was lost and this run may be the cause.
     pub crashed: bool,
 }
 
 impl Run {
-    /// A run that was just ordered.
+    /// A run whose start command is sent at `now`.
     pub(crate) fn new(number: u32, worker: WorkerId, now: Ms, latest: Ms) -> Self {
         Self {
             number,
@@ -119,39 +120,39 @@
     }
 }
 
-/// What is known of one task.
+/// State of one task.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Task {
-    /// It has ended well.
+    /// Whether a run has completed successfully.
     pub done: bool,
-    /// Numbers of the runs that failed.
+    /// Numbers of the failed runs.
     pub failed: Vec<u32>,
-    /// Numbers of the runs that may have crashed their workers since it was stable last. The present run of a suspect is among
-    /// them until its worker is known to live on.
+    /// Runs that may have crashed their workers since the task was last stable. The current run of a suspect task is included
+    /// until its worker is known to have survived it.
     pub crashed: Vec<Crash>,
-    /// When the last of them was noted.
+    /// When the latest crash was recorded.
     pub crashed_at: Ms,
-    /// How many of them are stored.
+    /// Number of entries of `crashed` that are stored.
     pub crashes_stored: usize,
-    /// The next run, if it is noted there before it is ordered.
+    /// Number of the next run, if it was added to `crashed` before its start command is sent.
     pub announced: Option<u32>,
-    /// Newest checkpoint; empty if none.
+    /// Newest checkpoint; empty if there is none.
     pub saved: String,
-    /// Its present run.
+    /// The current run.
     pub run: Option<Run>,
-    /// It is not started again before this.
+    /// Earliest time of the next start.
     pub retry: Ms,
     /// Highest run number that was used or seen.
     pub top: u32,
 }
 
 impl Task {
-    /// Whether it waits for a start at this moment.
+    /// Whether the task can be started at `now`.
     pub(crate) fn waits(&self, now: Ms) -> bool {
         !self.done && self.run.is_none() && self.retry <= now && !self.awaits_storing()
     }
 
-    /// Notes that a run ended; `true` if that changes what must be stored.
+    /// Records the end of a run; returns whether progress must be stored.
     pub(crate) fn note_end(&mut self, number: u32, how: How, saved: &str) -> bool {
         self.top = self.top.max(number);
         if !saved.is_empty() && !self.done {
--- a/crates/pool/src/timeline.rs
+++ b/crates/pool/src/timeline.rs
@@ -1,68 +1,68 @@
-//! When a step went through its course.
+//! Times at which steps and jobs progressed, for the log.
 
 use crate::state::State;
 use crate::task::{JobId, Ms, StageKey};
 
-/// When a step was asked about and started, on the owner's clock.
+/// When a step was queried and started, on this process's clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Timeline {
-    /// The advisor was asked first.
+    /// When the advisor was first queried.
     pub asked: Option<Ms>,
-    /// The advisor answered first.
+    /// When the advisor first answered.
     pub advised: Option<Ms>,
-    /// The first task was ordered first.
+    /// When the first start command was issued.
     pub first_start: Option<Ms>,
-    /// A task was ordered last.
+    /// When the latest start command was issued.
     pub last_start: Option<Ms>,
-    /// How often the advisor was asked.
+    /// Number of advisor queries.
     pub questions: u32,
-    /// How many orders to start were given.
+    /// Number of start commands.
     pub starts: u32,
 }
 
-/// The course of a step of which all tasks are done. Times count from when its turn had come.
+/// Summary of a completed step. All times are in milliseconds since the step opened, unless stated otherwise.
 #[derive(Clone, Debug)]
 pub struct StepTimes {
     /// The step.
     pub stage: StageKey,
-    /// Its queue.
+    /// Queue of the job.
     pub queue: String,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: usize,
-    /// Estimated duration of a task.
+    /// Estimated duration of one task.
     pub estimate: Ms,
-    /// Age of the job when the step's turn had come, in milliseconds.
+    /// Age of the job when the step opened.
     pub age: Ms,
-    /// Time until the advisor was asked first.
+    /// Time of the first advisor query.
     pub asked: Option<Ms>,
-    /// Time until the advisor answered first.
+    /// Time of the first answer of the advisor.
     pub advised: Option<Ms>,
-    /// Time until the first order to start.
+    /// Time of the first start command.
     pub first_start: Option<Ms>,
-    /// Time until the last order to start.
+    /// Time of the latest start command.
     pub last_start: Option<Ms>,
-    /// Time until the last end was known.
+    /// Time at which the last end was reported.
     pub done: Ms,
-    /// How often the advisor was asked.
+    /// Number of advisor queries.
     pub questions: u32,
-    /// How many orders to start were given.
+    /// Number of start commands.
     pub starts: u32,
 }
 
-/// The course of a job whose final state is stored.
+/// Summary of a job whose final state is stored.
 #[derive(Clone, Debug)]
 pub struct JobTimes {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Its queue.
+    /// Queue of the job.
     pub queue: String,
-    /// Its final state.
+    /// The final state.
     pub state: State,
-    /// Time from when it was accepted until it was final, in milliseconds.
+    /// Time from acceptance to the final state, in milliseconds.
     pub took: Ms,
-    /// Its objective, as far as it can be reckoned here, in milliseconds.
+    /// The job's objective as computed by this owner, in milliseconds.
     pub objective: Ms,
-    /// When it was final, in Unix milliseconds.
+    /// When the state became final, in Unix milliseconds.
     pub closed: u64,
 }
 
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -1,4 +1,4 @@
-//! What is known of one worker.
+//! State of one worker as known to the pool's owner.
 
 use std::collections::BTreeSet;
 
@@ -9,119 +9,119 @@
 use crate::repeat;
 use crate::task::{JobId, Ms, TaskKey, WorkerId};
 
-/// What the directory of workers says about one.
+/// Description of a worker in the directory of workers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct News {
-    /// Its address.
+    /// Network address.
     pub address: String,
-    /// The service it belongs to.
+    /// Service that the worker belongs to.
     pub service: String,
-    /// Its data centre.
+    /// Data centre of the worker.
     pub data_centre: String,
-    /// Its rack; empty if unknown.
+    /// Rack; empty if unknown.
     pub rack: String,
-    /// Its labels.
+    /// Labels that steps can require.
     pub labels: Vec<String>,
-    /// What it holds.
+    /// Total capacity.
     pub room: Size,
-    /// It is leaving; with the least time that is left, in milliseconds.
+    /// Set if the worker is draining: the minimum time until it leaves, in milliseconds.
     pub draining: Option<Ms>,
-    /// Start of its life in Unix milliseconds; 0 if it doesn't say.
+    /// Start time of the worker process in Unix milliseconds; 0 if not reported. It identifies the incarnation of the worker.
     pub born: u64,
 }
 
-/// A worker that can't be reached or is about to leave, with what may run there.
+/// A worker that can't be reached or is about to leave, with the runs it may have.
 ///
-/// The owner starts nothing there, and stores this; so a new owner that can't reach it either need only hold back these
-/// tasks, not all that may have started anywhere.
+/// The owner starts nothing on such a worker and stores this list. A new owner that can't reach the worker either then has to
+/// hold back only these tasks, instead of every task that may have been started anywhere.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Silent {
-    /// The worker.
+    /// Id of the worker.
     pub worker: WorkerId,
-    /// Its runs, as far as they may be there.
+    /// Runs that the worker may have.
     pub runs: Vec<(TaskKey, u32)>,
-    /// Start of the life that they are in, in Unix milliseconds; 0 if it isn't known.
+    /// Incarnation of the worker that has these runs, in Unix milliseconds; 0 if unknown.
     #[serde(default)]
     pub born: u64,
 }
 
-/// A run that no task calls its own.
+/// A run on a worker that isn't the current run of any task.
 #[derive(Clone, Debug)]
 pub(crate) struct Stray {
-    /// The run.
+    /// Number of the run.
     pub run: u32,
-    /// What it takes, if its job is known.
+    /// Reserved resources, if the job is known.
     pub size: Option<Size>,
-    /// When it was seen first.
+    /// When the run was first reported.
     pub since: Ms,
-    /// When a stop was sent last.
+    /// When a stop command was last sent.
     pub stop_sent: Ms,
 }
 
-/// Listed ends of jobs that aren't known.
+/// Reported ends of runs whose jobs aren't known.
 #[derive(Clone, Debug)]
 pub(crate) struct UnknownEnds {
-    /// Number of the first one.
+    /// Number of the first such end.
     pub first: u64,
-    /// Since when it is the first one.
+    /// Since when it has been the first one.
     pub since: Ms,
-    /// The jobs.
+    /// Jobs of these ends.
     pub jobs: Vec<JobId>,
 }
 
-/// What is known of one worker.
+/// State of one worker.
 #[derive(Clone, Debug, Default)]
 pub struct Worker {
-    /// Its id.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// What the directory says.
+    /// Description in the directory.
     pub news: News,
-    /// The directory lists it.
+    /// Whether the directory contains the worker.
     pub listed: bool,
-    /// The next owner would know of it: it is in the stored roster.
+    /// Whether the worker is in the stored roster, so that the next owner will know about it.
     pub(crate) enrolled: bool,
-    /// Ends that it lists of jobs that nobody knows.
+    /// Ends reported by the worker whose jobs aren't known.
     pub(crate) unknown_ends: Option<UnknownEnds>,
-    /// It has answered a hold of this epoch.
+    /// Whether the worker has answered a poll of this epoch, and so rejects commands of earlier epochs.
     pub(crate) fenced: bool,
-    /// When its present life answered first.
+    /// When the current incarnation first answered.
     pub(crate) life_since: Ms,
-    /// Start of the life that answered last, in Unix milliseconds.
+    /// Incarnation that answered last, in Unix milliseconds.
     pub(crate) born: u64,
-    /// Its clock as it was last told, and ours when that was received.
+    /// The worker's clock as last reported, and this process's clock when the report arrived.
     pub(crate) clock: (Ms, Ms),
-    /// Its last hold got no answer.
+    /// Whether the latest poll got no answer.
     pub(crate) unresponsive: bool,
-    /// Usual time until an order is answered; 0 if none was.
+    /// Typical time until a command is answered, in milliseconds; 0 if none has been.
     pub(crate) answers: Ms,
-    /// When the last hold that it answered was sent.
+    /// When the latest poll that the worker answered was sent.
     pub(crate) last_hold: Ms,
-    /// By then its lease has surely lapsed, unless it is renewed.
+    /// The worker's lease has certainly expired at this time, unless it is renewed.
     pub(crate) lapses: Ms,
-    /// It leaves at about this time, if it drains.
+    /// Estimated time at which a draining worker leaves.
     pub(crate) leaves: Option<Ms>,
-    /// Room that is taken, that of runs in doubt included.
+    /// Reserved capacity, including that of runs whose state is unknown.
     pub(crate) used: Size,
-    /// Runs that tasks call their own.
+    /// Runs that are the current runs of their tasks.
     pub(crate) runs: FxHashMap<TaskKey, u32>,
-    /// Others.
+    /// All other runs.
     pub(crate) strays: FxHashMap<TaskKey, Stray>,
-    /// Ends up to this number have been applied.
+    /// Ends up to and including this number have been applied.
     pub(crate) applied: u64,
-    /// Ends that have been applied although an earlier one has not.
+    /// Numbers of ends that were applied although an earlier one was not.
     pub(crate) beyond: BTreeSet<u64>,
-    /// Ends up to this number are stored.
+    /// Ends up to and including this number are stored.
     pub(crate) noted: u64,
-    /// Nothing is started before this.
+    /// Nothing is started on the worker before this time.
     pub(crate) rest: Ms,
-    /// Evidence that it fails what it starts; see [`crate::fit::SUSPECT`].
+    /// Evidence that runs fail because of the worker; see [`crate::fit::SUSPECT`].
     pub(crate) doubt: f64,
-    /// Observed duration against the estimate corrected per queue; 1 is as expected.
+    /// Ratio of observed run time to the estimate as corrected per queue; 1 is as expected.
     pub(crate) slowness: f64,
 }
 
 impl Worker {
-    /// Whether nothing is started there because it can't be reached or is about to leave.
+    /// Whether nothing is started on the worker because it can't be reached or is about to leave.
     #[must_use]
     pub fn silent(&self, now: Ms) -> bool {
         self.fenced
@@ -130,31 +130,31 @@
                 || now.saturating_sub(self.last_hold) >= Self::SILENCE)
     }
 
-    /// Whether it has answered the last hold in its present life.
+    /// Whether the current incarnation has answered the latest poll.
     #[must_use]
     pub fn is_responsive(&self) -> bool {
         !self.unresponsive && self.clock != (0, 0)
     }
 
-    /// Whether it lists ends of jobs that aren't known: it lists them again and again, at once.
+    /// Whether the worker reports ends of unknown jobs. It answers polls at once with these ends until they are applied.
     #[must_use]
     pub fn lists_unknown_ends(&self) -> bool {
         self.unknown_ends.is_some()
     }
 
-    /// Time after which an answer of this worker that is due is overdue, in milliseconds.
+    /// Time without an answer after which an answer of this worker counts as overdue, in milliseconds.
     #[must_use]
     pub fn overdue_after(&self) -> Ms {
         repeat::delay(self.answers, 1)
     }
 
-    /// Whether it has answered a hold that was sent at this time or later.
+    /// Whether the worker has answered a poll that was sent at `asked` or later.
     #[must_use]
     pub fn answered_since(&self, asked: Ms) -> bool {
         self.last_hold >= asked
     }
 
-    /// Its clock now, as far as we can tell; 0 if it has never been told.
+    /// Estimate of the worker's clock at `now`; 0 if it was never reported.
     #[must_use]
     pub fn clock(&self, now: Ms) -> Ms {
         if self.clock == (0, 0) {
@@ -163,7 +163,7 @@
         self.clock.0 + now.saturating_sub(self.clock.1)
     }
 
-    /// Room that is not taken.
+    /// Capacity that is not reserved.
     #[must_use]
     pub fn free(&self) -> Size {
         let (room, used) = (self.news.room, self.used);
@@ -174,7 +174,7 @@
         )
     }
 
-    /// Whether something may be started there now.
+    /// Whether a task may be started on the worker at `now`.
     #[must_use]
     pub fn takes(&self, now: Ms) -> bool {
         let unknown_strays = self.strays.values().any(|stray| stray.size.is_none());
@@ -186,11 +186,11 @@
             && !self.silent(now)
     }
 
-    /// A worker that hasn't answered a hold for this long gets nothing new: most likely it is cut off or down, and
-    /// each order would be in doubt. Holds return every 0.7 s, so this allows one to be lost.
+    /// A worker that hasn't answered a poll for this long gets no new tasks: it is most likely partitioned or down, and the
+    /// outcome of each command would be unknown. Polls return every 0.7 s, so one of them may be lost.
     pub const SILENCE: Ms = 1_600;
 
-    /// Life, applied and stored number of ends: what the next hold says.
+    /// Incarnation, number of applied ends and number of stored ends, as sent with the next poll.
     #[must_use]
     pub fn ends(&self) -> (u64, u64, u64) {
         (self.born, self.applied, self.noted)
