--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,11 +1,11 @@
-//! Decisions of the owner of one pool of workers, without network or clock.
+//! Scheduling decisions of the owner of one pool of workers, without network or clock.
 //!
-//! * [`Job`], [`Step`], [`Policy`]: what a caller asked for, as it is stored.
-//! * [`Progress`]: what must last of a job's course, as it is stored.
-//! * [`Pool`]: the live state; news goes in, [`Order`]s come out.
-//! * [`News`], [`Listing`], [`Answer`]: what workers and the directory of workers say.
-//! * [`rank`]: who goes first; [`fit`]: on which worker, [`scarce`]: by what is short; [`advice`]: which workers to ask about; [`pace`]: when
-//!   tasks that fill spare processors are slowed down.
+//! * [`Job`], [`Step`], [`Policy`]: a job as submitted and stored.
+//! * [`Progress`]: the progress of a job as stored.
+//! * [`Pool`]: the runtime state; updates go in, [`Order`]s come out.
+//! * [`News`], [`Listing`], [`Answer`]: input from the directory of workers and from the workers.
+//! * [`rank`]: the order in which steps are started; [`fit`]: the choice of a worker, [`scarce`]: by the scarcest resource;
+//!   [`advice`]: the choice of workers to ask the advisor about; [`pace`]: when best-effort tasks are slowed down.
 
 pub mod advice;
 mod answer;
--- a/crates/pool/tests/case/mod.rs
+++ b/crates/pool/tests/case/mod.rs
@@ -1,6 +1,6 @@
-//! A pool with a few workers, and what a test tells it.
+//! A pool with a few workers, and helpers to drive it.
 //!
-//! Each test file uses a part of it.
+//! Each test file uses only some of them.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 use crate::world::UNIX;
 
-/// A pool with workers that have answered, at time 1000.
+/// A pool with workers that have reported at time 1000.
 pub(crate) fn pool(workers: usize) -> Pool {
     let mut pool = Pool::new(Options::default());
     list_workers(&mut pool, workers);
--- a/crates/pool/tests/crashes.rs
+++ b/crates/pool/tests/crashes.rs
@@ -1,6 +1,6 @@
-//! Tasks that crash the workers which start them: given up after a few crashes, while work beside them goes on.
+//! Tasks that crash their workers are abandoned after a few crashes, without harm to other jobs.
 
-#[allow(dead_code, reason = "the other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod world;
 
 use pool::{State, WorkerId};
@@ -8,14 +8,14 @@
 use resource::Size;
 use world::{World, job};
 
-/// The job whose first task crashes its workers.
+/// Job whose first task crashes its workers.
 const CRASHER: &str = "00000000000000ff";
 
 fn id(at: usize) -> WorkerId {
     format!("w{at:02}").into()
 }
 
-/// A cell with this many workers, one of whose jobs crashes each worker that starts it.
+/// A cell with this many workers and one job whose first task crashes each worker that starts it.
 fn cell(seed: u64, workers: usize, replaces: bool) -> World {
     let mut world = World::new(seed, workers);
     world.replaces = replaces;
@@ -26,8 +26,8 @@
     world
 }
 
-/// Hands in a job of two steps every 300 ms for this many jobs.
-fn hand_in(world: &mut World, jobs: usize) {
+/// Submits this many jobs of two steps, one every 300 ms.
+fn submit_jobs(world: &mut World, jobs: usize) {
     for at in 0..jobs {
         world.accept(job(
             &format!("{at:016}"),
@@ -37,7 +37,7 @@
     }
 }
 
-/// All jobs but the one that crashes its workers are completed.
+/// Asserts that all jobs except the crashing one are completed.
 fn assert_others_completed(world: &World) {
     let others: Vec<&String> = world.jobs.keys().filter(|id| *id != CRASHER).collect();
     let open: Vec<_> = others
@@ -47,12 +47,13 @@
     assert!(open.is_empty(), "{open:?}");
 }
 
-/// Guards against a task that crashes its workers being started without end: a crash leaves no end that counts as an attempt.
+/// Guards against a task that crashes its workers being started again without limit: a crash reports no end, so it doesn't count
+/// as a failed run.
 #[test]
-fn a_task_that_crashes_restarting_workers_is_given_up() {
+fn a_task_that_crashes_restarting_workers_is_abandoned() {
     for seed in 0..10 {
         let mut world = cell(seed, 8, false);
-        hand_in(&mut world, 60);
+        submit_jobs(&mut world, 60);
         world.pass(60_000);
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.stored(CRASHER), Some(State::Failed), "seed {seed}");
@@ -60,12 +61,12 @@
     }
 }
 
-/// Guards against the same where a crashed worker never comes back under its id: only its lease tells that it is gone.
+/// The same for crashed workers that never return under their ids: only the expired lease shows that a worker is gone.
 #[test]
-fn a_task_that_crashes_replaced_workers_is_given_up() {
+fn a_task_that_crashes_replaced_workers_is_abandoned() {
     for seed in 20..30 {
         let mut world = cell(seed, 8, true);
-        hand_in(&mut world, 60);
+        submit_jobs(&mut world, 60);
         world.pass(60_000);
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.stored(CRASHER), Some(State::Failed), "seed {seed}");
@@ -73,7 +74,7 @@
     }
 }
 
-/// Guards against a count of crashes that is lost with the owner that made it, also while the store takes no writes.
+/// Guards against losing the number of crashes when the owner is replaced, even if the store rejects writes for some time.
 #[test]
 fn crashes_are_known_to_the_next_owner() {
     for seed in 40..60 {
@@ -100,9 +101,9 @@
     }
 }
 
-/// Guards against owners that are lost one after the other, each between a crash and its note.
+/// Guards against losing the number of crashes if every owner fails shortly after a crash, before it has recorded it.
 #[test]
-fn crashes_are_known_though_each_owner_is_lost_soon_after_one() {
+fn crashes_are_known_although_each_owner_is_lost_soon_after_one() {
     for seed in 150..160 {
         let mut world = cell(seed, 8, seed % 2 == 0);
         let mut crashes = 0;
@@ -129,7 +130,7 @@
         .collect()
 }
 
-/// Whole racks crash at random, four of twelve workers at once, after pauses of at least this long.
+/// Random power failures of racks: four of twelve workers crash together, with at least `pause` ms between two failures.
 fn crash_racks(seed: u64, pause: u64) -> World {
     let mut world = World::new(seed, 12);
     world.take();
@@ -155,9 +156,9 @@
     world
 }
 
-/// Guards against tasks being given up for crashes that they didn't cause, while racks lose power now and then.
+/// Guards against abandoning tasks for crashes that they didn't cause, while racks lose power from time to time.
 #[test]
-fn tasks_on_racks_that_crash_by_themselves_are_not_given_up() {
+fn tasks_on_racks_that_crash_on_their_own_are_not_abandoned() {
     for seed in 80..90 {
         let world = crash_racks(seed, 8_000);
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
@@ -165,9 +166,9 @@
     }
 }
 
-/// Guards against tasks being given up before two workers have crashed under them, where a rack crashes every few seconds.
+/// Guards against abandoning a task before two workers have crashed under it, where a rack crashes every few seconds.
 #[test]
-fn tasks_are_given_up_only_after_workers_crashed_under_them() {
+fn tasks_are_abandoned_only_after_workers_crashed_under_them() {
     for seed in 80..90 {
         let world = crash_racks(seed, 0);
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
@@ -181,7 +182,7 @@
     }
 }
 
-/// Guards against starts on a worker whose room has shrunk below what it runs.
+/// Guards against starting tasks on a worker whose capacity has shrunk below what it runs.
 #[test]
 fn a_worker_whose_room_has_shrunk_gets_nothing_beyond_it() {
     for seed in 120..130 {
--- a/crates/pool/tests/late_holds.rs
+++ b/crates/pool/tests/late_holds.rs
@@ -1,18 +1,18 @@
-//! Answers to holds that arrive long after they were asked for.
+//! Reports of workers that arrive late.
 
-#[allow(dead_code, reason = "other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod case;
-#[allow(dead_code, reason = "other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod world;
 
 use case::{adopt, hold, pool, run};
 use pool::Listing;
 use world::{UNIX, job};
 
-/// A worker lists what ran before a start reached it, and that answer is on its way for longer than a run may be missing. The
-/// run was taken as over and started a second time beside the first.
+/// Guards against a second start of a running task. A worker reports its runs before a start command reaches it, and the report
+/// is in transit for longer than a run may be missing. The run must not be taken as lost.
 #[test]
-fn a_listing_older_than_a_run_does_not_end_it() {
+fn a_report_older_than_a_run_does_not_end_it() {
     let mut pool = pool(3);
     adopt(
         &mut pool,
@@ -35,13 +35,13 @@
         ended: vec![],
     };
     pool.apply_listing(now, UNIX + now, &started[0].worker, &late);
-    assert_eq!(run(&mut pool, now + 1).len(), 0, "it runs already");
+    assert_eq!(run(&mut pool, now + 1).len(), 0, "it is still running");
 }
 
-/// A worker began a new life under its old id, took a start in it and had done the task when it was heard again. The run was
-/// taken as gone with the former life and started a second time.
+/// Guards against a second start of a completed task. A worker restarts under the same id, and its new incarnation receives the
+/// start command and completes the task before it reports again. The run must not be taken as lost with the earlier incarnation.
 #[test]
-fn an_end_in_a_new_life_that_was_not_known_counts() {
+fn an_end_reported_by_an_unknown_incarnation_counts() {
     let mut pool = pool(3);
     let short = job("00000000000000d2", &[(1, 1_000, 100)]);
     adopt(&mut pool, 1_000, short);
@@ -64,5 +64,5 @@
         ended: vec![end],
     };
     pool.apply_listing(1_510, UNIX + 1_510, &first.worker, &restarted);
-    assert_eq!(run(&mut pool, 1_520).len(), 0, "it is done");
+    assert_eq!(run(&mut pool, 1_520).len(), 0, "the task is done");
 }
--- a/crates/pool/tests/losses.rs
+++ b/crates/pool/tests/losses.rs
@@ -1,8 +1,8 @@
-//! What is told of runs that are over without an end.
+//! Reports of lost runs: runs that are over although no end was reported.
 
-#[allow(dead_code, reason = "the other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod case;
-#[allow(dead_code, reason = "the other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod world;
 
 use case::{adopt, hold_all, pool, run};
@@ -20,9 +20,10 @@
     pool.apply_listing(now, UNIX + now, &id.into(), &listing);
 }
 
-/// Crashes of workers could not be told from leases that were not renewed, nor a run that had just begun from an old one.
+/// Guards against losses that can't be told apart: a crash of the worker from a lease that was not renewed, and a run that had
+/// just begun from one that had run for long.
 #[test]
-fn a_lost_run_says_how_it_was_lost_and_how_long_it_ran() {
+fn a_lost_run_reports_its_cause_and_duration() {
     let mut pool = pool(2);
     adopt(
         &mut pool,
--- a/crates/pool/tests/lost_answers.rs
+++ b/crates/pool/tests/lost_answers.rs
@@ -1,19 +1,19 @@
-//! A share of the orders to workers gets no answer.
+//! Start commands whose answers are lost.
 //!
-//! Answers the load in which quick work of many tasks meets workers that leave some orders unanswered and carry them out
-//! seconds later, or not at all. One unanswered order in a step holds up the whole job.
+//! Covers quick jobs of many tasks on workers that leave some commands unanswered and carry them out seconds later, or not at
+//! all. One unanswered command in a step holds up the whole job.
 
-#[allow(dead_code, reason = "other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod case;
-#[allow(dead_code, reason = "other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod world;
 
 use case::{adopt, pool, starts};
 use pool::{Answer, Ms, Pool, Start};
 use world::{UNIX, World, job};
 
-/// Plans every 5 ms from `from` to `to`; when each order to start was given.
-fn orders(pool: &mut Pool, from: Ms, to: Ms) -> Vec<(Ms, Start)> {
+/// Runs a scheduling pass every 5 ms from `from` to `to`; returns the start commands with the times at which they were issued.
+fn start_commands(pool: &mut Pool, from: Ms, to: Ms) -> Vec<(Ms, Start)> {
     let mut given = Vec::new();
     for now in (from..to).step_by(5) {
         let planned = starts(pool.plan(now, UNIX + now));
@@ -22,29 +22,29 @@
     given
 }
 
-/// Guards against waiting for the call to fail, 450 ms, before an order is repeated: the way there and back takes a tenth of
-/// that, and a quick job has two seconds for all of its steps.
+/// Guards against repeating a command only when its call has timed out after 450 ms. A round trip takes a tenth of that, and a
+/// quick job has two seconds for all of its steps.
 #[test]
-fn an_order_is_repeated_when_its_answer_is_overdue() {
+fn a_command_is_repeated_when_its_answer_is_overdue() {
     let mut pool = pool(1);
     adopt(&mut pool, 1_000, job("00000000000000q1", &[(1, 100, 500)]));
-    let first = orders(&mut pool, 1_000, 1_010);
+    let first = start_commands(&mut pool, 1_000, 1_010);
     pool.answered(1_045, &first[0].1, Answer::Running);
     adopt(&mut pool, 2_000, job("00000000000000q2", &[(1, 100, 500)]));
-    let given = orders(&mut pool, 2_000, 2_300);
-    assert!(given.len() > 1, "the order is repeated: {given:?}");
+    let given = start_commands(&mut pool, 2_000, 2_300);
+    assert!(given.len() > 1, "the command is repeated: {given:?}");
     assert_eq!(given[0].1.task, given[1].1.task);
     assert_eq!(given[0].1.run, given[1].1.run, "the same run");
     let waited = given[1].0 - given[0].0;
     assert!((60..=200).contains(&waited), "after {waited} ms");
 }
 
-/// Guards against copies at a fixed pace: a worker that is down would get one for each task every few milliseconds.
+/// Guards against copies at a fixed interval: a worker that is down would receive one for each task every few milliseconds.
 #[test]
-fn copies_of_an_order_come_at_growing_intervals() {
+fn copies_of_a_command_are_sent_at_growing_intervals() {
     let mut pool = pool(1);
     adopt(&mut pool, 1_000, job("00000000000000q1", &[(1, 100, 500)]));
-    let times: Vec<Ms> = orders(&mut pool, 1_000, 2_400)
+    let times: Vec<Ms> = start_commands(&mut pool, 1_000, 2_400)
         .into_iter()
         .map(|(at, _)| at)
         .collect();
@@ -53,26 +53,26 @@
     assert!(gaps.windows(2).all(|pair| pair[1] > pair[0]), "{gaps:?}");
     assert!(
         times.iter().all(|at| *at < 2_000),
-        "none after its last moment: {times:?}"
+        "none after its deadline: {times:?}"
     );
 }
 
-/// A copy was refused for want of room while the first may still be carried out: the run is stopped before its task starts
-/// elsewhere, or it would run twice.
+/// Guards against running a task twice: a copy of the command is refused for lack of capacity while the first one may still be
+/// carried out. The run must be stopped before the task starts elsewhere.
 #[test]
 fn a_refused_copy_does_not_free_the_task() {
     let mut pool = pool(2);
     adopt(&mut pool, 1_000, job("00000000000000q1", &[(1, 100, 500)]));
-    let given = orders(&mut pool, 1_000, 1_300);
+    let given = start_commands(&mut pool, 1_000, 1_300);
     assert!(given.len() > 1);
     pool.answered(1_300, &given[0].1, Answer::Room);
-    assert_eq!(orders(&mut pool, 1_300, 1_500).len(), 0);
+    assert_eq!(start_commands(&mut pool, 1_300, 1_500).len(), 0);
 }
 
-/// Sixty quick jobs of ten tasks, of whose orders one in fifteen gets no answer and is carried out late if at all. The answer
-/// of a worker takes 10 ms, so one lost order may cost some 100 ms of the objective of a job.
+/// Guards against lost answers that delay quick jobs: of sixty jobs of ten tasks, one command in fifteen gets no answer and is
+/// carried out late or not at all. A worker answers within 10 ms, so one lost command may cost a job about 100 ms.
 #[test]
-fn lost_orders_cost_quick_jobs_little() {
+fn lost_answers_delay_quick_jobs_little() {
     let mut world = World::new(7, 20);
     world.weather.late = 0.065;
     world.take();
--- a/crates/pool/tests/suspects.rs
+++ b/crates/pool/tests/suspects.rs
@@ -1,8 +1,8 @@
-//! Where tasks start that may have crashed a worker, and what is held against them.
+//! Placement and crash records of tasks that may have crashed their workers.
 
-#[allow(dead_code, reason = "the other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod case;
-#[allow(dead_code, reason = "the other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod world;
 
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 };
 use world::{UNIX, job};
 
-/// Stores all that is to be stored; tells the progress of the last job in it.
+/// Stores all pending progress; returns the progress of the last job in the batch.
 fn store(pool: &mut Pool) -> Option<Progress> {
     let batch = pool.batch(80);
     pool.saved(&batch);
     batch.rows.last().map(|(_, progress)| progress.clone())
 }
 
-/// The worker of a start answers in a new life.
+/// The worker of a start command reports with a new incarnation.
 fn restart(pool: &mut Pool, now: Ms, start: &Start, life: u64) {
     let listing = Listing {
         clock: 10 + now % 100,
@@ -33,7 +33,7 @@
     pool.apply_listing(now, UNIX + now, &start.worker, &listing);
 }
 
-/// A worker answers in its present life: nothing runs there, and this has ended.
+/// A worker reports with its current incarnation: it has no runs, and these have ended.
 fn answer(pool: &mut Pool, now: Ms, id: &WorkerId, ended: Vec<End>) {
     let listing = Listing {
         clock: now + 50_000,
@@ -46,7 +46,7 @@
     pool.apply_listing(now, UNIX + now, id, &listing);
 }
 
-/// All workers but that of the start answer.
+/// All workers except the one of this start command report.
 fn others_answer(pool: &mut Pool, now: Ms, but: &Start) {
     let ids: Vec<_> = pool.workers().map(|worker| worker.id.clone()).collect();
     for id in ids.into_iter().filter(|id| *id != but.worker) {
@@ -54,8 +54,9 @@
     }
 }
 
-/// Starts a job and lets each worker that starts its first task crash, until nothing is started any more.
-fn crash_until_given_up(pool: &mut Pool, task: Job) -> usize {
+/// Submits a job and crashes each worker that starts its first task, until nothing is started any more; returns the number of
+/// crashes.
+fn crash_until_abandoned(pool: &mut Pool, task: Job) -> usize {
     let id = Arc::clone(&task.id);
     adopt(pool, 1_000, task);
     let mut now = 1_000;
@@ -80,23 +81,23 @@
     6
 }
 
-/// Guards against lasting tasks being restarted without end where they crash their workers.
+/// Guards against restarting a long-running task without limit if it crashes its workers.
 #[test]
-fn a_lasting_task_that_crashes_its_workers_is_given_up() {
+fn a_long_running_task_that_crashes_its_workers_is_abandoned() {
     let mut lasting = job("00000000000000l1", &[(1, 500, 100)]);
     lasting.steps[0].lasting = true;
-    assert_eq!(crash_until_given_up(&mut pool(6), lasting), 3);
+    assert_eq!(crash_until_abandoned(&mut pool(6), lasting), 3);
 }
 
-/// Guards against a gang being started without end where one member crashes its worker.
+/// Guards against starting a gang without limit if one member crashes its worker.
 #[test]
-fn a_gang_whose_member_crashes_its_worker_is_given_up() {
+fn a_gang_whose_member_crashes_its_worker_is_abandoned() {
     let mut gang = job("00000000000000g1", &[(3, 3_000, 500)]);
     gang.steps[0].gang = true;
-    assert_eq!(crash_until_given_up(&mut pool(8), gang), 3);
+    assert_eq!(crash_until_abandoned(&mut pool(8), gang), 3);
 }
 
-/// Guards against neighbours that share the blame again: what one worker lost is started on different ones.
+/// Guards against sharing the blame again: tasks that were lost together are started on different workers.
 #[test]
 fn tasks_that_were_lost_together_start_on_different_workers() {
     let mut pool = pool(4);
@@ -119,7 +120,7 @@
     assert_eq!(places.len(), 4);
 }
 
-/// Hands in a job of one task and lets two workers crash under it; tells when.
+/// Submits a job of one task and crashes two workers under it; returns the time after that.
 fn crash_twice(pool: &mut Pool) -> Ms {
     adopt(pool, 1_000, job("00000000000000a1", &[(1, 900, 5_000)]));
     let mut now = 1_000;
@@ -132,10 +133,10 @@
     now
 }
 
-/// A task that has crashed two workers is started; then another job comes.
+/// Starts a task that has crashed two workers, then a task of another job.
 fn third_start(pool: &mut Pool) -> (Start, Start) {
     let now = crash_twice(pool);
-    assert!(run(pool, now).is_empty(), "it isn't stored yet");
+    assert!(run(pool, now).is_empty(), "the start isn't stored yet");
     drop(store(pool));
     let third = run(pool, now + 10).remove(0);
     adopt(pool, now + 20, job("00000000000000b1", &[(1, 900, 5_000)]));
@@ -143,7 +144,7 @@
     (third, other)
 }
 
-/// Guards against further neighbours of a task that has crashed two workers.
+/// Guards against starting other tasks next to a task that has crashed two workers.
 #[test]
 fn nothing_is_started_beside_a_task_that_crashed_two_workers() {
     let (third, other) = third_start(&mut pool(4));
@@ -151,15 +152,15 @@
     assert_ne!(third.worker, other.worker);
 }
 
-/// Guards against starts that the next owner doesn't count: the owner may be lost together with the worker.
+/// Guards against a start that the next owner doesn't count, because the owner is lost together with the worker.
 #[test]
-fn the_third_start_is_stored_before_it_is_ordered() {
+fn the_third_start_is_stored_before_its_command_is_sent() {
     let mut pool = pool(4);
     let now = crash_twice(&mut pool);
     for wait in 0..20 {
         assert!(
             run(&mut pool, now + wait * 50).is_empty(),
-            "while it isn't stored"
+            "the start isn't stored yet"
         );
     }
     let stored = store(&mut pool).expect("there is something to store");
@@ -173,9 +174,9 @@
     assert_eq!(next.state("00000000000000a1"), Some(State::Failed));
 }
 
-/// Guards against orders that are carried out by the next life of the worker that they crashed.
+/// Guards against repeated commands that are carried out by the next incarnation of a worker that the task has crashed.
 #[test]
-fn an_order_of_a_suspect_is_not_repeated() {
+fn a_command_for_a_suspect_is_not_repeated() {
     let mut pool = pool(4);
     adopt(
         &mut pool,
@@ -193,9 +194,9 @@
     }
 }
 
-/// Guards against a worker that was only cut off being taken for one that crashed under its tasks.
+/// Guards against taking a partitioned worker for one that crashed.
 #[test]
-fn an_end_that_is_listed_later_takes_the_note_back() {
+fn an_end_that_is_reported_later_clears_the_crash_record() {
     let mut pool = pool(4);
     adopt(
         &mut pool,
@@ -223,9 +224,9 @@
     assert!(!crashed);
 }
 
-/// Guards against suspects that stay suspects: a task that has run for long did not crash its worker.
+/// Guards against suspects that are never cleared: a task that has run for a long time did not crash its worker.
 #[test]
-fn a_task_that_runs_on_is_no_suspect() {
+fn a_task_that_has_run_for_long_is_no_suspect() {
     let mut pool = pool(4);
     adopt(
         &mut pool,
@@ -247,10 +248,10 @@
     assert!(noted.open[0].steps[0].crashed.is_empty());
 }
 
-/// Guards against a crash that no owner notes: the worker falls silent under one and has restarted before the next one
-/// reaches it.
+/// Guards against a crash that no owner records: the worker stops answering under one owner and has restarted before the next
+/// owner reaches it.
 #[test]
-fn a_silent_worker_that_restarts_before_the_next_owner_comes_has_crashed() {
+fn an_unavailable_worker_that_restarts_before_the_next_owner_reaches_it_has_crashed() {
     let mut former = pool(4);
     adopt(
         &mut former,
@@ -277,7 +278,7 @@
     assert_eq!(stored.open[0].steps[0].crashed, vec![(0, vec![1])]);
 }
 
-/// How many workers a task crashes before it is given up, if its orders are answered like this.
+/// Number of workers that a task crashes before it is abandoned, if all its start commands get this answer.
 fn crashes_with_answer(answer: Answer) -> usize {
     let mut pool = pool(8);
     adopt(
@@ -326,25 +327,29 @@
     8
 }
 
-/// Guards against tasks being given up for orders that met workers which were gone already: only the third start is made on
-/// one that surely lives.
+/// Guards against abandoning a task for commands that were sent to workers that were down already: without an answer, only the
+/// third start is made on a worker that is certainly up.
 #[test]
-fn orders_that_time_out_prove_no_crash() {
+fn commands_that_time_out_prove_no_crash() {
     assert_eq!(crashes_with_answer(Answer::Running), 3);
-    assert_eq!(crashes_with_answer(Answer::Cut), 3, "it lived until then");
+    assert_eq!(
+        crashes_with_answer(Answer::Cut),
+        3,
+        "the connection shows that it was up"
+    );
     assert_eq!(crashes_with_answer(Answer::Lost), 4);
 }
 
-/// The stored crash notes of the only task of a job.
-fn notes(pool: &mut Pool) -> Vec<(u32, Vec<u32>)> {
+/// Stored crash records of the only task of a job.
+fn crash_records(pool: &mut Pool) -> Vec<(u32, Vec<u32>)> {
     store(pool).map_or_else(Vec::new, |progress| {
         progress.open[0].steps[0].crashed.clone()
     })
 }
 
-/// Guards against notes for runs that had outlived their start long before their worker crashed.
+/// Guards against records for runs that were well past their start when their worker crashed.
 #[test]
-fn a_task_that_had_run_for_long_is_not_held_responsible() {
+fn a_run_past_its_start_is_not_blamed_for_a_crash() {
     let mut pool = pool(4);
     adopt(
         &mut pool,
@@ -354,10 +359,10 @@
     let first = run(&mut pool, 1_000);
     hold_all(&mut pool, 3_500, &first);
     restart(&mut pool, 4_000, &first[0], 1);
-    assert!(notes(&mut pool).is_empty());
+    assert!(crash_records(&mut pool).is_empty());
 }
 
-/// Guards against notes for runs on workers that said they would leave.
+/// Guards against records for runs on workers that announced that they would leave.
 #[test]
 fn a_worker_that_leaves_has_not_crashed() {
     let mut pool = pool(4);
@@ -379,12 +384,12 @@
         drop(pool.plan(now, UNIX + now));
     }
     assert_eq!(pool.take_lost_runs().len(), 1);
-    assert!(notes(&mut pool).is_empty());
+    assert!(crash_records(&mut pool).is_empty());
 }
 
-/// Guards against a third start on a worker that was lost in the same event as the one before.
+/// Guards against a third start on a worker that was lost in the same event as the previous one.
 #[test]
-fn the_third_start_is_made_on_a_worker_that_surely_lives() {
+fn the_third_start_is_made_on_a_worker_that_is_certainly_up() {
     let mut pool = pool(4);
     adopt(
         &mut pool,
@@ -400,7 +405,7 @@
     drop(store(&mut pool));
     assert!(
         run(&mut pool, 3_020).is_empty(),
-        "no other has answered since"
+        "no other worker has reported since"
     );
     let alive = pool
         .workers()
--- a/crates/pool/tests/timeline.rs
+++ b/crates/pool/tests/timeline.rs
@@ -1,21 +1,21 @@
-//! What the log is told of the courses of steps and jobs.
+//! Summaries of completed steps and jobs for the log.
 
-#[allow(dead_code, reason = "other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod case;
-#[allow(dead_code, reason = "other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod world;
 
 use case::{adopt, end, hold, pool, run};
 use pool::{How, State};
 use world::job;
 
-/// Guards against a step of which the log can't say what it waited for: one line has to tell turn, starts and end.
+/// Guards against a log that doesn't show what a step waited for: one summary must hold the times of opening, starts and end.
 #[test]
-fn a_step_tells_when_it_started_and_ended() {
+fn a_step_summary_has_its_start_and_end_times() {
     let mut pool = pool(1);
     adopt(&mut pool, 1_000, job("00000000000000q1", &[(2, 100, 500)]));
     let started = run(&mut pool, 1_010);
-    assert!(pool.take_steps_done().is_empty(), "nothing is done yet");
+    assert!(pool.take_steps_done().is_empty(), "no step is complete yet");
     let ends = vec![
         end(&started[0], 1, How::Done),
         end(&started[1], 2, How::Done),
@@ -27,24 +27,24 @@
     assert_eq!(steps[0].first_start, Some(10));
     assert_eq!(steps[0].done, 600);
     assert_eq!(steps[0].asked, None, "no advisor is needed");
-    assert!(pool.take_steps_done().is_empty(), "it is told once");
+    assert!(pool.take_steps_done().is_empty(), "reported only once");
 }
 
-/// Guards against a job whose final state is told before it is stored, or twice.
+/// Guards against a job whose final state is reported before it is stored, or twice.
 #[test]
-fn a_job_is_told_once_its_final_state_is_stored() {
+fn a_job_is_reported_once_after_its_final_state_is_stored() {
     let mut pool = pool(1);
     adopt(&mut pool, 1_000, job("00000000000000q1", &[(1, 100, 500)]));
     let started = run(&mut pool, 1_010);
     let ends = vec![end(&started[0], 1, How::Done)];
     hold(&mut pool, 1_600, &started[0].worker, vec![], ends);
-    assert!(pool.take_jobs_done().is_empty(), "it is not stored");
+    assert!(pool.take_jobs_done().is_empty(), "not stored yet");
     let batch = pool.batch(80);
     pool.saved(&batch);
     pool.saved(&batch);
     let jobs = pool.take_jobs_done();
     assert_eq!(jobs.len(), 1);
     assert_eq!(jobs[0].state, State::Completed);
-    // Twice its work and half a second; the work is corrected a little by what the task took.
+    // Twice the estimated work plus 500 ms; the estimate is corrected slightly by the observed run time.
     assert!((1_490..=1_510).contains(&jobs[0].objective), "{jobs:?}");
 }
