--- a/crates/host/src/outside.rs
+++ b/crates/host/src/outside.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use pool::{Answer, Listing, Ms, News, Pace, StageKey, Start, Stop, StopAnswer, WorkerId};
+use pool::{
+    Ms, Pace, StageKey, Start, StartAnswer, Stop, StopAnswer, WorkerId, WorkerInfo, WorkerReport,
+};
 use snafu::Snafu;
 
 use crate::catalog::Catalog;
@@ -156,7 +158,7 @@
 #[async_trait]
 pub trait Workers: Send + Sync {
     /// Starts a task.
-    async fn start(&self, address: &str, epoch: u64, start: &Start) -> Answer;
+    async fn start(&self, address: &str, epoch: u64, start: &Start) -> StartAnswer;
 
     /// Stops a run.
     async fn stop(&self, address: &str, epoch: u64, stop: &Stop) -> StopAnswer;
@@ -177,7 +179,7 @@
         lease: Option<Ms>,
         noted: u64,
         wait: Duration,
-    ) -> Result<Listing, HoldFailure>;
+    ) -> Result<WorkerReport, HoldFailure>;
 }
 
 /// Workers that may run a step, each with its ticket, and how long the tickets hold.
@@ -197,5 +199,5 @@
     fn catalog(&self, value: &[u8]) -> Option<Catalog>;
 
     /// A worker; `None` if the row names none.
-    fn worker(&self, key: &str, value: &[u8]) -> Option<News>;
+    fn worker(&self, key: &str, value: &[u8]) -> Option<WorkerInfo>;
 }
--- a/crates/host/src/owner.rs
+++ b/crates/host/src/owner.rs
@@ -13,7 +13,7 @@
 
 use log::{info, warn};
 use pool::repeat::Budget;
-use pool::{GivenUp, LostRun, Mechanism, Ms, Order, Pool, StepTimes, WorkerId};
+use pool::{AbandonedTask, LostRun, Mechanism, Ms, Order, Pool, StepTimes, WorkerId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::JoinSet;
@@ -181,7 +181,7 @@
     async fn work(self: Arc<Self>, claim: Claim, former: Vec<String>, version: u64) {
         let began = clock::now();
         self.read_to.store(version, Ordering::Relaxed);
-        lock(&self.pool).set_partial(began, true);
+        lock(&self.pool).set_jobs_incomplete(began, true);
         let wait = if self.host.has(Mechanism::PartialJobs) {
             JOBS_WAIT
         } else {
@@ -208,7 +208,7 @@
                 let took = clock::now().saturating_sub(began);
                 info!(pool = self.number, epoch = self.epoch, ms = took; "all jobs are known");
             }
-            lock(&self.pool).set_partial(clock::now(), false);
+            lock(&self.pool).set_jobs_incomplete(clock::now(), false);
             self.loaded.store(true, Ordering::Relaxed);
         };
         let parts: Vec<String> = job_parts().collect();
@@ -266,11 +266,11 @@
                 let orders = pool.plan(clock::now(), clock::unix());
                 (
                     orders,
-                    pool.unsaved(),
+                    pool.has_unstored(),
                     pool.deposed(),
                     pool.take_steps_done(),
                     pool.take_lost_runs(),
-                    pool.take_given_up(),
+                    pool.take_abandoned_tasks(),
                 )
             };
             let took = began.elapsed();
@@ -319,15 +319,15 @@
 
     fn tell_unseen(&self) {
         let pool = lock(&self.pool);
-        if let Some(first) = pool.unseen().first() {
-            let (count, proved) = (pool.unseen().len(), pool.proved(clock::now()));
+        if let Some(first) = pool.unconfirmed_workers().first() {
+            let (count, proved) = (pool.unconfirmed_workers().len(), pool.proved(clock::now()));
             warn!(epoch = self.epoch, workers = count, first = &**first, majority = proved; "inherited jobs wait for workers");
         }
     }
 
     fn address(&self, id: &str) -> Option<String> {
         let pool = lock(&self.pool);
-        pool.worker(id).map(|worker| worker.news.address.clone())
+        pool.worker(id).map(|worker| worker.info.address.clone())
     }
 
     /// Carries an order out, beside others.
@@ -348,7 +348,7 @@
                         .increment(1);
                     let key = &start.task;
                     let in_full = start.crashes > 0 || is_told_in_full(&key.stage.job);
-                    if answer != pool::Answer::Running || in_full {
+                    if answer != pool::StartAnswer::Running || in_full {
                         info!(
                             job = &*key.stage.job, occurrence = key.stage.occurrence, step = key.stage.step,
                             task = key.index, run = start.run, worker = &*start.worker, epoch = epoch,
@@ -356,8 +356,8 @@
                             "start"
                         );
                     }
-                    lock(&owner.pool).answered(now, &start, answer);
-                    if answer != pool::Answer::Running {
+                    lock(&owner.pool).start_answered(now, &start, answer);
+                    if answer != pool::StartAnswer::Running {
                         owner.wake.notify_one();
                     }
                 });
@@ -375,7 +375,7 @@
                         why = stop.why, outcome:? = answer;
                         "stop"
                     );
-                    lock(&owner.pool).stopped(clock::now(), &stop, answer);
+                    lock(&owner.pool).stop_answered(clock::now(), &stop, answer);
                 });
             }
             Order::Pace(pace) => {
@@ -427,7 +427,7 @@
 }
 
 /// Logs and counts a task that was given up because its runs crashed their workers.
-fn log_given_up(given_up: &GivenUp) {
+fn log_given_up(given_up: &AbandonedTask) {
     metrics::counter!("lentilyoke_tasks_given_up_total").increment(1);
     let key = &given_up.task;
     warn!(
--- a/crates/host/src/owner/advice.rs
+++ b/crates/host/src/owner/advice.rs
@@ -106,7 +106,7 @@
             );
         }
         let rows = allowed.map(|(rows, valid)| (rows.as_slice(), *valid));
-        lock(&self.pool).advised(clock::now(), ask, rows);
+        lock(&self.pool).advisor_answered(clock::now(), ask, rows);
         self.wake.notify_one();
     }
 
--- a/crates/host/src/owner/directory.rs
+++ b/crates/host/src/owner/directory.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use log::{info, warn};
-use pool::{Ms, News, WorkerId};
+use pool::{Ms, WorkerId, WorkerInfo};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::Owner;
@@ -30,7 +30,7 @@
     /// Workers of other pools. A worker stays in its rack and a rack in its pool, so their rows need not be read.
     foreign: FxHashSet<WorkerId>,
     /// Workers whose rack has no pool yet.
-    homeless: FxHashMap<WorkerId, News>,
+    homeless: FxHashMap<WorkerId, WorkerInfo>,
     /// Rack of each worker of the deployment; kept by the owner of pool 0 alone.
     racks: FxHashMap<WorkerId, String>,
     /// When a worker without a pool was seen first, and last.
@@ -55,7 +55,7 @@
     }
 
     /// The store lists a worker.
-    pub(super) fn found(self: &Arc<Self>, now: Ms, id: WorkerId, news: News) {
+    pub(super) fn found(self: &Arc<Self>, now: Ms, id: WorkerId, news: WorkerInfo) {
         let rack = rack_of(&news.rack, &id);
         let home = self.host.plan().pool_of(&rack);
         let mut directory = lock(&self.directory);
@@ -97,7 +97,7 @@
     }
 
     /// A worker of this pool: holds it from now on.
-    fn take_up(self: &Arc<Self>, now: Ms, id: WorkerId, news: News) {
+    fn take_up(self: &Arc<Self>, now: Ms, id: WorkerId, news: WorkerInfo) {
         lock(&self.pool).listed(now, &id, news);
         if lock(&self.sessions).insert(Arc::clone(&id)) {
             let owner = Arc::clone(self);
@@ -129,7 +129,7 @@
     /// Takes up workers whose rack has got a pool.
     fn house(self: &Arc<Self>) {
         let plan = self.host.plan();
-        let housed: Vec<(WorkerId, News)> = {
+        let housed: Vec<(WorkerId, WorkerInfo)> = {
             let mut directory = lock(&self.directory);
             if directory.homeless.is_empty() {
                 return;
--- a/crates/host/src/owner/members.rs
+++ b/crates/host/src/owner/members.rs
@@ -203,7 +203,10 @@
 
     /// How many workers the pool has.
     fn workers(&self) -> u32 {
-        let listed = lock(&self.pool).workers().filter(|it| it.listed).count() as u32;
+        let listed = lock(&self.pool)
+            .workers()
+            .filter(|it| it.registered)
+            .count() as u32;
         listed.max(self.host.plan().size(self.number))
     }
 
--- a/crates/host/src/route.rs
+++ b/crates/host/src/route.rs
@@ -73,7 +73,7 @@
     let homes = job
         .steps
         .iter()
-        .flat_map(|step| [step.near.as_str(), step.label.as_str()]);
+        .flat_map(|step| [step.data_rack.as_str(), step.label.as_str()]);
     if let Some(pool) = homes.filter_map(|rack| plan.pool_of(rack)).next() {
         return pool;
     }
--- a/crates/host/src/rows.rs
+++ b/crates/host/src/rows.rs
@@ -126,7 +126,7 @@
     /// waits until it has heard from them, or until their leases have lapsed.
     pub roster: Vec<String>,
     /// Workers that can't be reached, with what may run there. A new owner holds back only these tasks.
-    pub silent: Vec<pool::Silent>,
+    pub silent: Vec<pool::UnavailableWorker>,
 }
 
 impl RosterRow {
@@ -137,7 +137,7 @@
     pub(crate) fn new(
         serial: u64,
         roster: impl IntoIterator<Item = String>,
-        silent: Vec<pool::Silent>,
+        silent: Vec<pool::UnavailableWorker>,
         most: usize,
     ) -> Self {
         let mut row = Self {
--- a/crates/host/src/session.rs
+++ b/crates/host/src/session.rs
@@ -9,7 +9,7 @@
 
 use futures::future::BoxFuture;
 use log::{info, warn};
-use pool::{How, Listing, Mechanism, Ms, WorkerId};
+use pool::{Mechanism, Ms, RunOutcome, WorkerId, WorkerReport};
 
 use crate::clock;
 use crate::hedge::{Call, Hedge, Outcome};
@@ -51,7 +51,7 @@
     asked: Ms,
     /// Life, applied and noted number of ends as they were known then.
     ends: (u64, u64, u64),
-    outcome: Result<Listing, HoldFailure>,
+    outcome: Result<WorkerReport, HoldFailure>,
 }
 
 async fn hold(owner: &Arc<Owner>, id: &WorkerId) {
@@ -64,7 +64,7 @@
             let Some(worker) = pool.worker(id) else {
                 return;
             };
-            (worker.news.address.clone(), worker.ends())
+            (worker.info.address.clone(), worker.end_cursor())
         };
         if ends.1 > ends.2 {
             let gather = lock(&owner.pool).gather(id);
@@ -72,19 +72,19 @@
             let stored = owner.stored.notified();
             let noted = lock(&owner.pool)
                 .worker(id)
-                .is_some_and(|worker| worker.ends().1 <= worker.ends().2);
+                .is_some_and(|worker| worker.end_cursor().1 <= worker.end_cursor().2);
             if !noted {
                 drop(tokio::time::timeout(STORED, stored).await);
             }
             match lock(&owner.pool).worker(id) {
-                Some(worker) => ends = worker.ends(),
+                Some(worker) => ends = worker.end_cursor(),
                 None => return,
             }
         }
         let asked = clock::now();
         let (lease, responsive) = {
             let mut pool = lock(&owner.pool);
-            let lease = pool.holding(asked, id);
+            let lease = pool.extend_lease(asked, id);
             (
                 lease,
                 pool.worker(id).is_some_and(pool::Worker::is_responsive),
@@ -234,13 +234,13 @@
 }
 
 /// Takes what a worker lists.
-fn take(owner: &Owner, id: &WorkerId, ends: (u64, u64, u64), asked: Ms, mut listing: Listing) {
-    listing.asked = asked;
+fn take(owner: &Owner, id: &WorkerId, ends: (u64, u64, u64), asked: Ms, mut listing: WorkerReport) {
+    listing.requested_at = asked;
     // An answer that came meanwhile may have told of some of them.
     let told = lock(&owner.pool)
         .worker(id)
-        .map_or(ends, |worker| worker.ends().max(ends));
-    let same_life = listing.born == told.0;
+        .map_or(ends, |worker| worker.end_cursor().max(ends));
+    let same_life = listing.incarnation == told.0;
     for end in listing
         .ended
         .iter()
@@ -251,8 +251,8 @@
     let (now, unix) = (clock::now(), clock::unix());
     let news = {
         let mut pool = lock(&owner.pool);
-        pool.apply_listing(now, unix, id, &listing);
-        pool.unsaved()
+        pool.apply_report(now, unix, id, &listing);
+        pool.has_unstored()
     };
     owner.wake.notify_one();
     if news {
@@ -262,13 +262,13 @@
 
 /// Logs and counts an end that a worker lists for the first time. An end that is not good says more than a good one, of
 /// which there are hundreds a second.
-fn tell_end(id: &WorkerId, end: &pool::End) {
-    metrics::counter!("lentilyoke_ends_total", "how" => end.how.name()).increment(1);
+fn tell_end(id: &WorkerId, end: &pool::RunEnd) {
+    metrics::counter!("lentilyoke_ends_total", "how" => end.outcome.name()).increment(1);
     let key = &end.task;
-    if end.how != How::Done || is_told_in_full(&key.stage.job) {
+    if end.outcome != RunOutcome::Done || is_told_in_full(&key.stage.job) {
         info!(
             job = &*key.stage.job, occurrence = key.stage.occurrence, step = key.stage.step,
-            task = key.index, run = end.run, worker = &**id, how = end.how.name();
+            task = key.index, run = end.run, worker = &**id, how = end.outcome.name();
             "end"
         );
     }
--- a/crates/host/src/writer.rs
+++ b/crates/host/src/writer.rs
@@ -53,7 +53,7 @@
         }
         if old.is_empty() && swept.elapsed() > SWEEP {
             swept = tokio::time::Instant::now();
-            old = lock(&owner.pool).sweep(clock::unix());
+            old = lock(&owner.pool).remove_expired_jobs(clock::unix());
             old = forget(owner, &old).await;
         }
         if !unsure && owner.host().plan().pools() > 1 {
@@ -64,7 +64,7 @@
             }
         }
         for (_, batch) in held.extract_if(.., |(since, _)| since.elapsed() > REJECTED_PAUSE) {
-            lock(&owner.pool).failed(&batch);
+            lock(&owner.pool).batch_failed(&batch);
         }
         let (mut batch, roster, silent) = {
             let now = clock::now();
@@ -89,7 +89,7 @@
         if batch.rows.is_empty() && !roster_changed && !unsure && old.is_empty() {
             rows_most = rows_most.max(1);
             // Ends that change nothing may be forgotten at once.
-            lock(&owner.pool).saved(&batch);
+            lock(&owner.pool).batch_stored(&batch);
             owner.stored.notify_waiters();
             // A silent worker that the roster names may be heard again.
             if enroll(owner, &claim) {
@@ -130,7 +130,7 @@
                 rows_most = (rows_most * 2).clamp(1, ROWS_MOST);
                 old.drain(..deletes);
                 *lock(&owner.unserved) = None;
-                lock(&owner.pool).saved(&batch);
+                lock(&owner.pool).batch_stored(&batch);
                 tell_jobs(owner);
                 enroll(owner, &claim);
                 owner.stored.notify_waiters();
@@ -173,7 +173,7 @@
                 tokio::time::sleep(PAUSE).await;
             }
         }
-        lock(&owner.pool).failed(&batch);
+        lock(&owner.pool).batch_failed(&batch);
         owner.dirty.notify_one();
     }
 }
--- a/crates/host/tests/route.rs
+++ b/crates/host/tests/route.rs
@@ -110,7 +110,7 @@
         .push("big".to_owned());
     for id in 0..50 {
         let near = Step {
-            near: "r1".to_owned(),
+            data_rack: "r1".to_owned(),
             ..Step::default()
         };
         assert_eq!(
--- a/crates/pool/src/advice.rs
+++ b/crates/pool/src/advice.rs
@@ -10,7 +10,7 @@
 
 use rustc_hash::FxBuildHasher;
 
-use crate::job::Advice;
+use crate::job::AdvisorPolicy;
 use crate::task::{Ms, WorkerId};
 
 /// A worker that could be asked about.
@@ -32,9 +32,9 @@
 
 /// How many workers may be named in any case: together they add little to the fixed time of a question.
 #[must_use]
-pub fn cheap(advice: &Advice) -> usize {
-    if advice.each > 0.0 {
-        (advice.base * CHEAP / advice.each) as usize
+pub fn cheap(advice: &AdvisorPolicy) -> usize {
+    if advice.per_worker_ms > 0.0 {
+        (advice.base_ms * CHEAP / advice.per_worker_ms) as usize
     } else {
         usize::MAX
     }
@@ -42,8 +42,8 @@
 
 /// Time that a question about this many workers takes.
 #[must_use]
-pub fn takes(advice: &Advice, workers: usize) -> Ms {
-    (advice.base + advice.each * workers as f64) as Ms
+pub fn takes(advice: &AdvisorPolicy, workers: usize) -> Ms {
+    (advice.base_ms + advice.per_worker_ms * workers as f64) as Ms
 }
 
 /// What a question is for.
--- a/crates/pool/src/answer.rs
+++ b/crates/pool/src/answer.rs
@@ -4,7 +4,7 @@
 
 /// Outcome of a start command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Answer {
+pub enum StartAnswer {
     /// The run is in progress.
     Running,
     /// The worker has accepted an owner with a higher epoch.
@@ -21,7 +21,7 @@
     Unreadable,
     /// The worker reported itself unhealthy and did nothing.
     Unwell,
-    /// The worker is not at this address; nothing was done.
+    /// The worker could not be reached, or another process answered at its address; nothing was done.
     Away,
     /// No answer in time: the task may be running or may still start.
     Lost,
@@ -29,7 +29,7 @@
     Cut,
 }
 
-impl Answer {
+impl StartAnswer {
     /// Short name for logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
--- a/crates/pool/src/ask.rs
+++ b/crates/pool/src/ask.rs
@@ -7,7 +7,7 @@
 
 use crate::advice::{self, Choice, Wanted, choose};
 use crate::fit;
-use crate::job::{Advice, Job, Step};
+use crate::job::{AdvisorPolicy, Job, Step};
 use crate::mechanism::Mechanism;
 use crate::order::{Ask, Order};
 use crate::place::TICKET_SLACK;
@@ -44,7 +44,7 @@
         overdue.sort();
         let lasts = |key: &StageKey| {
             let live = self.jobs.get(&key.job);
-            live.is_some_and(|live| live.job.lasting())
+            live.is_some_and(|live| live.job.is_long_running())
         };
         let (lasting, others): (Vec<_>, Vec<_>) =
             overdue.into_iter().partition(|(_, key)| lasts(key));
@@ -84,10 +84,12 @@
         self.jobs.get(&key.job)?.job.policy.advice?;
         let stage = self.stage(key)?;
         let mut tickets = stage.advised.allowed.values();
-        if stage.advised.asking.is_some() || tickets.any(|it| it.until > now + TICKET_SLACK) {
+        if stage.advised.query_since.is_some()
+            || tickets.any(|it| it.valid_until > now + TICKET_SLACK)
+        {
             return None;
         }
-        stage.opened.max(stage.advised.asked)
+        stage.opened.max(stage.advised.last_query)
     }
 
     /// Asks the advisor about workers with room for tasks that could not be placed.
@@ -136,7 +138,12 @@
         let cheap = self.cheap(&advice).max(1);
         let takes = advice::takes(&advice, cheap);
         let lasts = |until: Ms| until > now + takes + TICKET_SLACK;
-        if stage.advised.allowed.values().any(|it| lasts(it.until)) {
+        if stage
+            .advised
+            .allowed
+            .values()
+            .any(|it| lasts(it.valid_until))
+        {
             return;
         }
         let choices = self.choices(now, key, job, step, step.count);
@@ -152,7 +159,7 @@
     }
 
     /// How many workers a question names in any case.
-    fn cheap(&self, advice: &Advice) -> usize {
+    fn cheap(&self, advice: &AdvisorPolicy) -> usize {
         if self.has(Mechanism::AdviceCheap) {
             advice::cheap(advice)
         } else {
@@ -162,8 +169,9 @@
 
     /// Whether no question about the step can be asked now.
     fn asks_not(&self, now: Ms, key: &StageKey) -> bool {
-        self.stage(key)
-            .is_none_or(|stage| stage.advised.asking.is_some() || stage.advised.rest > now)
+        self.stage(key).is_none_or(|stage| {
+            stage.advised.query_since.is_some() || stage.advised.no_query_before > now
+        })
     }
 
     /// Workers that may be asked about.
@@ -175,14 +183,14 @@
         let mut choices = Vec::new();
         for worker in self.workers.values() {
             if !fit::allowed(worker, &job.service, step)
-                || !worker.takes(now)
+                || !worker.accepts_starts(now)
                 || stage.advised.denied.contains(&worker.id)
             {
                 continue;
             }
             let ticket = stage.advised.allowed.get(&worker.id);
             if ticket.is_some_and(|ticket| {
-                ticket.until > now + TICKET_SLACK && ticket.born == worker.born
+                ticket.valid_until > now + TICKET_SLACK && ticket.incarnation == worker.incarnation
             }) {
                 continue;
             }
@@ -192,19 +200,25 @@
             } else {
                 need
             };
-            if most == 0 || fit::times(step.room(), worker.news.room) == 0 {
+            if most == 0 || fit::times(step.demand(), worker.info.capacity) == 0 {
                 continue;
             }
             choices.push(Choice {
                 worker: Arc::clone(&worker.id),
-                fits: fit::times(step.room(), worker.free()).min(most),
+                fits: fit::times(step.demand(), worker.free_capacity()).min(most),
                 known: ticket.is_some(),
             });
         }
         choices
     }
 
-    fn send_question(&mut self, now: Ms, key: &StageKey, advice: Advice, workers: Vec<WorkerId>) {
+    fn send_question(
+        &mut self,
+        now: Ms,
+        key: &StageKey,
+        advice: AdvisorPolicy,
+        workers: Vec<WorkerId>,
+    ) {
         if workers.is_empty() {
             return;
         }
@@ -212,8 +226,8 @@
         self.asking.insert(key.clone());
         self.questions += 1;
         if let Some(stage) = self.stage_mut(key) {
-            stage.advised.asking = Some(now);
-            stage.advised.asked = Some(now);
+            stage.advised.query_since = Some(now);
+            stage.advised.last_query = Some(now);
             stage.timeline.asked(now);
         }
         self.orders.push(Order::Ask(Ask {
--- a/crates/pool/src/save.rs
+++ b/crates/pool/src/batch.rs
@@ -22,12 +22,12 @@
 impl Pool {
     /// Whether there is progress to be stored.
     #[must_use]
-    pub fn unsaved(&self) -> bool {
+    pub fn has_unstored(&self) -> bool {
         !self.dirty.is_empty()
             || self
                 .workers
                 .values()
-                .any(|worker| worker.noted < worker.applied)
+                .any(|worker| worker.ends_stored < worker.ends_applied)
     }
 
     /// Whether a caller waits for progress to be stored.
@@ -36,7 +36,7 @@
         self.dirty.iter().any(|id| {
             self.jobs
                 .get(id)
-                .is_some_and(|live| live.state.is_final() && !live.shown.is_final())
+                .is_some_and(|live| live.state.is_final() && !live.stored_state.is_final())
         })
     }
 
@@ -56,30 +56,36 @@
             batch.ends = self
                 .workers
                 .values()
-                .filter(|worker| worker.noted < worker.applied)
-                .map(|worker| (Arc::clone(&worker.id), worker.born, worker.applied))
+                .filter(|worker| worker.ends_stored < worker.ends_applied)
+                .map(|worker| {
+                    (
+                        Arc::clone(&worker.id),
+                        worker.incarnation,
+                        worker.ends_applied,
+                    )
+                })
                 .collect();
         }
         batch
     }
 
     /// Handles a stored batch: from now on callers see these states, and workers may forget these ends.
-    pub fn saved(&mut self, batch: &Batch) {
+    pub fn batch_stored(&mut self, batch: &Batch) {
         for (id, progress) in &batch.rows {
             let Some(live) = self.jobs.get_mut(id) else {
                 continue;
             };
             live.note_stored(progress);
-            let told = std::mem::replace(&mut live.shown, progress.state).is_final();
+            let told = std::mem::replace(&mut live.stored_state, progress.state).is_final();
             if progress.state.is_final() && !told {
                 self.note_job(id);
             }
         }
         for (id, born, number) in &batch.ends {
             if let Some(worker) = self.workers.get_mut(id)
-                && worker.born == *born
+                && worker.incarnation == *born
             {
-                worker.noted = worker.noted.max(*number);
+                worker.ends_stored = worker.ends_stored.max(*number);
             }
         }
     }
@@ -106,21 +112,21 @@
     }
 
     /// Handles a batch that could not be stored: marks its jobs to be stored again.
-    pub fn failed(&mut self, batch: &Batch) {
+    pub fn batch_failed(&mut self, batch: &Batch) {
         for (id, _) in &batch.rows {
             self.mark(id);
         }
     }
 
     /// Removes jobs whose retention period has passed since they became final; returns them so that their rows can be deleted.
-    pub fn sweep(&mut self, unix: u64) -> Vec<JobId> {
+    pub fn remove_expired_jobs(&mut self, unix: u64) -> Vec<JobId> {
         let remember = self.options.remember;
         let old: Vec<JobId> = self
             .jobs
             .values()
             .filter(|live| {
-                live.shown.is_final()
-                    && live.shown != State::Queued
+                live.stored_state.is_final()
+                    && live.stored_state != State::Queued
                     && !live.dirty
                     && unix.saturating_sub(live.closed) > remember
                     && live.open.values().all(|course| {
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -30,7 +30,7 @@
 const CRASHES_SURE: usize = 2;
 
 /// Workers that run suspects still within [`CRASH_WINDOW`], with the highest number of crashes of any such suspect.
-pub(crate) type Trials = FxHashMap<WorkerId, usize>;
+pub(crate) type SuspectsByWorker = FxHashMap<WorkerId, usize>;
 
 /// Record of a run that may have crashed its worker.
 #[derive(Clone, Copy, Debug)]
@@ -52,7 +52,7 @@
 
 /// A task that was abandoned because its runs crashed their workers.
 #[derive(Clone, Debug)]
-pub struct GivenUp {
+pub struct AbandonedTask {
     /// The task.
     pub task: TaskKey,
     /// Numbers of the runs that crashed their workers, or may have.
@@ -62,7 +62,7 @@
 impl Run {
     /// Whether a crash of the worker could still be attributed to this run, given when the latest answered poll was sent.
     const fn is_on_trial(&self, last_hold: Ms) -> bool {
-        last_hold.saturating_sub(self.ordered) < CRASH_WINDOW
+        last_hold.saturating_sub(self.requested_at) < CRASH_WINDOW
     }
 }
 
@@ -71,7 +71,9 @@
     pub(crate) fn restore_crashes(&mut self, runs: &[u32]) {
         self.crashed = runs.iter().map(|&run| Crash { run, sure: true }).collect();
         self.crashes_stored = runs.len();
-        self.top = self.top.max(runs.iter().max().copied().unwrap_or(0));
+        self.highest_run = self
+            .highest_run
+            .max(runs.iter().max().copied().unwrap_or(0));
     }
 
     /// Number of workers that the task may have crashed, not counting its current run and an announced one.
@@ -124,7 +126,7 @@
     /// Records a start of a suspect as a crash until the worker is known to have survived it. The same applies to a task that a
     /// previous owner may have started, because it may have been lost with a worker that crashed. Returns whether a record was
     /// made.
-    pub(crate) fn note_trial(&mut self, number: u32, inherited: bool) -> bool {
+    pub(crate) fn assume_crash(&mut self, number: u32, inherited: bool) -> bool {
         if let Some(announced) = self.announced.take() {
             self.clear_crash(announced);
         }
@@ -154,8 +156,8 @@
         let Some(worker) = self.workers.get(&run.worker) else {
             return;
         };
-        let planned = worker.leaves.is_some();
-        if loss == Loss::Missing || planned || !run.is_on_trial(worker.last_hold) {
+        let planned = worker.leaves_at.is_some();
+        if loss == Loss::Missing || planned || !run.is_on_trial(worker.last_poll) {
             return;
         }
         let crash = Crash {
@@ -182,7 +184,7 @@
             return;
         };
         let Some(run) = &task.run else { return };
-        let (number, ran) = (run.number, now.saturating_sub(run.ordered));
+        let (number, ran) = (run.number, now.saturating_sub(run.requested_at));
         let changed = if ran >= STABLE_AFTER {
             !std::mem::take(&mut task.crashed).is_empty()
         } else {
@@ -210,7 +212,7 @@
             let live = self.jobs.get(&key.stage.job);
             let open = live.is_some_and(|live| !live.state.is_final());
             let held_back = live.is_some_and(|live| {
-                live.awaits > 0 || live.inherited && self.may_run_unseen(&live.job)
+                live.awaited_workers > 0 || live.inherited && self.may_run_on_unconfirmed(&live.job)
             });
             let task = self.task_mut(&key);
             let Some(task) = task.filter(|task| open && !task.crashed.is_empty()) else {
@@ -224,12 +226,12 @@
                 let crashed = task.crashed_runs();
                 self.suspects.remove(&key);
                 self.close(unix, &key.stage.job, State::Failed);
-                self.given_up.push(GivenUp { task: key, crashed });
+                self.given_up.push(AbandonedTask { task: key, crashed });
             } else if task.crashes() >= CRASHES_ALONE
                 && task.announced.is_none()
                 && task.retry <= now
             {
-                let next = task.top + 1;
+                let next = task.highest_run + 1;
                 task.announced = Some(next);
                 task.crashed.push(Crash {
                     run: next,
@@ -241,20 +243,20 @@
     }
 
     /// Returns and clears the tasks abandoned since the last call.
-    pub fn take_given_up(&mut self) -> Vec<GivenUp> {
+    pub fn take_abandoned_tasks(&mut self) -> Vec<AbandonedTask> {
         std::mem::take(&mut self.given_up)
     }
 
     /// Determines which workers run suspects that are still within [`CRASH_WINDOW`].
-    pub(crate) fn find_trials(&mut self) {
-        let mut trials = Trials::default();
+    pub(crate) fn locate_suspects(&mut self) {
+        let mut trials = SuspectsByWorker::default();
         for key in &self.suspects {
             let task = self.stage(&key.stage);
             let Some(task) = task.and_then(|stage| stage.tasks.get(key.index as usize)) else {
                 continue;
             };
             let Some(run) = &task.run else { continue };
-            let last_hold = self.workers.get(&run.worker).map_or(0, |it| it.last_hold);
+            let last_hold = self.workers.get(&run.worker).map_or(0, |it| it.last_poll);
             if run.is_on_trial(last_hold) {
                 let most = trials.entry(Arc::clone(&run.worker)).or_default();
                 *most = (*most).max(task.crashes());
--- a/crates/pool/src/ends.rs
+++ b/crates/pool/src/ends.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use crate::listing::{End, How};
 use crate::pool::Pool;
+use crate::report::{RunEnd, RunOutcome};
 use crate::state::State;
 use crate::task::{JobId, Ms, Phase, StageKey, TaskKey, WorkerId};
 use crate::timeline::StepTimes;
@@ -16,7 +16,7 @@
 
 impl Pool {
     /// Releases the capacity of a task's run.
-    pub(crate) fn detach(&mut self, key: &TaskKey, worker: &WorkerId) {
+    pub(crate) fn release_capacity(&mut self, key: &TaskKey, worker: &WorkerId) {
         let Some(size) = self.size(&key.stage) else {
             return;
         };
@@ -28,7 +28,7 @@
     }
 
     /// Reserves capacity for a task's run.
-    pub(crate) fn attach(&mut self, key: &TaskKey, worker: &WorkerId, number: u32) {
+    pub(crate) fn reserve_capacity(&mut self, key: &TaskKey, worker: &WorkerId, number: u32) {
         let Some(size) = self.size(&key.stage) else {
             return;
         };
@@ -40,7 +40,7 @@
     }
 
     /// Clears the current run of a task, however it ended. The task is not started again within `retry` milliseconds.
-    pub(crate) fn run_over(&mut self, now: Ms, key: &TaskKey, retry: Ms) {
+    pub(crate) fn end_run(&mut self, now: Ms, key: &TaskKey, retry: Ms) {
         let Some(task) = self.task_mut(key) else {
             return;
         };
@@ -52,7 +52,7 @@
             self.mark(&key.stage.job);
         }
         self.loose.remove(key);
-        self.detach(key, &run.worker);
+        self.release_capacity(key, &run.worker);
     }
 
     pub(crate) fn task_mut(&mut self, key: &TaskKey) -> Option<&mut crate::task::Task> {
@@ -62,14 +62,14 @@
     }
 
     /// Applies the end of a run as reported by its worker.
-    pub(crate) fn apply_end(&mut self, now: Ms, unix: u64, worker: &WorkerId, end: &End) {
+    pub(crate) fn apply_end(&mut self, now: Ms, unix: u64, worker: &WorkerId, end: &RunEnd) {
         let key = &end.task;
         if let Some(host) = self.workers.get_mut(worker)
             && host
-                .strays
+                .orphaned_runs
                 .get(key)
                 .is_some_and(|stray| stray.run == end.run)
-            && let Some(stray) = host.strays.remove(key)
+            && let Some(stray) = host.orphaned_runs.remove(key)
         {
             host.used = host
                 .used
@@ -88,12 +88,12 @@
             return;
         };
         // A long-running task is never done, however it ends.
-        let how = if step.lasting && end.how == How::Done {
-            How::Stopped
+        let how = if step.long_running && end.outcome == RunOutcome::Done {
+            RunOutcome::Stopped
         } else {
-            end.how
+            end.outcome
         };
-        let store = task.note_end(end.run, how, &end.saved);
+        let store = task.note_end(end.run, how, &end.checkpoint);
         let own = task
             .run
             .as_ref()
@@ -102,13 +102,13 @@
         let other = task.done && own.is_none() && task.run.is_some();
         let attempts = task.failed.len();
         if let Some(run) = &own {
-            self.judge(now, worker, how, run, key, step.lasting);
-            let retry = match end.how {
-                How::Failed if step.lasting => RETRY_LASTING,
-                How::Failed => RETRY_FAILED,
+            self.judge(now, worker, how, run, key, step.long_running);
+            let retry = match end.outcome {
+                RunOutcome::Failed if step.long_running => RETRY_LASTING,
+                RunOutcome::Failed => RETRY_FAILED,
                 _ => 0,
             };
-            self.run_over(now, key, retry);
+            self.end_run(now, key, retry);
         }
         if other {
             self.stop_run(key);
@@ -117,8 +117,8 @@
             self.mark(&id);
         }
         match how {
-            How::Done => self.done(now, unix, &key.stage, end.run, step.gang),
-            How::Failed if !step.lasting => {
+            RunOutcome::Done => self.done(now, unix, &key.stage, end.run, step.gang),
+            RunOutcome::Failed if !step.long_running => {
                 let attempts = if step.gang {
                     self.gang_failures(&key.stage)
                 } else {
@@ -205,7 +205,7 @@
                 .steps
                 .get(usize::from(key.step))
                 .map_or(0, |step| step.estimate),
-            age: opened.saturating_sub(live.since),
+            age: opened.saturating_sub(live.accepted_at),
             asked: since(times.asked),
             advised: since(times.advised),
             first_start: since(times.first_start),
--- a/crates/pool/src/evacuate.rs
+++ b/crates/pool/src/evacuate.rs
@@ -24,7 +24,7 @@
         let leaving: Vec<(WorkerId, Ms)> = self
             .workers
             .values()
-            .filter_map(|worker| Some((Arc::clone(&worker.id), worker.leaves?)))
+            .filter_map(|worker| Some((Arc::clone(&worker.id), worker.leaves_at?)))
             .collect();
         for (id, leaves) in leaving {
             let last_call = now + self.options.stop_grace + SLACK >= leaves;
@@ -57,11 +57,11 @@
         if !runs || step.gang {
             return false;
         }
-        if step.lasting {
+        if step.long_running {
             let room = |worker: &&crate::Worker| {
                 fit::allowed(worker, &live.job.service, step)
-                    && worker.takes(now)
-                    && step.room().fits(worker.free())
+                    && worker.accepts_starts(now)
+                    && step.demand().fits(worker.free_capacity())
             };
             return last_call || self.workers.values().any(|worker| room(&worker));
         }
--- a/crates/pool/src/fit.rs
+++ b/crates/pool/src/fit.rs
@@ -44,15 +44,15 @@
 /// Whether the worker may run a task of the step at all.
 #[must_use]
 pub fn allowed(worker: &Worker, service: &str, step: &Step) -> bool {
-    worker.news.service == service
-        && (step.label.is_empty() || worker.news.labels.contains(&step.label))
+    worker.info.service == service
+        && (step.label.is_empty() || worker.info.labels.contains(&step.label))
 }
 
 /// What it costs to start the task there, where `free` is left; the smallest is chosen. `None` if it can't be.
 #[must_use]
 pub fn cost(worker: &Worker, step: &Step, free: Size, context: &Context) -> Option<f64> {
-    let size: Size = step.room();
-    if !size.fits(free) || !worker.takes(context.now) {
+    let size: Size = step.demand();
+    if !size.fits(free) || !worker.accepts_starts(context.now) {
         return None;
     }
     if step.per_worker > 0 && context.same >= step.per_worker {
@@ -63,43 +63,43 @@
     }
     let suspicion = context.suspicion;
     // It may have been lost in the same event as the worker that the task ran on.
-    let doubtful = worker.last_hold <= suspicion.since;
+    let doubtful = worker.last_poll <= suspicion.since;
     if suspicion.crashes >= CRASHES_ALONE && (context.trial > 0 || doubtful) {
         return None;
     }
-    if worker.doubt >= SUSPECT && (context.placed > 0 || !worker.runs.is_empty()) {
+    if worker.failure_score >= SUSPECT && (context.placed > 0 || !worker.runs.is_empty()) {
         return None;
     }
     if context.first_fit {
         return Some(0.0);
     }
-    let mut cost = worker.slowness.max(0.2) + worker.doubt * 0.3;
-    if !step.near.is_empty()
-        && worker.news.rack != step.near
-        && !worker.news.labels.contains(&step.near)
+    let mut cost = worker.slowness.max(0.2) + worker.failure_score * 0.3;
+    if !step.data_rack.is_empty()
+        && worker.info.rack != step.data_rack
+        && !worker.info.labels.contains(&step.data_rack)
     {
         cost *= context.far_factor.max(1.0);
     }
-    if step.fills {
+    if step.best_effort {
         // What fills lives on what is left, and disturbs those that serve.
         cost += 2.0 * f64::from(context.serving);
-        cost += 1.0 - free.millicores as f64 / worker.news.room.millicores.max(1) as f64;
+        cost += 1.0 - free.millicores as f64 / worker.info.capacity.millicores.max(1) as f64;
     } else {
         // Best fit keeps large rooms whole for wide tasks.
         let left = free.minus(size).unwrap_or_default();
-        cost += 0.2 * context.scarce.left(left, worker.news.room);
+        cost += 0.2 * context.scarce.left(left, worker.info.capacity);
     }
-    if step.target > 0 {
+    if step.target_latency > 0 {
         cost += 1.0 * f64::from(context.filling) + 0.1 * f64::from(context.serving);
     }
     if suspicion.crashes > 0 {
         // Apart from other suspects, on a worker that is likely to last, and where a further crash costs least.
         cost += SUSPECTS_APART * context.trial as f64;
-        let new = context.now.saturating_sub(worker.life_since) < STABLE_AFTER;
+        let new = context.now.saturating_sub(worker.incarnation_since) < STABLE_AFTER;
         cost += UNPROVEN * (f64::from(u8::from(doubtful)) + f64::from(u8::from(new)));
-        cost += 1.0 - free.millicores as f64 / worker.news.room.millicores.max(1) as f64;
+        cost += 1.0 - free.millicores as f64 / worker.info.capacity.millicores.max(1) as f64;
     }
-    if step.lasting {
+    if step.long_running {
         cost += 0.05 * f64::from(context.same);
     }
     Some(cost)
--- a/crates/pool/src/inherit.rs
+++ b/crates/pool/src/inherit.rs
@@ -7,7 +7,7 @@
 use crate::job::Job;
 use crate::pool::Pool;
 use crate::task::{JobId, Ms, Phase, Run, WorkerId};
-use crate::worker::Silent;
+use crate::worker::UnavailableWorker;
 
 impl Pool {
     /// Sets the workers of the previous owner that must report before inherited jobs may start new tasks. The wait ends when all
@@ -19,7 +19,7 @@
         &mut self,
         now: Ms,
         workers: impl IntoIterator<Item = WorkerId>,
-        silent: &[Silent],
+        silent: &[UnavailableWorker],
     ) {
         self.proved_at = None;
         let quiet = |id: &WorkerId| silent.iter().any(|silent| silent.worker == *id);
@@ -32,19 +32,19 @@
             let worker = self.workers.entry(Arc::clone(&silent.worker)).or_default();
             worker.id = Arc::clone(&silent.worker);
             worker.slowness = 1.0;
-            worker.lapses = Ms::MAX;
-            worker.born = silent.born;
+            worker.lease_expires_at = Ms::MAX;
+            worker.incarnation = silent.incarnation;
         }
         self.silent = silent.to_vec();
         let jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
         for job in &jobs {
-            self.hold_back(now, job);
+            self.assume_unreported_runs(now, job);
         }
     }
 
     /// Holds back the tasks of a job that may run on workers that neither the previous owner could reach nor this owner has
     /// reached yet.
-    pub(crate) fn hold_back(&mut self, now: Ms, job: &JobId) {
+    pub(crate) fn assume_unreported_runs(&mut self, now: Ms, job: &JobId) {
         let mut runs = Vec::new();
         for silent in &self.silent {
             let answered = self.workers.get(&silent.worker).is_none_or(|it| it.fenced);
@@ -61,26 +61,26 @@
             if task.done || task.run.is_some() {
                 continue;
             }
-            task.top = task.top.max(number);
+            task.highest_run = task.highest_run.max(number);
             task.run = Some(Run {
-                phase: Phase::Unsure,
+                phase: Phase::Unconfirmed,
                 inherited: true,
                 ..Run::new(number, Arc::clone(&worker), now, 0)
             });
-            self.attach(&key, &worker, number);
+            self.reserve_capacity(&key, &worker, number);
         }
     }
 
     /// Sets whether jobs accepted before this owner took over may be missing, because a part of the store doesn't answer. As long
     /// as they may be, runs and ends of unknown jobs are left alone.
-    pub fn set_partial(&mut self, now: Ms, partial: bool) {
+    pub fn set_jobs_incomplete(&mut self, now: Ms, partial: bool) {
         self.partial = partial;
         if partial {
             return;
         }
         self.cancels.clear();
         for worker in self.workers.values_mut() {
-            for stray in worker.strays.values_mut() {
+            for stray in worker.orphaned_runs.values_mut() {
                 stray.since = now;
             }
             if let Some(unknown) = &mut worker.unknown_ends {
@@ -91,7 +91,7 @@
 
     /// Time after which no command of the previous owner can take effect: it has lost its majority, and its last commands have
     /// expired. `None` until this owner has a majority.
-    pub(crate) fn former_orders_end(&self) -> Option<Ms> {
+    pub(crate) fn former_commands_end(&self) -> Option<Ms> {
         let since = self.proved_at?;
         Some(since + self.options.proof + self.options.order_life)
     }
@@ -105,14 +105,14 @@
         // Clocks of workers may be 2% slow; 400 ms cover network delays and timers.
         let leases = self.options.lease_most + self.options.lease_most / 33 + 400;
         if self
-            .former_orders_end()
+            .former_commands_end()
             .is_some_and(|end| now >= end + leases)
         {
             self.unseen.clear();
             self.silent.clear();
             for worker in self.workers.values_mut() {
                 if !worker.fenced {
-                    worker.lapses = worker.lapses.min(now);
+                    worker.lease_expires_at = worker.lease_expires_at.min(now);
                 }
             }
         }
@@ -120,16 +120,16 @@
 
     /// Whether an inherited job may be running on a worker that hasn't reported yet. A worker whose service is known runs only
     /// tasks of that service.
-    pub(crate) fn may_run_unseen(&self, job: &Job) -> bool {
+    pub(crate) fn may_run_on_unconfirmed(&self, job: &Job) -> bool {
         self.unseen.iter().any(|id| {
-            let service = self.workers.get(id).map(|it| it.news.service.as_str());
+            let service = self.workers.get(id).map(|it| it.info.service.as_str());
             service.is_none_or(|service| service.is_empty() || service == job.service)
         })
     }
 
     /// Workers of the previous owner that haven't reported to this one; inherited jobs wait for them.
     #[must_use]
-    pub fn unseen(&self) -> &BTreeSet<WorkerId> {
+    pub fn unconfirmed_workers(&self) -> &BTreeSet<WorkerId> {
         &self.unseen
     }
 }
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -28,21 +28,27 @@
     /// Label that the worker must have; empty if none is required.
     pub label: String,
     /// Rack that holds the step's input data; empty if none.
-    pub near: String,
+    #[serde(rename = "near")]
+    pub data_rack: String,
     /// Maximum number of its tasks on one worker; 0 for no limit.
     pub per_worker: u32,
     /// Whether two copies of a task may run at the same time.
-    pub copies: bool,
+    #[serde(rename = "copies")]
+    pub allows_copies: bool,
     /// Whether its tasks run until the job is cancelled.
-    pub lasting: bool,
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
     /// Image that its tasks run.
     pub image: String,
     /// Response time that its tasks must keep, in milliseconds; 0 for none.
-    pub target: Ms,
+    #[serde(rename = "target")]
+    pub target_latency: Ms,
     /// Whether its tasks are best-effort: they use processors that other tasks leave idle.
-    pub fills: bool,
+    #[serde(rename = "fills")]
+    pub best_effort: bool,
     /// Maximum number of its tasks that the scheduler may interrupt at the same time; `None` for no limit.
-    pub may_miss: Option<u32>,
+    #[serde(rename = "may_miss")]
+    pub max_unavailable: Option<u32>,
 }
 
 /// Recurrence of a job.
@@ -60,13 +66,16 @@
 /// Marks a queue whose steps run only on workers that the advisor allows, with the expected cost of a query.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
-pub struct Advice {
+pub struct AdvisorPolicy {
     /// Fixed part of the duration of a query, in milliseconds.
-    pub base: f64,
+    #[serde(rename = "base")]
+    pub base_ms: f64,
     /// Additional duration per worker in the query, in milliseconds.
-    pub each: f64,
+    #[serde(rename = "each")]
+    pub per_worker_ms: f64,
     /// How long a ticket stays valid, in milliseconds.
-    pub valid: Ms,
+    #[serde(rename = "valid")]
+    pub ticket_lifetime: Ms,
 }
 
 /// Scheduling policy that a queue applies to its jobs.
@@ -83,7 +92,7 @@
     /// Constant part of the job's objective, in milliseconds.
     pub objective: Ms,
     /// Set if the advisor must be asked where steps may run.
-    pub advice: Option<Advice>,
+    pub advice: Option<AdvisorPolicy>,
 }
 
 /// A job as accepted and stored.
@@ -113,20 +122,20 @@
 
 /// Why a submitted job is rejected.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Unfit {
+pub enum InvalidJob {
     /// The job has no steps, or a step has no tasks.
     Empty,
-    /// The job has more than [`Job::TASKS_MOST`] tasks.
+    /// The job has more than [`Job::MAX_TASKS`] tasks.
     TooMany,
     /// The step with this index depends on itself or on a later step.
     Order(usize),
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for InvalidJob {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Empty => write!(to, "a job needs a step, and each step a task"),
-            Self::TooMany => write!(to, "a job has at most {} tasks", Job::TASKS_MOST),
+            Self::TooMany => write!(to, "a job has at most {} tasks", Job::MAX_TASKS),
             Self::Order(step) => write!(to, "step {step}: comes after a step that isn't before it"),
         }
     }
@@ -134,23 +143,23 @@
 
 impl Job {
     /// Maximum number of tasks in one occurrence. One row of the store can hold the progress of this many tasks.
-    pub const TASKS_MOST: u64 = 10_000;
+    pub const MAX_TASKS: u64 = 10_000;
 
     /// Validates a submitted job.
     ///
     /// # Errors
     /// Returns the first violated rule.
-    pub fn check(&self) -> Result<(), Unfit> {
+    pub fn check(&self) -> Result<(), InvalidJob> {
         if self.steps.is_empty() || self.steps.iter().any(|step| step.count == 0) {
-            return Err(Unfit::Empty);
+            return Err(InvalidJob::Empty);
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
-        if tasks > Self::TASKS_MOST {
-            return Err(Unfit::TooMany);
+        if tasks > Self::MAX_TASKS {
+            return Err(InvalidJob::TooMany);
         }
         for (at, step) in self.steps.iter().enumerate() {
             if step.after.iter().any(|&before| usize::from(before) >= at) {
-                return Err(Unfit::Order(at));
+                return Err(InvalidJob::Order(at));
             }
         }
         Ok(())
@@ -187,8 +196,8 @@
 
     /// Whether the job runs until it is cancelled.
     #[must_use]
-    pub fn lasting(&self) -> bool {
-        self.steps.iter().any(|step| step.lasting)
+    pub fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|step| step.long_running)
     }
 }
 
@@ -196,8 +205,8 @@
     /// Resources that a task reserves on its worker. Best-effort tasks reserve no processors: they use what other tasks leave
     /// idle.
     #[must_use]
-    pub const fn room(&self) -> Size {
-        if self.fills {
+    pub const fn demand(&self) -> Size {
+        if self.best_effort {
             Size::new(0, self.size.memory_mib, self.size.accelerators)
         } else {
             self.size
--- a/crates/pool/src/live.rs
+++ b/crates/pool/src/live.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::job::{Job, Step};
-use crate::progress::{Course, Progress, StepCourse};
+use crate::progress::{OccurrenceProgress, Progress, StepProgress};
 use crate::state::State;
 use crate::task::{Ms, StageKey, Task, TaskKey, WorkerId};
 use crate::timeline::Timeline;
@@ -17,24 +17,24 @@
     /// Text that the worker verifies.
     pub text: String,
     /// End of validity.
-    pub until: Ms,
+    pub valid_until: Ms,
     /// Incarnation of the worker that the ticket was issued for.
-    pub born: u64,
+    pub incarnation: u64,
 }
 
 /// What the advisor has answered about a step. Answers don't change, but tickets expire.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Advised {
+pub(crate) struct AdvisorState {
     /// Workers that may run the step, each with its newest ticket.
     pub allowed: FxHashMap<WorkerId, Ticket>,
     /// Workers that may not run the step.
     pub denied: BTreeSet<WorkerId>,
     /// When the query in flight was sent; `None` if there is none.
-    pub asking: Option<Ms>,
+    pub query_since: Option<Ms>,
     /// When the latest query was sent.
-    pub asked: Option<Ms>,
+    pub last_query: Option<Ms>,
     /// No query is sent before this time.
-    pub rest: Ms,
+    pub no_query_before: Ms,
 }
 
 /// Runtime state of one step of one occurrence.
@@ -47,18 +47,18 @@
     /// When the step opened, that is, when all steps it depends on were complete.
     pub opened: Option<Ms>,
     /// Answers of the advisor.
-    pub advised: Advised,
+    pub advised: AdvisorState,
     /// When the step was queried and started.
     pub timeline: Timeline,
 }
 
 impl Stage {
-    fn restore(step: &Step, course: Option<&StepCourse>) -> Self {
+    fn restore(step: &Step, course: Option<&StepProgress>) -> Self {
         let mut tasks = vec![Task::default(); step.count as usize];
         if let Some(course) = course {
             for (index, task) in tasks.iter_mut().enumerate() {
                 task.done = course.is_done(index as u32);
-                task.top = course.top;
+                task.highest_run = course.highest_run;
             }
             for (index, runs) in &course.failed {
                 if let Some(task) = tasks.get_mut(*index as usize) {
@@ -70,9 +70,9 @@
                     task.restore_crashes(runs);
                 }
             }
-            for (index, saved) in &course.saved {
+            for (index, saved) in &course.checkpoints {
                 if let Some(task) = tasks.get_mut(*index as usize) {
-                    task.saved.clone_from(saved);
+                    task.checkpoint.clone_from(saved);
                 }
             }
         }
@@ -84,10 +84,10 @@
         }
     }
 
-    fn course(&self) -> StepCourse {
+    fn course(&self) -> StepProgress {
         let rows = || self.tasks.iter().enumerate().filter(|(_, task)| !task.done);
-        StepCourse {
-            done: StepCourse::pack(self.tasks.iter().map(|task| task.done)),
+        StepProgress {
+            done: StepProgress::pack(self.tasks.iter().map(|task| task.done)),
             failed: rows()
                 .filter(|(_, task)| !task.failed.is_empty())
                 .map(|(at, task)| (at as u32, task.failed.clone()))
@@ -96,17 +96,26 @@
                 .filter(|(_, task)| !task.crashed.is_empty())
                 .map(|(at, task)| (at as u32, task.crashed_runs()))
                 .collect(),
-            saved: rows()
-                .filter(|(_, task)| !task.saved.is_empty())
-                .map(|(at, task)| (at as u32, task.saved.clone()))
+            checkpoints: rows()
+                .filter(|(_, task)| !task.checkpoint.is_empty())
+                .map(|(at, task)| (at as u32, task.checkpoint.clone()))
                 .collect(),
-            top: self.tasks.iter().map(|task| task.top).max().unwrap_or(0),
+            highest_run: self
+                .tasks
+                .iter()
+                .map(|task| task.highest_run)
+                .max()
+                .unwrap_or(0),
         }
     }
 
     /// Highest run number of any task.
-    pub(crate) fn top(&self) -> u32 {
-        self.tasks.iter().map(|task| task.top).max().unwrap_or(0)
+    pub(crate) fn highest_run(&self) -> u32 {
+        self.tasks
+            .iter()
+            .map(|task| task.highest_run)
+            .max()
+            .unwrap_or(0)
     }
 
     /// Number of tasks with a run on each worker.
@@ -139,7 +148,7 @@
 }
 
 impl Occurrence {
-    fn new(job: &Job, course: Option<&Course>, due: Ms) -> Self {
+    fn new(job: &Job, course: Option<&OccurrenceProgress>, due: Ms) -> Self {
         let stages = job
             .steps
             .iter()
@@ -169,56 +178,56 @@
 
 /// Runtime state of a job.
 #[derive(Clone, Debug)]
-pub(crate) struct Live {
+pub(crate) struct LiveJob {
     /// The job as accepted.
     pub job: Arc<Job>,
     /// The state as decided by this owner.
     pub state: State,
     /// The state as stored, which is what callers are shown.
-    pub shown: State,
+    pub stored_state: State,
     /// When the state became final, in Unix milliseconds.
     pub closed: u64,
     /// Occurrences in progress.
     pub open: BTreeMap<u32, Occurrence>,
     /// Finished occurrences.
-    pub over: BTreeSet<u32>,
+    pub finished: BTreeSet<u32>,
     /// The next occurrence to become due.
     pub next: u32,
     /// Whether the job was accepted before this owner took over. If so, workers that have not reported to this owner may be
     /// running tasks of it.
     pub inherited: bool,
     /// Number of workers that must report before any task of the job may start.
-    pub awaits: usize,
+    pub awaited_workers: usize,
     /// Since when the pool could not run the job even if it ran nothing else; `None` if it could.
-    pub misfit: Option<Ms>,
+    pub unservable_since: Option<Ms>,
     /// Whether the job is being transferred to another pool; no task of it is started here.
-    pub leaves: bool,
+    pub transferring: bool,
     /// When the job was accepted, on this process's clock.
-    pub since: Ms,
+    pub accepted_at: Ms,
     /// Whether the progress has changed since it was last stored.
     pub dirty: bool,
     /// Longest chain of estimated work from each step to the end, in milliseconds.
     pub chains: Vec<Ms>,
 }
 
-impl Live {
+impl LiveJob {
     /// Creates the runtime state from the stored progress.
     pub(crate) fn new(job: Arc<Job>, progress: Option<&Progress>, now: Ms, unix: u64) -> Self {
         let state = progress.map_or(State::Queued, |progress| progress.state);
         let mut live = Self {
             state,
-            shown: state,
+            stored_state: state,
             closed: progress.map_or(0, |progress| progress.closed),
             open: BTreeMap::new(),
-            over: progress.map_or_else(BTreeSet::new, |progress| {
+            finished: progress.map_or_else(BTreeSet::new, |progress| {
                 progress.over.iter().copied().collect()
             }),
             next: 0,
             inherited: false,
-            awaits: 0,
-            misfit: None,
-            leaves: false,
-            since: now.saturating_sub(unix.saturating_sub(job.accepted)),
+            awaited_workers: 0,
+            unservable_since: None,
+            transferring: false,
+            accepted_at: now.saturating_sub(unix.saturating_sub(job.accepted)),
             dirty: false,
             chains: (0..job.steps.len())
                 .map(|step| job.chain_from(step))
@@ -271,7 +280,7 @@
         while self.next_due().is_some_and(|due| due <= unix) {
             let number = self.next;
             self.next += 1;
-            if self.over.contains(&number) {
+            if self.finished.contains(&number) {
                 continue;
             }
             let job = &self.job;
@@ -304,9 +313,9 @@
             .collect();
         for number in over {
             self.open.remove(&number);
-            self.over.insert(number);
+            self.finished.insert(number);
         }
-        self.over.len() as u32 >= self.times() && !self.job.lasting()
+        self.finished.len() as u32 >= self.times() && !self.job.is_long_running()
     }
 
     /// The progress to be stored.
@@ -314,13 +323,13 @@
         Progress {
             state: self.state,
             closed: self.closed,
-            over: self.over.iter().copied().collect(),
+            over: self.finished.iter().copied().collect(),
             open: if self.state.is_final() {
                 Vec::new()
             } else {
                 self.open
                     .iter()
-                    .map(|(&number, occurrence)| Course {
+                    .map(|(&number, occurrence)| OccurrenceProgress {
                         number,
                         steps: occurrence.stages.iter().map(Stage::course).collect(),
                     })
--- a/crates/pool/src/load.rs
+++ b/crates/pool/src/load.rs
@@ -27,11 +27,11 @@
     pub fn load(&self) -> Load {
         let (mut used, mut room) = (0, 0);
         let mut labels = BTreeSet::new();
-        for worker in self.workers.values().filter(|worker| worker.listed) {
+        for worker in self.workers.values().filter(|worker| worker.registered) {
             used += worker.used.millicores;
-            room += worker.news.room.millicores;
-            let own = worker.news.labels.iter();
-            labels.extend(own.filter(|label| **label != worker.news.rack));
+            room += worker.info.capacity.millicores;
+            let own = worker.info.labels.iter();
+            labels.extend(own.filter(|label| **label != worker.info.rack));
         }
         let waits: u64 = self.open.iter().map(|key| self.waiting(key)).sum();
         let share = |part: u64| part as f64 / room.max(1) as f64;
--- a/crates/pool/src/loss.rs
+++ b/crates/pool/src/loss.rs
@@ -59,8 +59,8 @@
         let Some(run) = self.task_mut(key).and_then(|task| task.run.as_ref()) else {
             return;
         };
-        let (number, id, ordered) = (run.number, Arc::clone(&run.worker), run.ordered);
-        let confirmed = !matches!(run.phase, Phase::Ordered | Phase::Unsure);
+        let (number, id, ordered) = (run.number, Arc::clone(&run.worker), run.requested_at);
+        let confirmed = !matches!(run.phase, Phase::Starting | Phase::Unconfirmed);
         let Some(worker) = self.workers.get(&id) else {
             return;
         };
@@ -69,7 +69,7 @@
             run: number,
             loss,
             confirmed,
-            survived: worker.last_hold.saturating_sub(ordered),
+            survived: worker.last_poll.saturating_sub(ordered),
             runs: worker.runs.len(),
             worker: id,
         });
--- a/crates/pool/src/misfit.rs
+++ b/crates/pool/src/misfit.rs
@@ -31,19 +31,19 @@
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
             let out = self.jobs.get(&id).is_some_and(|live| {
-                !live.state.is_final() && live.awaits == 0 && live.is_idle() && {
+                !live.state.is_final() && live.awaited_workers == 0 && live.is_idle() && {
                     let job = &live.job;
                     let left = live.steps_left();
                     left.iter().any(|&step| !self.could_serve(job, step))
                 }
             });
             if let Some(live) = self.jobs.get_mut(&id) {
-                let since = live.misfit.unwrap_or(now);
-                live.misfit = out.then_some(since);
-                live.leaves |= out && now.saturating_sub(since) >= PATIENCE;
+                let since = live.unservable_since.unwrap_or(now);
+                live.unservable_since = out.then_some(since);
+                live.transferring |= out && now.saturating_sub(since) >= PATIENCE;
             }
         }
-        let leaving = self.jobs.iter().filter(|(_, live)| live.leaves);
+        let leaving = self.jobs.iter().filter(|(_, live)| live.transferring);
         leaving.map(|(id, _)| Arc::clone(id)).collect()
     }
 
@@ -52,12 +52,12 @@
         let Some(step) = job.steps.get(step) else {
             return true;
         };
-        let together = step.gang || step.lasting;
+        let together = step.gang || step.long_running;
         let need = if together { step.count } else { 1 };
         let mut room = 0;
         for worker in self.workers.values() {
-            let there = worker.listed || worker.fenced && !worker.unresponsive;
-            if there && worker.leaves.is_none() && fit::allowed(worker, &job.service, step) {
+            let there = worker.registered || worker.fenced && !worker.unresponsive;
+            if there && worker.leaves_at.is_none() && fit::allowed(worker, &job.service, step) {
                 room += takes(worker, step);
                 if room >= need {
                     return true;
@@ -71,15 +71,15 @@
     #[must_use]
     pub fn transferable(&self, id: &str) -> Option<(Arc<Job>, Progress)> {
         let live = self.jobs.get(id)?;
-        let ready = live.leaves && live.is_idle() && !live.state.is_final();
+        let ready = live.transferring && live.is_idle() && !live.state.is_final();
         ready.then(|| (Arc::clone(&live.job), live.progress()))
     }
 
     /// The job stays: its caller took it back, or no other pool is left for it.
     pub fn keep(&mut self, id: &str) {
         if let Some(live) = self.jobs.get_mut(id) {
-            live.leaves = false;
-            live.misfit = None;
+            live.transferring = false;
+            live.unservable_since = None;
         }
     }
 
@@ -97,7 +97,7 @@
 
 /// How many tasks of a step the empty worker would take.
 fn takes(worker: &Worker, step: &Step) -> u32 {
-    let fits = fit::times(step.room(), worker.news.room);
+    let fits = fit::times(step.demand(), worker.info.capacity);
     if step.per_worker > 0 {
         fits.min(step.per_worker)
     } else {
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -8,7 +8,7 @@
 use crate::crash::{CRASHES_ALONE, Suspicion};
 use crate::fit::{self, Context};
 use crate::job::{Job, Step};
-use crate::live::Live;
+use crate::live::LiveJob;
 use crate::mechanism::Mechanism;
 use crate::order::{Order, Start};
 use crate::pool::Pool;
@@ -30,13 +30,16 @@
     /// Starts what there is room for, in the order of ranks.
     pub(crate) fn place(&mut self, now: Ms) {
         let scarce = self.scarce();
-        self.find_trials();
+        self.locate_suspects();
         let mut order: Vec<(Rank, StageKey)> = Vec::new();
         for key in &self.open {
             let Some(live) = self.jobs.get(&key.job) else {
                 continue;
             };
-            if live.awaits > 0 || live.leaves || live.inherited && self.may_run_unseen(&live.job) {
+            if live.awaited_workers > 0
+                || live.transferring
+                || live.inherited && self.may_run_on_unconfirmed(&live.job)
+            {
                 continue;
             }
             let Some(stage) = self.stage(key) else {
@@ -62,7 +65,7 @@
             let Some(step) = job.steps.get(usize::from(key.step)) else {
                 continue;
             };
-            if step.fills || step.target > 0 {
+            if step.best_effort || step.target_latency > 0 {
                 mix.get_or_insert_with(|| self.mix());
             }
             let empty = Mix::default();
@@ -81,15 +84,15 @@
         }
     }
 
-    fn rank(&self, now: Ms, live: &Live, key: &StageKey, scarce: &Scarce) -> Rank {
+    fn rank(&self, now: Ms, live: &LiveJob, key: &StageKey, scarce: &Scarce) -> Rank {
         let job = &live.job;
         let scale = self.learned.scale(&job.queue);
         let scaled = |chain: Ms| (chain as f64 * scale) as Ms;
         let course = live.open.get(&key.occurrence);
         let since = if job.schedule.is_some() {
-            course.map_or(live.since, |course| course.due)
+            course.map_or(live.accepted_at, |course| course.due)
         } else {
-            live.since
+            live.accepted_at
         };
         let work: f64 = course.map_or(0.0, |course| {
             course
@@ -114,13 +117,13 @@
             objective: self.objective(live),
             chain: scaled(live.chains.get(usize::from(key.step)).copied().unwrap_or(0)),
             work: (work * WORK_UNIT) as u64,
-            lasting: job.lasting(),
+            lasting: job.is_long_running(),
         });
         rank.without(&self.options.switches)
     }
 
     /// Time in which a job should be completed, by what its tasks have taken against their estimates.
-    pub(crate) fn objective(&self, live: &Live) -> Ms {
+    pub(crate) fn objective(&self, live: &LiveJob) -> Ms {
         let policy = &live.job.policy;
         let longest = live.chains.iter().max().copied().unwrap_or(0);
         let scaled = (longest as f64 * self.learned.scale(&live.job.queue)) as Ms;
@@ -138,8 +141,8 @@
                     .get(&key.stage.job)
                     .and_then(|live| live.job.steps.get(usize::from(key.stage.step)));
                 if let Some(step) = step {
-                    counts.0 += u32::from(step.target > 0);
-                    counts.1 += u32::from(step.fills);
+                    counts.0 += u32::from(step.target_latency > 0);
+                    counts.1 += u32::from(step.best_effort);
                 }
             }
             if counts != (0, 0) {
@@ -211,7 +214,7 @@
     /// The checkpoint that all members of a gang go on from.
     fn gang_saved(&self, key: &StageKey) -> Option<String> {
         let stage = self.stage(key)?;
-        let saved = stage.tasks.iter().map(|task| &task.saved).max()?;
+        let saved = stage.tasks.iter().map(|task| &task.checkpoint).max()?;
         Some(saved.clone())
     }
 
@@ -239,7 +242,8 @@
             if job.policy.advice.is_some() {
                 let ticket = stage.advised.allowed.get(&worker.id);
                 let holds = ticket.is_some_and(|ticket| {
-                    ticket.until > now + TICKET_SLACK && ticket.born == worker.born
+                    ticket.valid_until > now + TICKET_SLACK
+                        && ticket.incarnation == worker.incarnation
                 });
                 if !holds {
                     continue;
@@ -258,19 +262,19 @@
                 scarce: *scarce,
                 first_fit: !self.has(Mechanism::BestFit),
             };
-            choices.push((worker, worker.free(), context));
+            choices.push((worker, worker.free_capacity(), context));
         }
         if step.gang && step.same_rack {
             let mut racks: Vec<&str> = choices
                 .iter()
-                .map(|(worker, ..)| worker.news.rack.as_str())
+                .map(|(worker, ..)| worker.info.rack.as_str())
                 .collect();
             racks.sort_unstable();
             racks.dedup();
             for rack in racks {
                 let mut within: Vec<_> = choices
                     .iter()
-                    .filter(|(worker, ..)| worker.news.rack == rack)
+                    .filter(|(worker, ..)| worker.info.rack == rack)
                     .copied()
                     .collect();
                 let places = fill(&mut within, step, suspicions);
@@ -300,7 +304,7 @@
         };
         let latest = host.clock(now) + life;
         // The order itself is a lease of that length, and the clock may be 2% slow.
-        host.lapses = host.lapses.max(now + life + life / 33 + 400);
+        host.lease_expires_at = host.lease_expires_at.max(now + life + life / 33 + 400);
         let ticket = self
             .stage(&key.stage)
             .and_then(|stage| stage.advised.allowed.get(worker))
@@ -308,20 +312,20 @@
         let Some(task) = self.task_mut(key) else {
             return;
         };
-        let number = number.max(task.top + 1);
-        task.top = number;
+        let number = number.max(task.highest_run + 1);
+        task.highest_run = number;
         if let Some(saved) = saved {
-            saved.clone_into(&mut task.saved);
+            saved.clone_into(&mut task.checkpoint);
         }
-        let saved = task.saved.clone();
+        let saved = task.checkpoint.clone();
         let crashes = task.crashes();
-        let noted = task.note_trial(number, inherited);
+        let noted = task.assume_crash(number, inherited);
         task.run = Some(Run {
             // Such a task starts only on a worker that has answered since the last crash.
             proven: crashes >= CRASHES_ALONE,
             ..Run::new(number, Arc::clone(worker), now, latest)
         });
-        self.attach(key, worker, number);
+        self.reserve_capacity(key, worker, number);
         if noted {
             self.suspects.insert(key.clone());
             self.mark(&key.stage.job);
@@ -347,7 +351,7 @@
 }
 
 fn stage_top(pool: &Pool, key: &StageKey) -> u32 {
-    pool.stage(key).map_or(0, crate::live::Stage::top)
+    pool.stage(key).map_or(0, crate::live::Stage::highest_run)
 }
 
 /// Takes the cheapest worker for each task, until none has room.
@@ -356,7 +360,7 @@
     step: &Step,
     suspicions: &[Suspicion],
 ) -> Vec<WorkerId> {
-    let size = step.room();
+    let size = step.demand();
     let mut places = Vec::new();
     for &suspicion in suspicions {
         let best = choices
@@ -376,8 +380,8 @@
         choice.2.same += 1;
         choice.2.placed += 1;
         choice.2.trial = choice.2.trial.max(suspicion.crashes);
-        choice.2.serving += u32::from(step.target > 0);
-        choice.2.filling += u32::from(step.fills);
+        choice.2.serving += u32::from(step.target_latency > 0);
+        choice.2.filling += u32::from(step.best_effort);
         places.push(Arc::clone(&choice.0.id));
     }
     places
--- a/crates/pool/src/plan.rs
+++ b/crates/pool/src/plan.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::live::Live;
+use crate::live::LiveJob;
 use crate::loss::Loss;
 use crate::mechanism::Mechanism;
 use crate::order::{Order, Start, Stop};
@@ -24,7 +24,7 @@
             .timed
             .iter()
             .filter(|id| {
-                let next = self.jobs.get(*id).and_then(Live::next_due);
+                let next = self.jobs.get(*id).and_then(LiveJob::next_due);
                 next.is_some_and(|due| due <= unix)
             })
             .cloned()
@@ -35,7 +35,7 @@
         self.lapse(now, unix);
         self.watch(now);
         self.chase(now);
-        self.stop_strays(now);
+        self.stop_orphaned_runs(now);
         self.settle_inheritance(now);
         if !self.deposed && self.proved(now) {
             self.review_suspects(now, unix);
@@ -47,7 +47,7 @@
     /// When the next occurrence of any job is due, in Unix milliseconds.
     #[must_use]
     pub fn next_due(&self) -> Option<u64> {
-        let due = |id| self.jobs.get(id).and_then(Live::next_due);
+        let due = |id| self.jobs.get(id).and_then(LiveJob::next_due);
         self.timed.iter().filter_map(due).min()
     }
 
@@ -58,7 +58,7 @@
             .values()
             .filter(|worker| {
                 let held = !worker.runs.is_empty() || self.awaiting.contains_key(&worker.id);
-                worker.lapses < now && held
+                worker.lease_expires_at < now && held
             })
             .map(|worker| {
                 (
@@ -70,20 +70,20 @@
         for (id, keys) in lapsed {
             for job in self.awaiting.remove(&id).unwrap_or_default() {
                 if let Some(live) = self.jobs.get_mut(&job) {
-                    live.awaits = live.awaits.saturating_sub(1);
+                    live.awaited_workers = live.awaited_workers.saturating_sub(1);
                 }
             }
             for key in &keys {
                 self.note_loss(now, key, Loss::Lapsed);
             }
             for key in keys {
-                self.run_over(now, &key, 0);
+                self.end_run(now, &key, 0);
                 self.complete_or_advance(now, unix, &key.stage.job);
             }
         }
         for worker in self.workers.values_mut() {
-            if worker.lapses < now && !worker.strays.is_empty() {
-                for stray in std::mem::take(&mut worker.strays).into_values() {
+            if worker.lease_expires_at < now && !worker.orphaned_runs.is_empty() {
+                for stray in std::mem::take(&mut worker.orphaned_runs).into_values() {
                     let size = stray.size.unwrap_or_default();
                     worker.used = worker.used.minus(size).unwrap_or_default();
                 }
@@ -92,11 +92,11 @@
         let unseen = &self.unseen;
         let silent = &self.silent;
         self.workers.retain(|id, worker| {
-            worker.listed
+            worker.registered
                 || unseen.contains(id)
                 || silent.iter().any(|silent| silent.worker == *id)
                 || !worker.runs.is_empty()
-                || !worker.strays.is_empty()
+                || !worker.orphaned_runs.is_empty()
         });
     }
 
@@ -125,7 +125,10 @@
                 continue;
             };
             let since = now.saturating_sub(run.stop_sent);
-            let answers = self.workers.get(&run.worker).map_or(0, |it| it.answers);
+            let answers = self
+                .workers
+                .get(&run.worker)
+                .map_or(0, |it| it.response_time);
             let order = match run.phase {
                 Phase::Stopping => {
                     let again = if run.stop_confirmed > 0 {
@@ -142,19 +145,19 @@
                         })
                     })
                 }
-                Phase::Ordered | Phase::Unsure
+                Phase::Starting | Phase::Unconfirmed
                     if repeats
                         && task.crashes() == 0
                         && now.saturating_sub(run.sent) >= repeat::delay(answers, run.copies)
-                        && clock(&run.worker) + REPEAT_SLACK < run.latest
+                        && clock(&run.worker) + REPEAT_SLACK < run.start_deadline
                         && self.copies.spend() =>
                 {
                     Some(Order::Start(Start {
                         task: key.clone(),
                         run: run.number,
                         worker: Arc::clone(&run.worker),
-                        latest: run.latest,
-                        saved: task.saved.clone(),
+                        latest: run.start_deadline,
+                        saved: task.checkpoint.clone(),
                         ticket: self
                             .stage(&key.stage)
                             .and_then(|stage| stage.advised.allowed.get(&run.worker))
@@ -170,7 +173,7 @@
                 if run.phase == Phase::Stopping {
                     run.stop_sent = now.max(1);
                 } else {
-                    run.phase = Phase::Unsure;
+                    run.phase = Phase::Unconfirmed;
                     run.copies += 1;
                     run.sent = now;
                 }
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -6,9 +6,9 @@
 use resource::Size;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::crash::{GivenUp, Trials};
+use crate::crash::{AbandonedTask, SuspectsByWorker};
 use crate::job::Job;
-use crate::live::Live;
+use crate::live::LiveJob;
 use crate::loss::LostRun;
 use crate::mechanism::{Mechanism, Switches};
 use crate::order::Order;
@@ -19,7 +19,7 @@
 use crate::state::State;
 use crate::task::{JobId, Ms, Phase, StageKey, TaskKey, WorkerId};
 use crate::timeline::{JobTimes, StepTimes};
-use crate::worker::{News, Silent, Worker};
+use crate::worker::{UnavailableWorker, Worker, WorkerInfo};
 
 /// What the pool's decisions depend on besides jobs and workers.
 #[derive(Clone, Debug)]
@@ -68,7 +68,7 @@
 #[derive(Debug, Default)]
 pub struct Pool {
     pub(crate) options: Options,
-    pub(crate) jobs: FxHashMap<JobId, Live>,
+    pub(crate) jobs: FxHashMap<JobId, LiveJob>,
     pub(crate) workers: FxHashMap<WorkerId, Worker>,
     /// Steps whose turn has come and that are not complete.
     pub(crate) open: BTreeSet<StageKey>,
@@ -105,7 +105,7 @@
     /// Cancelled jobs that aren't known yet.
     pub(crate) cancels: FxHashSet<JobId>,
     /// What may run on workers that the former owner could not reach.
-    pub(crate) silent: Vec<Silent>,
+    pub(crate) silent: Vec<UnavailableWorker>,
     /// Jobs that went to other pools.
     pub(crate) given: FxHashSet<JobId>,
     /// When jobs that don't fit were looked for last.
@@ -117,9 +117,9 @@
     /// Tasks with crashes noted against them; may hold some that have none any more.
     pub(crate) suspects: BTreeSet<TaskKey>,
     /// Workers that one of them may yet crash, as of the present plan.
-    pub(crate) trials: Trials,
+    pub(crate) trials: SuspectsByWorker,
     /// Tasks that were given up, for the log.
-    pub(crate) given_up: Vec<GivenUp>,
+    pub(crate) given_up: Vec<AbandonedTask>,
     /// Runs that workers have lost, for the log.
     pub(crate) lost_runs: Vec<LostRun>,
     /// Orders that came out of news, for the next plan.
@@ -168,14 +168,14 @@
             return;
         }
         let ours = job.epoch == self.options.epoch && job.epoch > 0;
-        let mut live = Live::new(job, progress, now, unix);
+        let mut live = LiveJob::new(job, progress, now, unix);
         // The former owner may have been told of a job that this one learns of only now.
-        let former = self.former_orders_end().is_none_or(|end| now < end);
+        let former = self.former_commands_end().is_none_or(|end| now < end);
         live.inherited = !ours && (inherited || former && !self.unseen.is_empty());
         self.jobs.insert(Arc::clone(&id), live);
         self.find_suspects(&id);
         self.advance(&id, now, unix);
-        self.hold_back(now, &id);
+        self.assume_unreported_runs(now, &id);
         self.adopt_observed_runs(now, &id);
         // A former owner may have stored the last end and not the state that follows from it.
         self.complete_or_advance(now, unix, &id);
@@ -211,7 +211,7 @@
     pub fn state(&self, id: &str) -> Option<State> {
         self.jobs
             .get(id)
-            .map(|live| match (live.shown, live.state) {
+            .map(|live| match (live.stored_state, live.state) {
                 (shown, _) if shown.is_final() => shown,
                 (_, State::Queued) => State::Queued,
                 _ => State::Running,
@@ -284,25 +284,27 @@
     }
 
     /// The directory lists a worker.
-    pub fn listed(&mut self, now: Ms, id: &WorkerId, news: News) {
+    pub fn listed(&mut self, now: Ms, id: &WorkerId, news: WorkerInfo) {
         let worker = self.workers.entry(Arc::clone(id)).or_default();
         if worker.id.is_empty() {
             worker.id = Arc::clone(id);
             worker.slowness = 1.0;
         }
-        worker.listed = true;
-        match (news.draining, worker.leaves) {
-            (Some(left), None) => worker.leaves = Some(now + left),
-            (None, Some(_)) if news.born != worker.news.born => worker.leaves = None,
+        worker.registered = true;
+        match (news.draining, worker.leaves_at) {
+            (Some(left), None) => worker.leaves_at = Some(now + left),
+            (None, Some(_)) if news.incarnation != worker.info.incarnation => {
+                worker.leaves_at = None;
+            }
             _ => {}
         }
-        worker.news = news;
+        worker.info = news;
     }
 
     /// The directory doesn't list a worker any more. What runs there stays in doubt until its lease has lapsed.
     pub fn unlisted(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.listed = false;
+            worker.registered = false;
         }
     }
 
@@ -312,7 +314,9 @@
         let mut ids: Vec<WorkerId> = self
             .workers
             .values()
-            .filter(|worker| !worker.silent(now) && (worker.listed || !worker.runs.is_empty()))
+            .filter(|worker| {
+                !worker.is_unavailable(now) && (worker.registered || !worker.runs.is_empty())
+            })
             .map(|worker| Arc::clone(&worker.id))
             .chain(self.unseen.iter().cloned())
             .collect();
@@ -324,23 +328,23 @@
     /// Workers that can't be reached, with what may run there. From now on nothing is started there until a roster with
     /// them is stored: what is written down must not become too little while it is on its way.
     #[must_use]
-    pub fn silent(&mut self, now: Ms) -> Vec<Silent> {
+    pub fn silent(&mut self, now: Ms) -> Vec<UnavailableWorker> {
         for worker in self.workers.values_mut() {
-            worker.enrolled &= !worker.silent(now);
+            worker.in_stored_roster &= !worker.is_unavailable(now);
         }
-        let mut silent: Vec<Silent> = self
+        let mut silent: Vec<UnavailableWorker> = self
             .workers
             .values()
-            .filter(|worker| worker.silent(now) || worker.lapses == Ms::MAX)
+            .filter(|worker| worker.is_unavailable(now) || worker.lease_expires_at == Ms::MAX)
             .filter(|worker| !worker.runs.is_empty())
             .map(|worker| {
                 let runs = worker.runs.iter();
                 let mut runs: Vec<_> = runs.map(|(key, run)| (key.clone(), *run)).collect();
                 runs.sort();
-                Silent {
+                UnavailableWorker {
                     worker: Arc::clone(&worker.id),
                     runs,
-                    born: worker.born,
+                    incarnation: worker.incarnation,
                 }
             })
             .collect();
@@ -353,8 +357,8 @@
         let mut more = false;
         for (id, worker) in &mut self.workers {
             let enrolled = ids.binary_search(id).is_ok();
-            more |= enrolled && !worker.enrolled;
-            worker.enrolled = enrolled;
+            more |= enrolled && !worker.in_stored_roster;
+            worker.in_stored_roster = enrolled;
         }
         more
     }
@@ -384,9 +388,9 @@
     pub fn proved(&self, now: Ms) -> bool {
         let mut known = 0;
         let mut answered = 0;
-        for worker in self.workers.values().filter(|worker| worker.listed) {
+        for worker in self.workers.values().filter(|worker| worker.registered) {
             known += 1;
-            if worker.fenced && now.saturating_sub(worker.last_hold) <= self.options.proof {
+            if worker.fenced && now.saturating_sub(worker.last_poll) <= self.options.proof {
                 answered += 1;
             }
         }
@@ -401,6 +405,6 @@
             .job
             .steps
             .get(usize::from(key.step))?;
-        Some(step.room())
+        Some(step.demand())
     }
 }
--- a/crates/pool/src/progress.rs
+++ b/crates/pool/src/progress.rs
@@ -7,7 +7,7 @@
 /// Progress of one step.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
-pub struct StepCourse {
+pub struct StepProgress {
     /// Bitmap of completed tasks in hexadecimal: one digit for four tasks, the task with the lowest index in the lowest bit of
     /// the first digit.
     pub done: String,
@@ -17,12 +17,14 @@
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub crashed: Vec<(u32, Vec<u32>)>,
     /// Indices of tasks with their newest checkpoints.
-    pub saved: Vec<(u32, String)>,
+    #[serde(rename = "saved")]
+    pub checkpoints: Vec<(u32, String)>,
     /// Highest run number of any task.
-    pub top: u32,
+    #[serde(rename = "top")]
+    pub highest_run: u32,
 }
 
-impl StepCourse {
+impl StepProgress {
     /// Encodes the bitmap of completed tasks.
     pub(crate) fn pack(done: impl Iterator<Item = bool>) -> String {
         let marks: Vec<bool> = done.collect();
@@ -52,11 +54,11 @@
 /// Progress of one occurrence.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
-pub struct Course {
+pub struct OccurrenceProgress {
     /// Index of the occurrence.
     pub number: u32,
     /// Progress of each step.
-    pub steps: Vec<StepCourse>,
+    pub steps: Vec<StepProgress>,
 }
 
 /// Progress of a job: what the next owner needs to continue it.
@@ -70,5 +72,5 @@
     /// Indices of finished occurrences.
     pub over: Vec<u32>,
     /// Occurrences in progress.
-    pub open: Vec<Course>,
+    pub open: Vec<OccurrenceProgress>,
 }
--- a/crates/pool/src/reconcile.rs
+++ b/crates/pool/src/reconcile.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use crate::listing::{Listing, Running};
 use crate::loss::Loss;
 use crate::pool::Pool;
+use crate::report::{RunStatus, WorkerReport};
 use crate::task::{JobId, Ms, Phase, Run, TaskKey, WorkerId};
-use crate::worker::{Stray, UnknownEnds};
+use crate::worker::{OrphanedRun, UnknownEnds};
 
 /// A run of an unknown job is stopped after this time. The row of a job may reach this owner after the report of its run: usually
 /// by a few milliseconds, but by seconds while the store has problems.
@@ -19,30 +19,30 @@
 
 impl Pool {
     /// Applies a worker's answer to a poll.
-    pub fn apply_listing(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &Listing) {
+    pub fn apply_report(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &WorkerReport) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.fenced && listing.born < worker.born {
+        if worker.fenced && listing.incarnation < worker.incarnation {
             return;
         }
-        if listing.born > worker.born && (worker.fenced || worker.born > 0) {
+        if listing.incarnation > worker.incarnation && (worker.fenced || worker.incarnation > 0) {
             self.worker_restarted(now, unix, id);
         }
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let newest = listing.clock >= worker.clock(listing.asked).saturating_sub(1);
+        let newest = listing.clock >= worker.clock(listing.requested_at).saturating_sub(1);
         if !worker.fenced {
-            worker.lapses = 0;
+            worker.lease_expires_at = 0;
         }
-        if !worker.fenced || worker.born != listing.born {
-            worker.life_since = now;
+        if !worker.fenced || worker.incarnation != listing.incarnation {
+            worker.incarnation_since = now;
         }
         worker.fenced = true;
         worker.unresponsive = false;
-        worker.born = listing.born;
-        worker.last_hold = worker.last_hold.max(listing.asked);
+        worker.incarnation = listing.incarnation;
+        worker.last_poll = worker.last_poll.max(listing.requested_at);
         if listing.clock > worker.clock.0 {
             worker.clock = (listing.clock, now);
         }
@@ -53,12 +53,14 @@
             self.options.lease_most
         };
         // The worker's clock may be 2% slow.
-        worker.lapses = worker.lapses.max(now + left + left / 33 + LEASE_SLACK);
+        worker.lease_expires_at = worker
+            .lease_expires_at
+            .max(now + left + left / 33 + LEASE_SLACK);
         self.unseen.remove(id);
         self.apply_ends(now, unix, id, listing);
         for job in self.awaiting.remove(id).unwrap_or_default() {
             if let Some(live) = self.jobs.get_mut(&job) {
-                live.awaits = live.awaits.saturating_sub(1);
+                live.awaited_workers = live.awaited_workers.saturating_sub(1);
             }
         }
         if newest {
@@ -68,13 +70,13 @@
 
     /// Applies new ends. An end of an unknown job, and all ends after it, are not acknowledged: the row of the job is still to
     /// come, and an end that was skipped would be lost. The later ends are applied nevertheless.
-    fn apply_ends(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &Listing) {
+    fn apply_ends(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &WorkerReport) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let applied = worker.applied;
+        let applied = worker.ends_applied;
         let before = worker.unknown_ends.take();
-        let mut beyond = std::mem::take(&mut worker.beyond);
+        let mut beyond = std::mem::take(&mut worker.applied_out_of_order);
         let mut unknown: Option<UnknownEnds> = None;
         for end in listing.ended.iter().filter(|end| end.number > applied) {
             let job = &end.task.stage.job;
@@ -99,11 +101,11 @@
             if unknown.is_some() {
                 beyond.insert(end.number);
             } else if let Some(worker) = self.workers.get_mut(id) {
-                worker.applied = end.number;
+                worker.ends_applied = end.number;
             }
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.beyond = beyond;
+            worker.applied_out_of_order = beyond;
             worker.unknown_ends = unknown;
         }
     }
@@ -118,8 +120,8 @@
         let mut waits = Vec::new();
         for worker in self.workers.values() {
             let of = |key: &&TaskKey| key.stage.job == *job;
-            for key in worker.strays.keys().filter(of) {
-                let run = worker.strays.get(key).map_or(0, |stray| stray.run);
+            for key in worker.orphaned_runs.keys().filter(of) {
+                let run = worker.orphaned_runs.get(key).map_or(0, |stray| stray.run);
                 runs.push((Arc::clone(&worker.id), key.clone(), run));
             }
             if worker
@@ -131,17 +133,17 @@
             }
         }
         for (worker, task, run) in runs {
-            let row = Running {
+            let row = RunStatus {
                 task,
                 run,
-                saved: String::new(),
+                checkpoint: String::new(),
                 percent: 0,
                 load: 0,
             };
             self.observe_run(now, &worker, &row);
         }
         if let Some(live) = self.jobs.get_mut(job) {
-            live.awaits = waits.len();
+            live.awaited_workers = waits.len();
         }
         for worker in waits {
             self.awaiting
@@ -158,7 +160,7 @@
     /// not answer the latest poll is polled without one until it answers. Otherwise its tasks would go on running under leases
     /// that this owner considers expired, next to the ones it starts in their place. An owner without a recent majority renews
     /// nothing: it may have been replaced by an owner that can't reach this worker and relies on the lease to expire.
-    pub fn holding(&mut self, now: Ms, id: &WorkerId) -> Option<Ms> {
+    pub fn extend_lease(&mut self, now: Ms, id: &WorkerId) -> Option<Ms> {
         let most = self.options.lease_most;
         if !self.proved(now) {
             return None;
@@ -168,7 +170,9 @@
         if worker.unresponsive || clock == 0 {
             return None;
         }
-        worker.lapses = worker.lapses.max(now + most + most / 33 + LEASE_SLACK);
+        worker.lease_expires_at = worker
+            .lease_expires_at
+            .max(now + most + most / 33 + LEASE_SLACK);
         Some(clock + most)
     }
 
@@ -186,18 +190,18 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.applied = 0;
-        worker.beyond.clear();
+        worker.ends_applied = 0;
+        worker.applied_out_of_order.clear();
         worker.unknown_ends = None;
-        worker.noted = 0;
+        worker.ends_stored = 0;
         worker.clock = (0, 0);
-        worker.lapses = 0;
-        worker.doubt = 0.0;
+        worker.lease_expires_at = 0;
+        worker.failure_score = 0.0;
         worker.slowness = 1.0;
-        if worker.news.draining.is_none() {
-            worker.leaves = None;
+        if worker.info.draining.is_none() {
+            worker.leaves_at = None;
         }
-        for stray in std::mem::take(&mut worker.strays).into_values() {
+        for stray in std::mem::take(&mut worker.orphaned_runs).into_values() {
             worker.used = worker
                 .used
                 .minus(stray.size.unwrap_or_default())
@@ -214,7 +218,7 @@
                 .is_some_and(|run| {
                     // An unanswered start command may reach the new incarnation, which has forgotten the epoch. Its capacity
                     // stays reserved until a stop is confirmed there.
-                    let doubtful = run.phase == Phase::Ordered || run.phase == Phase::Unsure;
+                    let doubtful = run.phase == Phase::Starting || run.phase == Phase::Unconfirmed;
                     if doubtful {
                         run.phase = Phase::Stopping;
                         run.stop_sent = 0;
@@ -226,21 +230,21 @@
                 self.loose.insert(key);
             } else {
                 let job = Arc::clone(&key.stage.job);
-                self.run_over(now, &key, 0);
+                self.end_run(now, &key, 0);
                 self.complete_or_advance(now, unix, &job);
             }
         }
     }
 
     /// Compares the runs reported by a worker with the expected ones.
-    fn compare(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &Listing) {
+    fn compare(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &WorkerReport) {
         for row in &listing.running {
             self.observe_run(now, id, row);
         }
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        if worker.runs.is_empty() && worker.strays.is_empty() {
+        if worker.runs.is_empty() && worker.orphaned_runs.is_empty() {
             return;
         }
         let full = listing.ended.len() >= 500;
@@ -257,7 +261,7 @@
             .map(|(key, _)| key.clone())
             .collect();
         let lost_strays: Vec<TaskKey> = worker
-            .strays
+            .orphaned_runs
             .iter()
             .filter(|(key, stray)| !there(key, stray.run))
             .map(|(key, _)| key.clone())
@@ -267,16 +271,18 @@
                 continue;
             };
             let over = match run.phase {
-                Phase::Ordered | Phase::Unsure => listing.clock > run.latest,
+                Phase::Starting | Phase::Unconfirmed => listing.clock > run.start_deadline,
                 // A report that was long in transit says nothing about a run that was started in the meantime.
                 Phase::Running => {
                     !full
-                        && listing.asked.saturating_sub(run.moved.max(run.ordered))
+                        && listing
+                            .requested_at
+                            .saturating_sub(run.progressed_at.max(run.requested_at))
                             > MISSING_RUN_TIMEOUT
                 }
                 Phase::Stopping => {
                     !full
-                        && (listing.clock > run.latest
+                        && (listing.clock > run.start_deadline
                             || run.stop_confirmed > 0 && listing.clock >= run.stop_confirmed)
                 }
             };
@@ -284,13 +290,13 @@
                 if run.phase == Phase::Running {
                     self.note_loss(now, &key, Loss::Missing);
                 }
-                self.run_over(now, &key, 0);
+                self.end_run(now, &key, 0);
                 self.complete_or_advance(now, unix, &key.stage.job);
             }
         }
         if let Some(worker) = self.workers.get_mut(id) {
             for key in lost_strays {
-                if let Some(stray) = worker.strays.remove(&key) {
+                if let Some(stray) = worker.orphaned_runs.remove(&key) {
                     worker.used = worker
                         .used
                         .minus(stray.size.unwrap_or_default())
@@ -301,7 +307,7 @@
     }
 
     /// Handles a run reported by a worker.
-    fn observe_run(&mut self, now: Ms, id: &WorkerId, row: &Running) {
+    fn observe_run(&mut self, now: Ms, id: &WorkerId, row: &RunStatus) {
         let key = &row.task;
         let closed = self
             .jobs
@@ -312,17 +318,17 @@
             self.stray(now, id, row, size);
             return;
         };
-        task.top = task.top.max(row.run);
+        task.highest_run = task.highest_run.max(row.run);
         let suspect = !task.crashed.is_empty();
-        if !row.saved.is_empty() {
-            row.saved.clone_into(&mut task.saved);
+        if !row.checkpoint.is_empty() {
+            row.checkpoint.clone_into(&mut task.checkpoint);
         }
         if let Some(run) = &mut task.run
             && run.number == row.run
             && run.worker == *id
         {
             run.proven = true;
-            if matches!(run.phase, Phase::Ordered | Phase::Unsure) {
+            if matches!(run.phase, Phase::Starting | Phase::Unconfirmed) {
                 run.phase = Phase::Running;
                 self.loose.remove(key);
             }
@@ -330,7 +336,7 @@
             if let Some(run) = run {
                 if run.percent != row.percent {
                     run.percent = row.percent;
-                    run.moved = now;
+                    run.progressed_at = now;
                 }
                 run.load = row.load;
             }
@@ -349,7 +355,7 @@
             return;
         }
         if outdated {
-            self.run_over(now, key, 0);
+            self.end_run(now, key, 0);
         }
         let Some(task) = self.task_mut(key) else {
             return;
@@ -362,30 +368,30 @@
             ..Run::new(row.run, Arc::clone(id), now, 0)
         });
         if let Some(worker) = self.workers.get_mut(id)
-            && let Some(stray) = worker.strays.remove(key)
+            && let Some(stray) = worker.orphaned_runs.remove(key)
         {
             worker.used = worker
                 .used
                 .minus(stray.size.unwrap_or_default())
                 .unwrap_or_default();
         }
-        self.attach(key, id, row.run);
+        self.reserve_capacity(key, id, row.run);
         self.started(&key.stage.job);
     }
 
     /// Records a run that isn't the current run of any task; it occupies capacity until it is gone.
-    fn stray(&mut self, now: Ms, id: &WorkerId, row: &Running, size: Option<resource::Size>) {
+    fn stray(&mut self, now: Ms, id: &WorkerId, row: &RunStatus, size: Option<resource::Size>) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let known = worker.strays.get_mut(&row.task);
-        let stray = Stray {
+        let known = worker.orphaned_runs.get_mut(&row.task);
+        let stray = OrphanedRun {
             run: row.run,
             size,
             since: known.as_ref().map_or(now, |stray| stray.since),
             stop_sent: known.as_ref().map_or(0, |stray| stray.stop_sent),
         };
-        let before = worker.strays.insert(row.task.clone(), stray);
+        let before = worker.orphaned_runs.insert(row.task.clone(), stray);
         let before = before.and_then(|stray| stray.size).unwrap_or_default();
         worker.used = worker
             .used
@@ -395,10 +401,10 @@
     }
 
     /// Stops orphaned runs: at once if their job is known, otherwise after [`UNKNOWN_JOB_TIMEOUT`].
-    pub(crate) fn stop_strays(&mut self, now: Ms) {
+    pub(crate) fn stop_orphaned_runs(&mut self, now: Ms) {
         let partial = self.partial;
         for worker in self.workers.values_mut() {
-            for (key, stray) in &mut worker.strays {
+            for (key, stray) in &mut worker.orphaned_runs {
                 let unknown = !partial && now.saturating_sub(stray.since) > UNKNOWN_JOB_TIMEOUT;
                 let due = stray.size.is_some() || unknown;
                 if due && (stray.stop_sent == 0 || now.saturating_sub(stray.stop_sent) > 400) {
--- a/crates/pool/src/replies.rs
+++ b/crates/pool/src/replies.rs
@@ -1,6 +1,6 @@
 //! Handles answers to commands.
 
-use crate::answer::{Answer, StopAnswer};
+use crate::answer::{StartAnswer, StopAnswer};
 use crate::live::Ticket;
 use crate::order::{Ask, Start, Stop};
 use crate::pool::Pool;
@@ -18,7 +18,7 @@
 
 impl Pool {
     /// Handles the answer to a start command.
-    pub fn answered(&mut self, now: Ms, start: &Start, answer: Answer) {
+    pub fn start_answered(&mut self, now: Ms, start: &Start, answer: StartAnswer) {
         let Some(run) = self
             .task_mut(&start.task)
             .and_then(|task| task.run.as_mut())
@@ -28,13 +28,13 @@
         if run.number != start.run || run.worker != start.worker {
             return;
         }
-        let waiting = matches!(run.phase, Phase::Ordered | Phase::Unsure);
+        let waiting = matches!(run.phase, Phase::Starting | Phase::Unconfirmed);
         // If the command was repeated, this is an upper bound of the response time.
-        let took = now.saturating_sub(run.ordered);
+        let took = now.saturating_sub(run.requested_at);
         if let Some(worker) = self.workers.get_mut(&start.worker)
-            && !matches!(answer, Answer::Lost | Answer::Cut)
+            && !matches!(answer, StartAnswer::Lost | StartAnswer::Cut)
         {
-            worker.answers = repeat::usual(worker.answers, took);
+            worker.response_time = repeat::usual(worker.response_time, took);
         }
         let Some(run) = self
             .task_mut(&start.task)
@@ -43,25 +43,25 @@
             return;
         };
         match answer {
-            Answer::Running => {
+            StartAnswer::Running => {
                 run.proven = true;
                 if waiting {
                     run.phase = Phase::Running;
-                    run.moved = now;
+                    run.progressed_at = now;
                     self.loose.remove(&start.task);
                 }
                 self.started(&start.task.stage.job);
                 return;
             }
-            Answer::Lost | Answer::Cut => {
-                run.proven |= answer == Answer::Cut;
-                if run.phase == Phase::Ordered {
-                    run.phase = Phase::Unsure;
+            StartAnswer::Lost | StartAnswer::Cut => {
+                run.proven |= answer == StartAnswer::Cut;
+                if run.phase == Phase::Starting {
+                    run.phase = Phase::Unconfirmed;
                 }
                 self.loose.insert(start.task.clone());
                 return;
             }
-            Answer::Fenced => self.deposed = true,
+            StartAnswer::Fenced => self.deposed = true,
             _ => {}
         }
         // An earlier copy of the command may still be in transit, so a refusal doesn't prove that the task won't start.
@@ -69,29 +69,29 @@
             self.stop_run(&start.task);
             return;
         }
-        self.run_over(now, &start.task, 0);
+        self.end_run(now, &start.task, 0);
         self.break_gang(start);
         match answer {
-            Answer::Unwell | Answer::Away => {
+            StartAnswer::Unwell | StartAnswer::Away => {
                 if let Some(worker) = self.workers.get_mut(&start.worker) {
-                    worker.rest = now + REST;
-                    worker.doubt += 0.5;
+                    worker.paused_until = now + REST;
+                    worker.failure_score += 0.5;
                 }
             }
-            Answer::Room => {
+            StartAnswer::Room => {
                 if let Some(worker) = self.workers.get_mut(&start.worker) {
-                    worker.rest = now + REST_ROOM;
+                    worker.paused_until = now + REST_ROOM;
                 }
             }
-            Answer::Ticket => {
+            StartAnswer::Ticket => {
                 let stage = self.stage_mut(&start.task.stage);
                 if let Some(ticket) =
                     stage.and_then(|stage| stage.advised.allowed.get_mut(&start.worker))
                 {
-                    ticket.until = 0;
+                    ticket.valid_until = 0;
                 }
             }
-            Answer::Unreadable => {
+            StartAnswer::Unreadable => {
                 if let Some(task) = self.task_mut(&start.task) {
                     task.retry = now + 1_000;
                 }
@@ -128,7 +128,7 @@
     }
 
     /// Handles the answer to a stop command.
-    pub fn stopped(&mut self, now: Ms, stop: &Stop, answer: StopAnswer) {
+    pub fn stop_answered(&mut self, now: Ms, stop: &Stop, answer: StopAnswer) {
         match answer {
             StopAnswer::Fenced => self.deposed = true,
             StopAnswer::Stopped(clock) => {
@@ -145,10 +145,15 @@
     }
 
     /// Handles the answer of the advisor; `None` if the query failed.
-    pub fn advised(&mut self, now: Ms, ask: &Ask, allowed: Option<(&[(WorkerId, String)], Ms)>) {
+    pub fn advisor_answered(
+        &mut self,
+        now: Ms,
+        ask: &Ask,
+        allowed: Option<(&[(WorkerId, String)], Ms)>,
+    ) {
         let lives: Vec<u64> = allowed.map_or_else(Vec::new, |(rows, _)| {
             rows.iter()
-                .map(|(id, _)| self.workers.get(id).map_or(0, |worker| worker.born))
+                .map(|(id, _)| self.workers.get(id).map_or(0, |worker| worker.incarnation))
                 .collect()
         });
         self.asking.remove(&ask.stage);
@@ -160,9 +165,9 @@
         let Some(stage) = self.stage_mut(&ask.stage) else {
             return;
         };
-        stage.advised.asking = None;
+        stage.advised.query_since = None;
         let Some((rows, valid)) = allowed else {
-            stage.advised.rest = now + REST_ASK;
+            stage.advised.no_query_before = now + REST_ASK;
             return;
         };
         stage.timeline.advised(now);
@@ -172,8 +177,8 @@
                 id.clone(),
                 Ticket {
                     text: text.clone(),
-                    until: now + valid,
-                    born,
+                    valid_until: now + valid,
+                    incarnation: born,
                 },
             );
         }
@@ -192,5 +197,5 @@
 fn run_repeated(pool: &mut Pool, start: &Start) -> bool {
     pool.task_mut(&start.task)
         .and_then(|task| task.run.as_ref())
-        .is_some_and(|run| run.phase != Phase::Ordered)
+        .is_some_and(|run| run.phase != Phase::Starting)
 }
--- a/crates/pool/src/listing.rs
+++ b/crates/pool/src/report.rs
@@ -4,7 +4,7 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum How {
+pub enum RunOutcome {
     /// It completed successfully.
     Done,
     /// It failed, because of the task or of the worker.
@@ -19,7 +19,7 @@
     Alone,
 }
 
-impl How {
+impl RunOutcome {
     /// Short name for logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -36,13 +36,13 @@
 
 /// Status of a run in progress.
 #[derive(Clone, Debug)]
-pub struct Running {
+pub struct RunStatus {
     /// The task.
     pub task: TaskKey,
     /// Number of the run.
     pub run: u32,
     /// Newest checkpoint; empty if there is none.
-    pub saved: String,
+    pub checkpoint: String,
     /// Progress in percent.
     pub percent: u32,
     /// Response time in milliseconds for a latency-sensitive task; millicores in use for any other.
@@ -51,7 +51,7 @@
 
 /// End of a run.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct RunEnd {
     /// Number of the end, counted from the start of the worker's incarnation.
     pub number: u64,
     /// The task.
@@ -59,24 +59,24 @@
     /// Number of the run.
     pub run: u32,
     /// How the run ended.
-    pub how: How,
+    pub outcome: RunOutcome,
     /// Newest checkpoint; empty if there is none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 /// A worker's answer to a poll.
 #[derive(Clone, Debug, Default)]
-pub struct Listing {
+pub struct WorkerReport {
     /// The worker's clock.
     pub clock: Ms,
     /// Incarnation of the worker in Unix milliseconds; 0 if not reported.
-    pub born: u64,
+    pub incarnation: u64,
     /// End of the lease that the poll requested, on the worker's clock; 0 if it requested none.
     pub lease: Ms,
     /// When the poll was sent, on this process's clock.
-    pub asked: Ms,
+    pub requested_at: Ms,
     /// Runs in progress.
-    pub running: Vec<Running>,
+    pub running: Vec<RunStatus>,
     /// Ends of runs that the worker has not been told to forget.
-    pub ended: Vec<End>,
+    pub ended: Vec<RunEnd>,
 }
--- a/crates/pool/src/scarce.rs
+++ b/crates/pool/src/scarce.rs
@@ -82,13 +82,13 @@
                 Size::new(size.millicores, 0, 0)
             }
         };
-        for worker in self.workers.values().filter(|worker| worker.listed) {
-            let news = &worker.news;
+        for worker in self.workers.values().filter(|worker| worker.registered) {
+            let news = &worker.info;
             if !services.contains_key(&news.service) {
                 services.insert(news.service.clone(), Scarce::default());
             }
             if let Some(service) = services.get_mut(&news.service) {
-                service.room = service.room.plus(counted(news.room));
+                service.room = service.room.plus(counted(news.capacity));
                 service.used = service.used.plus(counted(worker.used));
             }
         }
--- a/crates/pool/src/task.rs
+++ b/crates/pool/src/task.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::crash::Crash;
-use crate::listing::How;
+use crate::report::RunOutcome;
 
 /// Job id, chosen by the caller.
 pub type JobId = Arc<str>;
@@ -49,9 +49,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
     /// The start command was sent and is not answered yet.
-    Ordered,
+    Starting,
     /// The answer was lost: the task may be running, or may still start until the command expires.
-    Unsure,
+    Unconfirmed,
     /// It runs.
     Running,
     /// A stop command was sent; the capacity stays reserved until the worker reports the end of the run.
@@ -68,9 +68,9 @@
     /// Execution state.
     pub phase: Phase,
     /// When the start command was first sent.
-    pub ordered: Ms,
+    pub requested_at: Ms,
     /// Last moment at which the worker may still carry out the start command, on the worker's clock.
-    pub latest: Ms,
+    pub start_deadline: Ms,
     /// How often the start command was sent.
     pub copies: u32,
     /// When the start command was last sent.
@@ -82,7 +82,7 @@
     /// Progress in percent as last reported.
     pub percent: u32,
     /// When the percentage last changed.
-    pub moved: Ms,
+    pub progressed_at: Ms,
     /// Response time in milliseconds for a latency-sensitive task; millicores in use for any other.
     pub load: u32,
     /// Share of full speed at which the run is paced, in percent.
@@ -102,15 +102,15 @@
         Self {
             number,
             worker,
-            phase: Phase::Ordered,
-            ordered: now,
-            latest,
+            phase: Phase::Starting,
+            requested_at: now,
+            start_deadline: latest,
             copies: 1,
             sent: now,
             stop_sent: 0,
             stop_confirmed: 0,
             percent: 0,
-            moved: now,
+            progressed_at: now,
             load: 0,
             pace: 100,
             inherited: false,
@@ -137,13 +137,13 @@
     /// Number of the next run, if it was added to `crashed` before its start command is sent.
     pub announced: Option<u32>,
     /// Newest checkpoint; empty if there is none.
-    pub saved: String,
+    pub checkpoint: String,
     /// The current run.
     pub run: Option<Run>,
     /// Earliest time of the next start.
     pub retry: Ms,
     /// Highest run number that was used or seen.
-    pub top: u32,
+    pub highest_run: u32,
 }
 
 impl Task {
@@ -153,20 +153,22 @@
     }
 
     /// Records the end of a run; returns whether progress must be stored.
-    pub(crate) fn note_end(&mut self, number: u32, how: How, saved: &str) -> bool {
-        self.top = self.top.max(number);
+    pub(crate) fn note_end(&mut self, number: u32, how: RunOutcome, saved: &str) -> bool {
+        self.highest_run = self.highest_run.max(number);
         if !saved.is_empty() && !self.done {
-            self.saved = saved.to_owned();
+            self.checkpoint = saved.to_owned();
         }
         let cleared = self.clear_crash(number);
         let store = match how {
-            How::Done => !std::mem::replace(&mut self.done, true),
-            How::Failed if !self.failed.contains(&number) => {
+            RunOutcome::Done => !std::mem::replace(&mut self.done, true),
+            RunOutcome::Failed if !self.failed.contains(&number) => {
                 self.failed.push(number);
                 true
             }
-            How::Failed => false,
-            How::Stopped | How::Lapsed | How::Broken | How::Alone => !saved.is_empty(),
+            RunOutcome::Failed => false,
+            RunOutcome::Stopped | RunOutcome::Lapsed | RunOutcome::Broken | RunOutcome::Alone => {
+                !saved.is_empty()
+            }
         };
         store || cleared
     }
--- a/crates/pool/src/watch.rs
+++ b/crates/pool/src/watch.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use crate::fit::SUSPECT;
-use crate::listing::How;
 use crate::mechanism::Mechanism;
 use crate::order::{Order, Pace};
 use crate::pool::Pool;
+use crate::report::RunOutcome;
 use crate::task::{Ms, Phase, Run, TaskKey, WorkerId};
 
 /// Time between two looks: listings are no newer than this on most workers.
@@ -44,7 +44,7 @@
             let live = self.jobs.get(&key.stage.job)?;
             live.job.steps.get(usize::from(key.stage.step))
         });
-        let passing = steps.filter(|step| !step.lasting);
+        let passing = steps.filter(|step| !step.long_running);
         let shortest = passing.map(|step| step.estimate).min();
         (shortest.unwrap_or(0) / GATHER_SHARE).min(GATHER_MOST)
     }
@@ -54,7 +54,7 @@
         &mut self,
         now: Ms,
         id: &WorkerId,
-        how: How,
+        how: RunOutcome,
         run: &Run,
         key: &TaskKey,
         lasting: bool,
@@ -72,9 +72,9 @@
                 .filter(|&&number| number != run.number)
                 .count()
         });
-        let took = now.saturating_sub(run.ordered);
-        let plain = !step.fills && !step.gang && run.latest > 0;
-        if how == How::Done && plain && !lasting {
+        let took = now.saturating_sub(run.requested_at);
+        let plain = !step.best_effort && !step.gang && run.start_deadline > 0;
+        if how == RunOutcome::Done && plain && !lasting {
             self.learned.took(&job.queue, took, step.estimate);
         }
         let expected = step.estimate as f64 * self.learned.scale(&job.queue);
@@ -83,18 +83,18 @@
             return;
         };
         match how {
-            How::Done => {
-                worker.doubt = (worker.doubt - WELL).max(0.0);
+            RunOutcome::Done => {
+                worker.failure_score = (worker.failure_score - WELL).max(0.0);
                 if plain && !lasting {
                     let ratio = (took as f64 / expected.max(1.0)).clamp(0.2, 8.0);
                     worker.slowness += 0.1 * (ratio - worker.slowness);
                 }
             }
-            How::Failed if lasting || !doubts => {}
-            How::Failed => {
-                worker.doubt += if before > 0 { FURTHER } else { FIRST };
-                if worker.doubt >= SUSPECT {
-                    worker.rest = worker.rest.max(now + REST_SUSPECT);
+            RunOutcome::Failed if lasting || !doubts => {}
+            RunOutcome::Failed => {
+                worker.failure_score += if before > 0 { FURTHER } else { FIRST };
+                if worker.failure_score >= SUSPECT {
+                    worker.paused_until = worker.paused_until.max(now + REST_SUSPECT);
                 }
             }
             _ => {}
@@ -111,7 +111,7 @@
         let mut still = Vec::new();
         let mut paces = Vec::new();
         for worker in self.workers.values() {
-            if now.saturating_sub(worker.last_hold) > 1_500 {
+            if now.saturating_sub(worker.last_poll) > 1_500 {
                 continue;
             }
             let mut worst = 0.0_f64;
@@ -133,15 +133,15 @@
                 if run.phase != Phase::Running {
                     continue;
                 }
-                if step.target > 0 {
-                    worst = worst.max(f64::from(run.load) / step.target as f64);
+                if step.target_latency > 0 {
+                    worst = worst.max(f64::from(run.load) / step.target_latency as f64);
                 }
-                if step.fills {
+                if step.best_effort {
                     fills.push((key.clone(), run.number, run.pace));
-                } else if !step.lasting {
+                } else if !step.long_running {
                     // One percent of a long task may take longer than that.
                     let patience = STILL.max(step.estimate / 10);
-                    if now.saturating_sub(run.moved) > patience {
+                    if now.saturating_sub(run.progressed_at) > patience {
                         still.push((key.clone(), Arc::clone(&worker.id)));
                     }
                 }
@@ -159,9 +159,9 @@
         for (key, id) in still {
             self.stop_run(&key);
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.doubt += 1.5;
-                if worker.doubt >= SUSPECT {
-                    worker.rest = worker.rest.max(now + REST_SUSPECT);
+                worker.failure_score += 1.5;
+                if worker.failure_score >= SUSPECT {
+                    worker.paused_until = worker.paused_until.max(now + REST_SUSPECT);
                 }
             }
         }
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -11,7 +11,7 @@
 
 /// Description of a worker in the directory of workers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
+pub struct WorkerInfo {
     /// Network address.
     pub address: String,
     /// Service that the worker belongs to.
@@ -23,11 +23,11 @@
     /// Labels that steps can require.
     pub labels: Vec<String>,
     /// Total capacity.
-    pub room: Size,
+    pub capacity: Size,
     /// Set if the worker is draining: the minimum time until it leaves, in milliseconds.
     pub draining: Option<Ms>,
     /// Start time of the worker process in Unix milliseconds; 0 if not reported. It identifies the incarnation of the worker.
-    pub born: u64,
+    pub incarnation: u64,
 }
 
 /// A worker that can't be reached or is about to leave, with the runs it may have.
@@ -35,19 +35,20 @@
 /// The owner starts nothing on such a worker and stores this list. A new owner that can't reach the worker either then has to
 /// hold back only these tasks, instead of every task that may have been started anywhere.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Silent {
+pub struct UnavailableWorker {
     /// Id of the worker.
     pub worker: WorkerId,
     /// Runs that the worker may have.
     pub runs: Vec<(TaskKey, u32)>,
     /// Incarnation of the worker that has these runs, in Unix milliseconds; 0 if unknown.
     #[serde(default)]
-    pub born: u64,
+    #[serde(rename = "born")]
+    pub incarnation: u64,
 }
 
 /// A run on a worker that isn't the current run of any task.
 #[derive(Clone, Debug)]
-pub(crate) struct Stray {
+pub(crate) struct OrphanedRun {
     /// Number of the run.
     pub run: u32,
     /// Reserved resources, if the job is known.
@@ -75,47 +76,47 @@
     /// Id of the worker.
     pub id: WorkerId,
     /// Description in the directory.
-    pub news: News,
+    pub info: WorkerInfo,
     /// Whether the directory contains the worker.
-    pub listed: bool,
+    pub registered: bool,
     /// Whether the worker is in the stored roster, so that the next owner will know about it.
-    pub(crate) enrolled: bool,
+    pub(crate) in_stored_roster: bool,
     /// Ends reported by the worker whose jobs aren't known.
     pub(crate) unknown_ends: Option<UnknownEnds>,
     /// Whether the worker has answered a poll of this epoch, and so rejects commands of earlier epochs.
     pub(crate) fenced: bool,
     /// When the current incarnation first answered.
-    pub(crate) life_since: Ms,
+    pub(crate) incarnation_since: Ms,
     /// Incarnation that answered last, in Unix milliseconds.
-    pub(crate) born: u64,
+    pub(crate) incarnation: u64,
     /// The worker's clock as last reported, and this process's clock when the report arrived.
     pub(crate) clock: (Ms, Ms),
     /// Whether the latest poll got no answer.
     pub(crate) unresponsive: bool,
     /// Typical time until a command is answered, in milliseconds; 0 if none has been.
-    pub(crate) answers: Ms,
+    pub(crate) response_time: Ms,
     /// When the latest poll that the worker answered was sent.
-    pub(crate) last_hold: Ms,
+    pub(crate) last_poll: Ms,
     /// The worker's lease has certainly expired at this time, unless it is renewed.
-    pub(crate) lapses: Ms,
+    pub(crate) lease_expires_at: Ms,
     /// Estimated time at which a draining worker leaves.
-    pub(crate) leaves: Option<Ms>,
+    pub(crate) leaves_at: Option<Ms>,
     /// Reserved capacity, including that of runs whose state is unknown.
     pub(crate) used: Size,
     /// Runs that are the current runs of their tasks.
     pub(crate) runs: FxHashMap<TaskKey, u32>,
     /// All other runs.
-    pub(crate) strays: FxHashMap<TaskKey, Stray>,
+    pub(crate) orphaned_runs: FxHashMap<TaskKey, OrphanedRun>,
     /// Ends up to and including this number have been applied.
-    pub(crate) applied: u64,
+    pub(crate) ends_applied: u64,
     /// Numbers of ends that were applied although an earlier one was not.
-    pub(crate) beyond: BTreeSet<u64>,
+    pub(crate) applied_out_of_order: BTreeSet<u64>,
     /// Ends up to and including this number are stored.
-    pub(crate) noted: u64,
+    pub(crate) ends_stored: u64,
     /// Nothing is started on the worker before this time.
-    pub(crate) rest: Ms,
+    pub(crate) paused_until: Ms,
     /// Evidence that runs fail because of the worker; see [`crate::fit::SUSPECT`].
-    pub(crate) doubt: f64,
+    pub(crate) failure_score: f64,
     /// Ratio of observed run time to the estimate as corrected per queue; 1 is as expected.
     pub(crate) slowness: f64,
 }
@@ -123,11 +124,11 @@
 impl Worker {
     /// Whether nothing is started on the worker because it can't be reached or is about to leave.
     #[must_use]
-    pub fn silent(&self, now: Ms) -> bool {
+    pub fn is_unavailable(&self, now: Ms) -> bool {
         self.fenced
             && (self.unresponsive
-                || self.leaves.is_some()
-                || now.saturating_sub(self.last_hold) >= Self::SILENCE)
+                || self.leaves_at.is_some()
+                || now.saturating_sub(self.last_poll) >= Self::UNAVAILABLE_AFTER)
     }
 
     /// Whether the current incarnation has answered the latest poll.
@@ -145,13 +146,13 @@
     /// Time without an answer after which an answer of this worker counts as overdue, in milliseconds.
     #[must_use]
     pub fn overdue_after(&self) -> Ms {
-        repeat::delay(self.answers, 1)
+        repeat::delay(self.response_time, 1)
     }
 
     /// Whether the worker has answered a poll that was sent at `asked` or later.
     #[must_use]
     pub fn answered_since(&self, asked: Ms) -> bool {
-        self.last_hold >= asked
+        self.last_poll >= asked
     }
 
     /// Estimate of the worker's clock at `now`; 0 if it was never reported.
@@ -165,8 +166,8 @@
 
     /// Capacity that is not reserved.
     #[must_use]
-    pub fn free(&self) -> Size {
-        let (room, used) = (self.news.room, self.used);
+    pub fn free_capacity(&self) -> Size {
+        let (room, used) = (self.info.capacity, self.used);
         Size::new(
             room.millicores.saturating_sub(used.millicores),
             room.memory_mib.saturating_sub(used.memory_mib),
@@ -176,23 +177,26 @@
 
     /// Whether a task may be started on the worker at `now`.
     #[must_use]
-    pub fn takes(&self, now: Ms) -> bool {
-        let unknown_strays = self.strays.values().any(|stray| stray.size.is_none());
-        self.listed
-            && self.enrolled
+    pub fn accepts_starts(&self, now: Ms) -> bool {
+        let unknown_strays = self
+            .orphaned_runs
+            .values()
+            .any(|stray| stray.size.is_none());
+        self.registered
+            && self.in_stored_roster
             && self.fenced
-            && self.rest <= now
+            && self.paused_until <= now
             && !unknown_strays
-            && !self.silent(now)
+            && !self.is_unavailable(now)
     }
 
     /// A worker that hasn't answered a poll for this long gets no new tasks: it is most likely partitioned or down, and the
     /// outcome of each command would be unknown. Polls return every 0.7 s, so one of them may be lost.
-    pub const SILENCE: Ms = 1_600;
+    pub const UNAVAILABLE_AFTER: Ms = 1_600;
 
     /// Incarnation, number of applied ends and number of stored ends, as sent with the next poll.
     #[must_use]
-    pub fn ends(&self) -> (u64, u64, u64) {
-        (self.born, self.applied, self.noted)
+    pub fn end_cursor(&self) -> (u64, u64, u64) {
+        (self.incarnation, self.ends_applied, self.ends_stored)
     }
 }
--- a/crates/pool/tests/advice.rs
+++ b/crates/pool/tests/advice.rs
@@ -5,8 +5,8 @@
 #[allow(dead_code, reason = "other test files use the rest")]
 mod world;
 
-use case::{adopt, end, hold, hold_all, list_workers, pool, run};
-use pool::{Advice, Answer, How, Job, Options, Order, Pool, Start};
+use case::{adopt, end, pool, register_workers, report, report_all, run};
+use pool::{AdvisorPolicy, Job, Options, Order, Pool, RunOutcome, Start, StartAnswer};
 use world::{UNIX, job};
 
 /// A pool whose two workers are full, and which may ask the advisor four questions at once.
@@ -15,7 +15,7 @@
         askers: 4,
         ..Options::default()
     });
-    list_workers(&mut pool, 2);
+    register_workers(&mut pool, 2);
     adopt(
         &mut pool,
         1_000,
@@ -29,10 +29,10 @@
 /// A job of one task, about which a question takes half a second.
 fn slowly_advised(id: &str, millicores: u64) -> Job {
     let mut advised = job(id, &[(1, millicores, 500)]);
-    advised.policy.advice = Some(Advice {
-        base: 490.0,
-        each: 7.0,
-        valid: 2_000,
+    advised.policy.advice = Some(AdvisorPolicy {
+        base_ms: 490.0,
+        per_worker_ms: 7.0,
+        ticket_lifetime: 2_000,
     });
     advised
 }
@@ -42,10 +42,10 @@
 fn advised_steps_need_a_ticket() {
     let mut pool = pool(3);
     let mut advised = job("00000000000000a1", &[(2, 3_000, 500)]);
-    advised.policy.advice = Some(Advice {
-        base: 20.0,
-        each: 1.0,
-        valid: 2_000,
+    advised.policy.advice = Some(AdvisorPolicy {
+        base_ms: 20.0,
+        per_worker_ms: 1.0,
+        ticket_lifetime: 2_000,
     });
     adopt(&mut pool, 1_000, advised);
     let orders = pool.plan(1_001, UNIX);
@@ -54,7 +54,7 @@
     };
     assert!(pool.plan(1_010, UNIX).is_empty(), "and only once");
     let rows = vec![(ask.workers[0].clone(), "t1".to_owned())];
-    pool.advised(1_050, ask, Some((&rows, 2_000)));
+    pool.advisor_answered(1_050, ask, Some((&rows, 2_000)));
     let orders = pool.plan(1_051, UNIX);
     let Some(Order::Start(start)) = orders.first() else {
         panic!("{orders:?}");
@@ -63,9 +63,9 @@
         (start.ticket.as_str(), &start.worker),
         ("t1", &ask.workers[0])
     );
-    pool.answered(1_060, start, Answer::Ticket);
+    pool.start_answered(1_060, start, StartAnswer::Ticket);
     for id in ["w00", "w01", "w02"] {
-        hold(&mut pool, 1_070, &id.into(), vec![], vec![]);
+        report(&mut pool, 1_070, &id.into(), vec![], vec![]);
     }
     let again = pool.plan(1_080, UNIX);
     let asked: Vec<_> = again
@@ -93,13 +93,13 @@
     };
     assert_eq!(ask.workers.len(), 2, "all, since each adds little");
     let first = full[0].worker.clone();
-    pool.advised(
+    pool.advisor_answered(
         1_550,
         ask,
         Some((&[(first.clone(), "t".to_owned())], 2_000)),
     );
-    let done = vec![end(&full[0], 1, How::Done)];
-    hold(&mut pool, 1_600, &first, vec![], done);
+    let done = vec![end(&full[0], 1, RunOutcome::Done)];
+    report(&mut pool, 1_600, &first, vec![], done);
     let started = run(&mut pool, 1_601);
     assert_eq!(started.len(), 1);
     assert_eq!(
@@ -126,10 +126,10 @@
     let mut pool = pool(4);
     let mut spread = job("00000000000000a2", &[(2, 100, 500)]);
     spread.steps[0].per_worker = 1;
-    spread.policy.advice = Some(Advice {
-        base: 20.0,
-        each: 1.0,
-        valid: 2_000,
+    spread.policy.advice = Some(AdvisorPolicy {
+        base_ms: 20.0,
+        per_worker_ms: 1.0,
+        ticket_lifetime: 2_000,
     });
     adopt(&mut pool, 1_000, spread);
     let orders = pool.plan(1_001, UNIX);
@@ -137,12 +137,12 @@
         panic!("{orders:?}");
     };
     let rows = vec![(first.workers[0].clone(), "t1".to_owned())];
-    pool.advised(1_050, first, Some((&rows, 50)));
+    pool.advisor_answered(1_050, first, Some((&rows, 50)));
     // The ticket has run out when the start is due, so the worker is asked about again, and runs one task.
-    pool.advised(1_051, first, Some((&rows, 2_000)));
+    pool.advisor_answered(1_051, first, Some((&rows, 2_000)));
     let started = run(&mut pool, 1_060);
     assert_eq!(started.len(), 1);
-    hold_all(&mut pool, 3_300, &started);
+    report_all(&mut pool, 3_300, &started);
     let orders = pool.plan(3_400, UNIX);
     for order in &orders {
         if let Order::Ask(ask) = order {
@@ -171,21 +171,21 @@
         askers: 4,
         ..Options::default()
     });
-    list_workers(&mut pool, 8);
+    register_workers(&mut pool, 8);
     for at in 0..too_large {
         let mut large = slowly_advised(&format!("{at:016x}"), 1_000);
-        large.steps[0].lasting = true;
+        large.steps[0].long_running = true;
         large.steps[0].size = resource::Size::new(1_000_000, 1, 0);
         large.policy.priority = 1;
         adopt(&mut pool, 1_000, large);
     }
     let mut lasting = slowly_advised("00000000000000c0", 1_000);
-    lasting.steps[0].lasting = true;
+    lasting.steps[0].long_running = true;
     lasting.policy.priority = 1;
     adopt(&mut pool, 1_000, lasting);
     let mut under_way = Vec::new();
     for now in (1_010..4_010).step_by(100) {
-        hold_all(&mut pool, now, &[]);
+        report_all(&mut pool, now, &[]);
         for at in 0..4 {
             let mut short = slowly_advised(&format!("{now:015x}{at}"), 100);
             short.accepted = UNIX + now;
@@ -194,7 +194,7 @@
         under_way.retain(|(sent, ask): &(u64, pool::Ask)| {
             let over = now - sent >= 300;
             if over {
-                pool.advised(now, ask, Some((&[], 2_000)));
+                pool.advisor_answered(now, ask, Some((&[], 2_000)));
             }
             !over
         });
@@ -218,13 +218,13 @@
         askers: 20,
         ..Options::default()
     });
-    list_workers(&mut pool, 60);
+    register_workers(&mut pool, 60);
     for at in 0..3 {
         let mut advised = job(&format!("00000000000000d{at}"), &[(4, 2_000, 500)]);
-        advised.policy.advice = Some(Advice {
-            base: 30.0,
-            each: 0.5,
-            valid: 2_000,
+        advised.policy.advice = Some(AdvisorPolicy {
+            base_ms: 30.0,
+            per_worker_ms: 0.5,
+            ticket_lifetime: 2_000,
         });
         adopt(&mut pool, 1_010, advised);
     }
--- a/crates/pool/tests/case/mod.rs
+++ b/crates/pool/tests/case/mod.rs
@@ -4,7 +4,10 @@
 
 use std::sync::Arc;
 
-use pool::{Answer, End, How, Job, Listing, News, Options, Order, Pool, Running, Start, WorkerId};
+use pool::{
+    Job, Options, Order, Pool, RunEnd, RunOutcome, RunStatus, Start, StartAnswer, WorkerId,
+    WorkerInfo, WorkerReport,
+};
 use resource::Size;
 
 use crate::world::UNIX;
@@ -12,62 +15,62 @@
 /// A pool with workers that have reported at time 1000.
 pub(crate) fn pool(workers: usize) -> Pool {
     let mut pool = Pool::new(Options::default());
-    list_workers(&mut pool, workers);
+    register_workers(&mut pool, workers);
     pool
 }
 
-pub(crate) fn list_workers(pool: &mut Pool, workers: usize) {
+pub(crate) fn register_workers(pool: &mut Pool, workers: usize) {
     let ids: Vec<WorkerId> = (0..workers).map(|at| format!("w{at:02}").into()).collect();
     for (at, id) in ids.iter().enumerate() {
-        let news = News {
+        let news = WorkerInfo {
             address: id.to_string(),
             service: "s".into(),
             rack: format!("r{}", at / 2),
             labels: vec!["a".into(), format!("r{}", at / 2)],
-            room: Size::new(4_000, 10_000, 0),
-            born: 1,
-            ..News::default()
+            capacity: Size::new(4_000, 10_000, 0),
+            incarnation: 1,
+            ..WorkerInfo::default()
         };
         pool.listed(1_000, id, news);
     }
     pool.enroll(&ids);
     for id in &ids {
-        hold(pool, 1_000, id, vec![], vec![]);
+        report(pool, 1_000, id, vec![], vec![]);
     }
 }
 
-pub(crate) fn hold(
+pub(crate) fn report(
     pool: &mut Pool,
     now: u64,
     id: &WorkerId,
-    running: Vec<Running>,
-    ended: Vec<End>,
+    running: Vec<RunStatus>,
+    ended: Vec<RunEnd>,
 ) {
-    let listing = Listing {
+    let listing = WorkerReport {
         clock: now + 50_000,
-        born: 1,
+        incarnation: 1,
         lease: now + 55_000,
-        asked: now,
+        requested_at: now,
         running,
         ended,
     };
-    pool.apply_listing(now, UNIX + now, id, &listing);
+    pool.apply_report(now, UNIX + now, id, &listing);
 }
 
-pub(crate) fn hold_all(pool: &mut Pool, now: u64, runs: &[Start]) {
+pub(crate) fn report_all(pool: &mut Pool, now: u64, runs: &[Start]) {
     let ids: Vec<WorkerId> = pool.workers().map(|worker| worker.id.clone()).collect();
     for id in ids {
         let there = runs.iter().filter(|start| start.worker == id);
         let running = there
-            .map(|start| Running {
+            .map(|start| RunStatus {
                 task: start.task.clone(),
                 run: start.run,
-                saved: "c1".into(),
+                checkpoint: "c1".into(),
                 percent: (now / 100 % 100) as u32,
                 load: 0,
             })
             .collect();
-        hold(pool, now, &id, running, vec![]);
+        report(pool, now, &id, running, vec![]);
     }
 }
 
@@ -93,17 +96,17 @@
 pub(crate) fn run(pool: &mut Pool, now: u64) -> Vec<Start> {
     let started = starts(pool.plan(now, UNIX + now));
     for start in &started {
-        pool.answered(now + 5, start, Answer::Running);
+        pool.start_answered(now + 5, start, StartAnswer::Running);
     }
     started
 }
 
-pub(crate) fn end(start: &Start, number: u64, how: How) -> End {
-    End {
+pub(crate) fn end(start: &Start, number: u64, how: RunOutcome) -> RunEnd {
+    RunEnd {
         number,
         task: start.task.clone(),
         run: start.run,
-        how,
-        saved: String::new(),
+        outcome: how,
+        checkpoint: String::new(),
     }
 }
--- a/crates/pool/tests/late_holds.rs
+++ b/crates/pool/tests/late_holds.rs
@@ -5,8 +5,8 @@
 #[allow(dead_code, reason = "used by other test files")]
 mod world;
 
-use case::{adopt, hold, pool, run};
-use pool::Listing;
+use case::{adopt, pool, report, run};
+use pool::WorkerReport;
 use world::{UNIX, job};
 
 /// Guards against a second start of a running task. A worker reports its runs before a start command reaches it, and the report
@@ -24,17 +24,17 @@
     let (now, asked) = (5_100, 1_005);
     let ids = ["w00", "w01", "w02"].map(pool::WorkerId::from);
     for id in ids.iter().filter(|id| **id != started[0].worker) {
-        hold(&mut pool, now, id, vec![], vec![]);
+        report(&mut pool, now, id, vec![], vec![]);
     }
-    let late = Listing {
+    let late = WorkerReport {
         clock: asked + 50_000,
-        born: 1,
+        incarnation: 1,
         lease: asked + 56_000,
-        asked,
+        requested_at: asked,
         running: vec![],
         ended: vec![],
     };
-    pool.apply_listing(now, UNIX + now, &started[0].worker, &late);
+    pool.apply_report(now, UNIX + now, &started[0].worker, &late);
     assert_eq!(run(&mut pool, now + 1).len(), 0, "it is still running");
 }
 
@@ -48,21 +48,21 @@
     let started = run(&mut pool, 1_010);
     assert_eq!(started.len(), 1);
     let first = &started[0];
-    let end = pool::End {
+    let end = pool::RunEnd {
         number: 1,
         task: first.task.clone(),
         run: first.run,
-        how: pool::How::Done,
-        saved: String::new(),
+        outcome: pool::RunOutcome::Done,
+        checkpoint: String::new(),
     };
-    let restarted = Listing {
+    let restarted = WorkerReport {
         clock: 500,
-        born: 2,
+        incarnation: 2,
         lease: 6_500,
-        asked: 1_500,
+        requested_at: 1_500,
         running: vec![],
         ended: vec![end],
     };
-    pool.apply_listing(1_510, UNIX + 1_510, &first.worker, &restarted);
+    pool.apply_report(1_510, UNIX + 1_510, &first.worker, &restarted);
     assert_eq!(run(&mut pool, 1_520).len(), 0, "the task is done");
 }
--- a/crates/pool/tests/losses.rs
+++ b/crates/pool/tests/losses.rs
@@ -5,19 +5,19 @@
 #[allow(dead_code, reason = "used by other test files")]
 mod world;
 
-use case::{adopt, hold_all, pool, run};
-use pool::{Listing, Loss, Pool};
+use case::{adopt, pool, report_all, run};
+use pool::{Loss, Pool, WorkerReport};
 use world::{UNIX, job};
 
 fn restart(pool: &mut Pool, now: u64, id: &str) {
-    let listing = Listing {
+    let listing = WorkerReport {
         clock: 10,
-        born: 2,
+        incarnation: 2,
         lease: 0,
-        asked: now,
-        ..Listing::default()
+        requested_at: now,
+        ..WorkerReport::default()
     };
-    pool.apply_listing(now, UNIX + now, &id.into(), &listing);
+    pool.apply_report(now, UNIX + now, &id.into(), &listing);
 }
 
 /// Guards against losses that can't be told apart: a crash of the worker from a lease that was not renewed, and a run that had
@@ -32,7 +32,7 @@
     );
     let started = run(&mut pool, 1_000);
     assert_eq!(started.len(), 2);
-    hold_all(&mut pool, 2_500, &started);
+    report_all(&mut pool, 2_500, &started);
     restart(&mut pool, 3_000, &started[0].worker);
     let lost = pool.take_lost_runs();
     assert_eq!(lost.len(), 1);
--- a/crates/pool/tests/lost_answers.rs
+++ b/crates/pool/tests/lost_answers.rs
@@ -9,7 +9,7 @@
 mod world;
 
 use case::{adopt, pool, starts};
-use pool::{Answer, Ms, Pool, Start};
+use pool::{Ms, Pool, Start, StartAnswer};
 use world::{UNIX, World, job};
 
 /// Runs a scheduling pass every 5 ms from `from` to `to`; returns the start commands with the times at which they were issued.
@@ -29,7 +29,7 @@
     let mut pool = pool(1);
     adopt(&mut pool, 1_000, job("00000000000000q1", &[(1, 100, 500)]));
     let first = start_commands(&mut pool, 1_000, 1_010);
-    pool.answered(1_045, &first[0].1, Answer::Running);
+    pool.start_answered(1_045, &first[0].1, StartAnswer::Running);
     adopt(&mut pool, 2_000, job("00000000000000q2", &[(1, 100, 500)]));
     let given = start_commands(&mut pool, 2_000, 2_300);
     assert!(given.len() > 1, "the command is repeated: {given:?}");
@@ -65,7 +65,7 @@
     adopt(&mut pool, 1_000, job("00000000000000q1", &[(1, 100, 500)]));
     let given = start_commands(&mut pool, 1_000, 1_300);
     assert!(given.len() > 1);
-    pool.answered(1_300, &given[0].1, Answer::Room);
+    pool.start_answered(1_300, &given[0].1, StartAnswer::Room);
     assert_eq!(start_commands(&mut pool, 1_300, 1_500).len(), 0);
 }
 
--- a/crates/pool/tests/misfits.rs
+++ b/crates/pool/tests/misfits.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Arc;
 
-use case::{hold, hold_all, pool, starts};
+use case::{pool, report, report_all, starts};
 use world::{UNIX, job};
 
 /// A gang needs all four workers and one of them is gone. After a while in which it might have come back the job is to go to
@@ -31,7 +31,7 @@
     let mut leave = Vec::new();
     for now in (1_200..5_000).step_by(100) {
         for id in ["w00", "w01", "w02"] {
-            hold(&mut pool, now, &id.into(), vec![], vec![]);
+            report(&mut pool, now, &id.into(), vec![], vec![]);
         }
         leave = pool.misfits(now);
         if !leave.is_empty() {
@@ -70,7 +70,7 @@
         false,
     );
     for now in (1_100..9_000).step_by(100) {
-        hold_all(&mut pool, now, &runs);
+        report_all(&mut pool, now, &runs);
         assert!(pool.misfits(now).is_empty());
     }
 }
--- a/crates/pool/tests/policies.rs
+++ b/crates/pool/tests/policies.rs
@@ -5,10 +5,10 @@
 #[allow(dead_code, reason = "other test files use the rest")]
 mod world;
 
-use case::{adopt, end, hold, hold_all, pool, run, starts, stops};
+use case::{adopt, end, pool, report, report_all, run, starts, stops};
 use pool::pace::Tempo;
 use pool::rank::{Claim, rank};
-use pool::{Answer, How, News, Order, Pool, State, WorkerId};
+use pool::{Order, Pool, RunOutcome, StartAnswer, State, WorkerId, WorkerInfo};
 use resource::Size;
 use world::{UNIX, World, job};
 
@@ -67,9 +67,9 @@
         0,
         "there is room for two of four"
     );
-    let done = vec![end(&filling[0], 1, How::Done)];
+    let done = vec![end(&filling[0], 1, RunOutcome::Done)];
     let worker = filling[0].worker.clone();
-    hold(&mut pool, 1_200, &worker, vec![], done);
+    report(&mut pool, 1_200, &worker, vec![], done);
     let started = run(&mut pool, 1_201);
     assert_eq!(started.len(), 4);
     assert!(started.iter().all(|start| start.run == started[0].run));
@@ -83,9 +83,9 @@
     gang.steps[0].gang = true;
     adopt(&mut pool, 1_000, gang);
     let started = starts(pool.plan(1_001, UNIX));
-    pool.answered(1_005, &started[0], Answer::Running);
-    pool.answered(1_005, &started[1], Answer::Room);
-    pool.answered(1_006, &started[2], Answer::Running);
+    pool.start_answered(1_005, &started[0], StartAnswer::Running);
+    pool.start_answered(1_005, &started[1], StartAnswer::Room);
+    pool.start_answered(1_006, &started[2], StartAnswer::Running);
     assert_eq!(stops(&pool.plan(1_010, UNIX)), 2);
 }
 
@@ -95,7 +95,7 @@
     let mut pool = pool(4);
     let mut spread = job("00000000000000s1", &[(3, 100, 500), (2, 100, 500)]);
     spread.steps[0].per_worker = 1;
-    spread.steps[0].near = "r1".into();
+    spread.steps[0].data_rack = "r1".into();
     spread.steps[1].label = "r0".into();
     adopt(&mut pool, 1_000, spread);
     let first = run(&mut pool, 1_001);
@@ -113,8 +113,8 @@
             0,
             "the first step isn't done"
         );
-        let done = vec![end(start, 1, How::Done)];
-        hold(
+        let done = vec![end(start, 1, RunOutcome::Done)];
+        report(
             &mut pool,
             1_100 + number as u64,
             &start.worker,
@@ -140,15 +140,15 @@
     doomed.policy.attempts = 2;
     adopt(&mut pool, 1_000, doomed);
     let first = run(&mut pool, 1_001);
-    let failed = end(&first[0], 1, How::Failed);
-    hold(
+    let failed = end(&first[0], 1, RunOutcome::Failed);
+    report(
         &mut pool,
         1_100,
         &first[0].worker,
         vec![],
         vec![failed.clone()],
     );
-    hold(&mut pool, 1_110, &first[0].worker, vec![], vec![failed]);
+    report(&mut pool, 1_110, &first[0].worker, vec![], vec![failed]);
     let second = run(&mut pool, 1_200);
     assert_eq!(second.len(), 1, "one attempt is left");
     let number = if second[0].worker == first[0].worker {
@@ -156,10 +156,10 @@
     } else {
         1
     };
-    let failed = end(&second[0], number, How::Failed);
-    hold(&mut pool, 1_300, &second[0].worker, vec![], vec![failed]);
+    let failed = end(&second[0], number, RunOutcome::Failed);
+    report(&mut pool, 1_300, &second[0].worker, vec![], vec![failed]);
     let batch = pool.batch(80);
-    pool.saved(&batch);
+    pool.batch_stored(&batch);
     assert_eq!(pool.state("00000000000000d1"), Some(State::Failed));
     assert_eq!(run(&mut pool, 1_400).len(), 0);
 }
@@ -169,16 +169,16 @@
 fn a_lasting_task_is_started_again() {
     let mut pool = pool(2);
     let mut lasting = job("00000000000000l1", &[(1, 100, 0)]);
-    lasting.steps[0].lasting = true;
+    lasting.steps[0].long_running = true;
     adopt(&mut pool, 1_000, lasting);
     let mut number = 0;
     let mut now = 1_001;
     for how in [
-        How::Failed,
-        How::Lapsed,
-        How::Done,
-        How::Failed,
-        How::Failed,
+        RunOutcome::Failed,
+        RunOutcome::Lapsed,
+        RunOutcome::Done,
+        RunOutcome::Failed,
+        RunOutcome::Failed,
     ] {
         let started = run(&mut pool, now);
         assert_eq!(started.len(), 1, "after {number} ends");
@@ -190,7 +190,7 @@
             } else {
                 vec![]
             };
-            hold(&mut pool, now + 10, id, vec![], ended);
+            report(&mut pool, now + 10, id, vec![], ended);
         }
         now += 500;
     }
@@ -202,7 +202,7 @@
 fn leaving_workers_are_emptied() {
     let mut pool = pool(1);
     let mut lasting = job("00000000000000l2", &[(1, 100, 0)]);
-    lasting.steps[0].lasting = true;
+    lasting.steps[0].long_running = true;
     let mut saving = job("00000000000000v1", &[(1, 100, 60_000)]);
     saving.steps[0].checkpoints = true;
     let plain = job("00000000000000p1", &[(1, 100, 60_000)]);
@@ -212,29 +212,29 @@
     let runs = run(&mut pool, 1_001);
     assert_eq!(runs.len(), 3);
     let leaving = |pool: &mut Pool, now| {
-        let mut news = pool.worker("w00").expect("it is there").news.clone();
+        let mut news = pool.worker("w00").expect("it is there").info.clone();
         news.draining = Some(3_000);
         pool.listed(now, &"w00".into(), news);
     };
     leaving(&mut pool, 1_100);
-    hold_all(&mut pool, 1_200, &runs);
+    report_all(&mut pool, 1_200, &runs);
     assert_eq!(
         stops(&pool.plan(1_300, UNIX)),
         0,
         "there is no other worker"
     );
-    let news = News {
+    let news = WorkerInfo {
         service: "s".into(),
-        room: Size::new(4_000, 10_000, 0),
-        born: 1,
-        ..News::default()
+        capacity: Size::new(4_000, 10_000, 0),
+        incarnation: 1,
+        ..WorkerInfo::default()
     };
     pool.listed(1_300, &"w01".into(), news);
     pool.enroll(&["w00".into(), "w01".into()]);
-    hold_all(&mut pool, 1_400, &runs);
+    report_all(&mut pool, 1_400, &runs);
     assert_eq!(stops(&pool.plan(1_600, UNIX)), 1, "the lasting one moves");
     for now in [2_000, 2_600, 3_100] {
-        hold_all(&mut pool, now, &runs);
+        report_all(&mut pool, now, &runs);
     }
     let orders = pool.plan(3_200, UNIX);
     let saved = orders.iter().any(
--- a/crates/pool/tests/schedules.rs
+++ b/crates/pool/tests/schedules.rs
@@ -14,7 +14,7 @@
 /// A worker on which something runs, as the first owner knows it.
 fn busy_worker(world: &World) -> WorkerId {
     let mut workers = world.owners[0].pool.workers();
-    let busy = workers.find(|worker| worker.free().millicores < 4_000);
+    let busy = workers.find(|worker| worker.free_capacity().millicores < 4_000);
     busy.expect("something runs").id.clone()
 }
 
@@ -55,7 +55,7 @@
         if world.owners[0]
             .pool
             .worker(&id(at))
-            .is_some_and(|worker| worker.free().millicores < 4_000)
+            .is_some_and(|worker| worker.free_capacity().millicores < 4_000)
         {
             world.cut(&id(at), 2);
         }
@@ -89,7 +89,7 @@
     world.pass(1_500);
     assert_eq!(world.stored("00000000000000bb"), Some(State::Completed));
     assert!(
-        !world.owners[1].pool.unseen().is_empty(),
+        !world.owners[1].pool.unconfirmed_workers().is_empty(),
         "the former owner's worker is still dark"
     );
     world.pass(16_000);
@@ -233,7 +233,7 @@
         .pool
         .worker("w00")
         .expect("it is there")
-        .news
+        .info
         .clone();
     news.draining = Some(2_000);
     let now = world.now;
@@ -343,7 +343,7 @@
     world.owners[0].over = true;
     world.take();
     let now = world.now;
-    world.owners[1].pool.set_partial(now, true);
+    world.owners[1].pool.set_jobs_incomplete(now, true);
     world.weather.store = true;
     world.pass(5_000);
     for at in 10..14 {
@@ -358,7 +358,7 @@
         world.tell(job);
     }
     let now = world.now;
-    world.owners[1].pool.set_partial(now, false);
+    world.owners[1].pool.set_jobs_incomplete(now, false);
     world.pass(5_000);
     assert_eq!(world.broken, Vec::<String>::new());
     assert_eq!(world.unfinished(), 0);
--- a/crates/pool/tests/suspects.rs
+++ b/crates/pool/tests/suspects.rs
@@ -7,43 +7,43 @@
 
 use std::sync::Arc;
 
-use case::{adopt, end, hold, hold_all, list_workers, pool, run, starts};
+use case::{adopt, end, pool, register_workers, report, report_all, run, starts};
 use pool::{
-    Answer, End, How, Job, Listing, Ms, Options, Order, Pool, Progress, Start, State, StopAnswer,
-    WorkerId,
+    Job, Ms, Options, Order, Pool, Progress, RunEnd, RunOutcome, Start, StartAnswer, State,
+    StopAnswer, WorkerId, WorkerReport,
 };
 use world::{UNIX, job};
 
 /// Stores all pending progress; returns the progress of the last job in the batch.
 fn store(pool: &mut Pool) -> Option<Progress> {
     let batch = pool.batch(80);
-    pool.saved(&batch);
+    pool.batch_stored(&batch);
     batch.rows.last().map(|(_, progress)| progress.clone())
 }
 
 /// The worker of a start command reports with a new incarnation.
 fn restart(pool: &mut Pool, now: Ms, start: &Start, life: u64) {
-    let listing = Listing {
+    let listing = WorkerReport {
         clock: 10 + now % 100,
-        born: 1 + life,
+        incarnation: 1 + life,
         lease: 1_000_000,
-        asked: now,
-        ..Listing::default()
+        requested_at: now,
+        ..WorkerReport::default()
     };
-    pool.apply_listing(now, UNIX + now, &start.worker, &listing);
+    pool.apply_report(now, UNIX + now, &start.worker, &listing);
 }
 
 /// A worker reports with its current incarnation: it has no runs, and these have ended.
-fn answer(pool: &mut Pool, now: Ms, id: &WorkerId, ended: Vec<End>) {
-    let listing = Listing {
+fn answer(pool: &mut Pool, now: Ms, id: &WorkerId, ended: Vec<RunEnd>) {
+    let listing = WorkerReport {
         clock: now + 50_000,
-        born: pool.worker(id).map_or(0, |worker| worker.ends().0),
+        incarnation: pool.worker(id).map_or(0, |worker| worker.end_cursor().0),
         lease: now + 55_000,
-        asked: now,
+        requested_at: now,
         ended,
-        ..Listing::default()
+        ..WorkerReport::default()
     };
-    pool.apply_listing(now, UNIX + now, id, &listing);
+    pool.apply_report(now, UNIX + now, id, &listing);
 }
 
 /// All workers except the one of this start command report.
@@ -73,7 +73,7 @@
         restart(pool, now, start, crashes as u64 + 1);
         now += 1_000;
         for other in begun.iter().filter(|it| it.worker != start.worker) {
-            let broken = vec![end(other, crashes as u64 + 1, How::Broken)];
+            let broken = vec![end(other, crashes as u64 + 1, RunOutcome::Broken)];
             answer(pool, now, &other.worker, broken);
         }
         others_answer(pool, now, start);
@@ -85,7 +85,7 @@
 #[test]
 fn a_long_running_task_that_crashes_its_workers_is_abandoned() {
     let mut lasting = job("00000000000000l1", &[(1, 500, 100)]);
-    lasting.steps[0].lasting = true;
+    lasting.steps[0].long_running = true;
     assert_eq!(crash_until_abandoned(&mut pool(6), lasting), 3);
 }
 
@@ -166,7 +166,7 @@
     let stored = store(&mut pool).expect("there is something to store");
     assert_eq!(stored.open[0].steps[0].crashed, vec![(0, vec![1, 2, 3])]);
     let mut next = Pool::new(Options::default());
-    list_workers(&mut next, 4);
+    register_workers(&mut next, 4);
     let again = Arc::new(job("00000000000000a1", &[(1, 900, 5_000)]));
     next.adopt(1_000, UNIX + 1_000, again, Some(&stored), true);
     assert!(starts(next.plan(1_010, UNIX + 1_010)).is_empty());
@@ -187,7 +187,7 @@
     restart(&mut pool, 2_000, &first, 1);
     others_answer(&mut pool, 2_100, &first);
     let second = starts(pool.plan(2_110, UNIX + 2_110)).remove(0);
-    pool.answered(2_120, &second, Answer::Lost);
+    pool.start_answered(2_120, &second, StartAnswer::Lost);
     for now in (2_120..3_000).step_by(20) {
         let more = starts(pool.plan(now, UNIX + now));
         assert!(more.is_empty(), "{now}: {more:?}");
@@ -213,10 +213,10 @@
         drop(pool.plan(now, UNIX + now));
     }
     assert!(noted(&mut pool));
-    let lapsed = vec![end(&first, 1, How::Lapsed)];
-    hold(&mut pool, 10_000, &first.worker, vec![], lapsed);
+    let lapsed = vec![end(&first, 1, RunOutcome::Lapsed)];
+    report(&mut pool, 10_000, &first.worker, vec![], lapsed);
     let running = starts(pool.plan(10_010, UNIX + 10_010));
-    hold_all(&mut pool, 10_020, &running);
+    report_all(&mut pool, 10_020, &running);
     let crashed = store(&mut pool).is_some_and(|progress| {
         let course = &progress.open[0].steps[0];
         course.crashed.iter().any(|(_, runs)| runs.contains(&1))
@@ -240,10 +240,10 @@
     assert_eq!(second.len(), 1);
     let noted = store(&mut pool).expect("the start is noted");
     assert_eq!(noted.open[0].steps[0].crashed, vec![(0, vec![1, 2])]);
-    hold_all(&mut pool, 4_200, &second);
+    report_all(&mut pool, 4_200, &second);
     let noted = store(&mut pool).expect("it has outlived its start");
     assert_eq!(noted.open[0].steps[0].crashed, vec![(0, vec![1])]);
-    hold_all(&mut pool, 12_200, &second);
+    report_all(&mut pool, 12_200, &second);
     let noted = store(&mut pool).expect("it is stable");
     assert!(noted.open[0].steps[0].crashed.is_empty());
 }
@@ -267,9 +267,9 @@
     next.adopt(1_200, UNIX + 1_200, again, None, true);
     next.inherit(1_200, former.roster(1_100), &silent);
     for worker in former.workers() {
-        next.listed(1_200, &worker.id, worker.news.clone());
+        next.listed(1_200, &worker.id, worker.info.clone());
         if worker.id != first.worker {
-            hold(&mut next, 1_250, &worker.id, vec![], vec![]);
+            report(&mut next, 1_250, &worker.id, vec![], vec![]);
         }
     }
     restart(&mut next, 1_300, &first, 1);
@@ -279,7 +279,7 @@
 }
 
 /// Number of workers that a task crashes before it is abandoned, if all its start commands get this answer.
-fn crashes_with_answer(answer: Answer) -> usize {
+fn crashes_with_answer(answer: StartAnswer) -> usize {
     let mut pool = pool(8);
     adopt(
         &mut pool,
@@ -294,29 +294,31 @@
         begun.extend(starts(pool.plan(now, UNIX + now)));
         let lost = pool
             .workers()
-            .find(|worker| worker.free().millicores < 4_000);
+            .find(|worker| worker.free_capacity().millicores < 4_000);
         let Some(worker) = lost.map(|worker| Arc::clone(&worker.id)) else {
             return crashes;
         };
         for start in &begun {
-            pool.answered(now + 10, start, answer);
+            pool.start_answered(now + 10, start, answer);
         }
-        let life = pool.worker(&worker).map_or(0, |worker| worker.ends().0);
+        let life = pool
+            .worker(&worker)
+            .map_or(0, |worker| worker.end_cursor().0);
         now += 1_000;
         for (clock, born) in [(10, life + 1), (2_000, life + 1)] {
-            let listing = Listing {
+            let listing = WorkerReport {
                 clock,
-                born,
+                incarnation: born,
                 lease: 1_000_000,
-                asked: now,
-                ..Listing::default()
+                requested_at: now,
+                ..WorkerReport::default()
             };
             for stop in pool.plan(now, UNIX + now) {
                 if let Order::Stop(stop) = stop {
-                    pool.stopped(now, &stop, StopAnswer::Stopped(20));
+                    pool.stop_answered(now, &stop, StopAnswer::Stopped(20));
                 }
             }
-            pool.apply_listing(now, UNIX + now, &worker, &listing);
+            pool.apply_report(now, UNIX + now, &worker, &listing);
             now += 20;
         }
         let ids: Vec<_> = pool.workers().map(|it| Arc::clone(&it.id)).collect();
@@ -331,13 +333,13 @@
 /// third start is made on a worker that is certainly up.
 #[test]
 fn commands_that_time_out_prove_no_crash() {
-    assert_eq!(crashes_with_answer(Answer::Running), 3);
+    assert_eq!(crashes_with_answer(StartAnswer::Running), 3);
     assert_eq!(
-        crashes_with_answer(Answer::Cut),
+        crashes_with_answer(StartAnswer::Cut),
         3,
         "the connection shows that it was up"
     );
-    assert_eq!(crashes_with_answer(Answer::Lost), 4);
+    assert_eq!(crashes_with_answer(StartAnswer::Lost), 4);
 }
 
 /// Stored crash records of the only task of a job.
@@ -357,7 +359,7 @@
         job("00000000000000a1", &[(1, 900, 60_000)]),
     );
     let first = run(&mut pool, 1_000);
-    hold_all(&mut pool, 3_500, &first);
+    report_all(&mut pool, 3_500, &first);
     restart(&mut pool, 4_000, &first[0], 1);
     assert!(crash_records(&mut pool).is_empty());
 }
@@ -375,7 +377,7 @@
     let mut news = pool
         .worker(&first.worker)
         .expect("it is there")
-        .news
+        .info
         .clone();
     news.draining = Some(2_000);
     pool.listed(1_100, &first.worker, news);
--- a/crates/pool/tests/world/mod.rs
+++ b/crates/pool/tests/world/mod.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 
 use pool::{
-    Answer, End, Job, Listing, Ms, News, Options, Order, Policy, Pool, Progress, Start, State,
-    Step, Stop, StopAnswer, TaskKey, WorkerId,
+    Job, Ms, Options, Order, Policy, Pool, Progress, RunEnd, Start, StartAnswer, State, Step, Stop,
+    StopAnswer, TaskKey, WorkerId, WorkerInfo, WorkerReport,
 };
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -40,7 +40,7 @@
     lease: Ms,
     runs: BTreeMap<TaskKey, Run>,
     highest: HashMap<TaskKey, u32>,
-    ended: Vec<End>,
+    ended: Vec<RunEnd>,
     ends: u64,
     /// Owners with these epochs can't reach it.
     pub(crate) cut: BTreeSet<u64>,
@@ -54,10 +54,10 @@
 #[derive(Clone, Debug)]
 enum Message {
     Start(usize, Start, bool),
-    Started(usize, Start, Answer),
+    Started(usize, Start, StartAnswer),
     Stop(usize, Stop),
     Stopped(usize, Stop, StopAnswer),
-    Listing(usize, WorkerId, Listing),
+    Listing(usize, WorkerId, WorkerReport),
     /// The task that was started takes the life of its worker.
     Crash(WorkerId, u64, TaskKey),
     /// The owners read the directory's row of a worker.
@@ -94,7 +94,7 @@
     pub(crate) jobs: BTreeMap<String, Arc<Job>>,
     stored: BTreeMap<String, Progress>,
     roster: Vec<WorkerId>,
-    silent: Vec<pool::Silent>,
+    silent: Vec<pool::UnavailableWorker>,
     mail: Vec<(Ms, Message)>,
     noted: BTreeSet<TaskKey>,
     pub(crate) broken: Vec<String>,
@@ -267,13 +267,13 @@
     }
 
     /// What the directory says of a worker.
-    fn news(&self, id: &WorkerId, machine: &Machine) -> News {
-        News {
+    fn news(&self, id: &WorkerId, machine: &Machine) -> WorkerInfo {
+        WorkerInfo {
             address: id.to_string(),
             service: "s".into(),
-            room: machine.room.map_or(self.room, |(room, _)| room),
-            born: machine.born,
-            ..News::default()
+            capacity: machine.room.map_or(self.room, |(room, _)| room),
+            incarnation: machine.born,
+            ..WorkerInfo::default()
         }
     }
 
@@ -306,16 +306,16 @@
                 Message::Start(owner, start, answers) => self.start(owner, start, answers),
                 Message::Stop(owner, stop) => self.stop(owner, stop),
                 Message::Started(owner, start, answer) => {
-                    self.owners[owner].pool.answered(now, &start, answer);
+                    self.owners[owner].pool.start_answered(now, &start, answer);
                 }
                 Message::Stopped(owner, stop, answer) => {
-                    self.owners[owner].pool.stopped(now, &stop, answer);
+                    self.owners[owner].pool.stop_answered(now, &stop, answer);
                 }
                 Message::Listing(owner, id, listing) => {
                     let unix = self.unix();
                     self.owners[owner]
                         .pool
-                        .apply_listing(now, unix, &id, &listing);
+                        .apply_report(now, unix, &id, &listing);
                 }
                 Message::Crash(id, born, task) => self.crash_under(&id, born, &task),
                 Message::Row(id) => self.tell_row(&id),
@@ -344,11 +344,11 @@
                         if self.rng.random_bool(self.weather.late) {
                             let delay = self.rng.random_range(2_000..12_000);
                             self.post(delay, Message::Start(owner, start.clone(), false));
-                            self.post(450, Message::Started(owner, start, Answer::Lost));
+                            self.post(450, Message::Started(owner, start, StartAnswer::Lost));
                         } else if self.reaches(owner, &start.worker) {
                             self.post(STEP, Message::Start(owner, start, true));
                         } else {
-                            self.post(450, Message::Started(owner, start, Answer::Lost));
+                            self.post(450, Message::Started(owner, start, StartAnswer::Lost));
                         }
                     }
                     Order::Stop(stop) => self.post(STEP, Message::Stop(owner, stop)),
@@ -373,7 +373,7 @@
         for (id, progress) in &batch.rows {
             self.stored.insert(id.to_string(), progress.clone());
         }
-        owner.pool.saved(&batch);
+        owner.pool.batch_stored(&batch);
         self.roster = owner.pool.roster(self.now);
         self.silent = owner.pool.silent(self.now);
         owner.pool.enroll(&self.roster);
@@ -402,7 +402,7 @@
             .collect();
         format!(
             "{open:?} unseen {} proved {} {:?}",
-            pool.unseen().len(),
+            pool.unconfirmed_workers().len(),
             pool.proved(self.now),
             pool.workers().collect::<Vec<_>>()
         )
--- a/crates/pool/tests/world/workers.rs
+++ b/crates/pool/tests/world/workers.rs
@@ -1,6 +1,9 @@
 //! What simulated workers do with orders and holds, and when runs end.
 
-use pool::{Answer, End, How, Listing, Ms, Running, Start, Stop, StopAnswer, TaskKey, WorkerId};
+use pool::{
+    Ms, RunEnd, RunOutcome, RunStatus, Start, StartAnswer, Stop, StopAnswer, TaskKey, WorkerId,
+    WorkerReport,
+};
 use rand::Rng as _;
 use resource::Size;
 
@@ -13,7 +16,7 @@
         }
         let (now, clock) = (self.now, self.clock(&start.worker));
         let epoch = self.owners[owner].epoch;
-        let size = start.job.steps[usize::from(start.task.stage.step)].room();
+        let size = start.job.steps[usize::from(start.task.stage.step)].demand();
         let takes = start.job.steps[usize::from(start.task.stage.step)].estimate;
         let bad = self.bad.contains(&start.worker);
         let fails = bad || self.rng.random_bool(self.weather.fails);
@@ -27,21 +30,21 @@
             return;
         };
         let answer = if epoch < machine.epoch {
-            Answer::Fenced
+            StartAnswer::Fenced
         } else if machine
             .runs
             .get(&start.task)
             .is_some_and(|run| run.number == start.run)
         {
-            Answer::Running
+            StartAnswer::Running
         } else if machine
             .highest
             .get(&start.task)
             .is_some_and(|&high| high >= start.run)
         {
-            Answer::Old
+            StartAnswer::Old
         } else if clock > start.latest {
-            Answer::Late
+            StartAnswer::Late
         } else {
             machine.epoch = epoch;
             machine.lease = machine.lease.max(start.latest);
@@ -83,7 +86,7 @@
                 let crash = Message::Crash(start.worker.clone(), born, start.task.clone());
                 self.post(2 * STEP, crash);
             }
-            Answer::Running
+            StartAnswer::Running
         };
         if answers {
             self.post(STEP, Message::Started(owner, start, answer));
@@ -122,16 +125,20 @@
         let clocks: Vec<Ms> = self.machines.keys().map(|id| self.clock(id)).collect();
         for (machine, clock) in self.machines.values_mut().zip(clocks) {
             let lapsed = clock > machine.lease;
-            let over: Vec<(TaskKey, How)> = machine
+            let over: Vec<(TaskKey, RunOutcome)> = machine
                 .runs
                 .iter()
                 .filter_map(|(key, run)| {
                     let how = if lapsed {
-                        How::Lapsed
+                        RunOutcome::Lapsed
                     } else if run.stopping.is_some_and(|at| now >= at) {
-                        How::Stopped
+                        RunOutcome::Stopped
                     } else if now >= run.ends {
-                        if run.fails { How::Failed } else { How::Done }
+                        if run.fails {
+                            RunOutcome::Failed
+                        } else {
+                            RunOutcome::Done
+                        }
                     } else {
                         return None;
                     };
@@ -141,12 +148,12 @@
             for (task, how) in over {
                 let run = machine.runs.remove(&task).map_or(0, |run| run.number);
                 machine.ends += 1;
-                machine.ended.push(End {
+                machine.ended.push(RunEnd {
                     number: machine.ends,
                     task,
                     run,
-                    how,
-                    saved: String::new(),
+                    outcome: how,
+                    checkpoint: String::new(),
                 });
             }
         }
@@ -168,13 +175,15 @@
                 }
                 let clock = self.clock(id);
                 let epoch = self.owners[owner].epoch;
-                let Some((born, _, noted)) =
-                    self.owners[owner].pool.worker(id).map(pool::Worker::ends)
+                let Some((born, _, noted)) = self.owners[owner]
+                    .pool
+                    .worker(id)
+                    .map(pool::Worker::end_cursor)
                 else {
                     continue;
                 };
                 let now = self.now;
-                let lease = self.owners[owner].pool.holding(now, id);
+                let lease = self.owners[owner].pool.extend_lease(now, id);
                 let Some(machine) = self.machines.get_mut(id) else {
                     continue;
                 };
@@ -186,24 +195,24 @@
                 machine.lease = machine.lease.max(lease.unwrap_or(0));
                 if born == machine.born {
                     for end in machine.ended.iter().filter(|end| end.number <= noted) {
-                        if end.how == How::Done {
+                        if end.outcome == RunOutcome::Done {
                             self.noted.insert(end.task.clone());
                         }
                     }
                     machine.ended.retain(|end| end.number > noted);
                 }
-                let listing = Listing {
+                let listing = WorkerReport {
                     clock,
-                    born: machine.born,
+                    incarnation: machine.born,
                     lease: lease.unwrap_or(0),
-                    asked: self.now,
+                    requested_at: self.now,
                     running: machine
                         .runs
                         .iter()
-                        .map(|(task, run)| Running {
+                        .map(|(task, run)| RunStatus {
                             task: task.clone(),
                             run: run.number,
-                            saved: String::new(),
+                            checkpoint: String::new(),
                             percent: (self.now / 10 % 100) as u32,
                             load: 0,
                         })
