--- a/crates/pool/src/batch.rs
+++ b/crates/pool/src/batch.rs
@@ -41,8 +41,8 @@
     }
 
     /// Takes up to `most` jobs. Ends are covered only if no job is left over.
-    pub fn batch(&mut self, most: usize) -> Batch {
-        let ids: Vec<JobId> = self.dirty.iter().take(most).cloned().collect();
+    pub fn batch(&mut self, max_jobs: usize) -> Batch {
+        let ids: Vec<JobId> = self.dirty.iter().take(max_jobs).cloned().collect();
         let mut batch = Batch::default();
         for id in ids {
             self.dirty.remove(&id);
@@ -75,15 +75,15 @@
             let Some(live) = self.jobs.get_mut(id) else {
                 continue;
             };
-            live.note_stored(progress);
-            let told = std::mem::replace(&mut live.stored_state, progress.state).is_final();
-            if progress.state.is_final() && !told {
-                self.note_job(id);
+            live.mark_stored(progress);
+            let was_final = std::mem::replace(&mut live.stored_state, progress.state).is_final();
+            if progress.state.is_final() && !was_final {
+                self.record_job_times(id);
             }
         }
-        for (id, born, number) in &batch.ends {
+        for (id, incarnation, number) in &batch.ends {
             if let Some(worker) = self.workers.get_mut(id)
-                && worker.incarnation == *born
+                && worker.incarnation == *incarnation
             {
                 worker.ends_stored = worker.ends_stored.max(*number);
             }
@@ -91,11 +91,11 @@
     }
 
     /// Records the summary of a job whose final state is stored, for the log.
-    fn note_job(&mut self, id: &JobId) {
+    fn record_job_times(&mut self, id: &JobId) {
         let Some(live) = self.jobs.get(id) else {
             return;
         };
-        let times = JobTimes {
+        let summary = JobTimes {
             job: Arc::clone(id),
             queue: live.job.queue.clone(),
             state: live.state,
@@ -103,7 +103,7 @@
             objective: self.objective(live),
             closed: live.closed,
         };
-        self.jobs_done.push(times);
+        self.jobs_done.push(summary);
     }
 
     /// Returns and clears the summaries of the jobs whose final states were stored since the last call.
@@ -121,7 +121,7 @@
     /// Removes jobs whose retention period has passed since they became final; returns them so that their rows can be deleted.
     pub fn remove_expired_jobs(&mut self, unix: u64) -> Vec<JobId> {
         let remember = self.options.remember;
-        let old: Vec<JobId> = self
+        let expired: Vec<JobId> = self
             .jobs
             .values()
             .filter(|live| {
@@ -129,16 +129,16 @@
                     && live.stored_state != State::Queued
                     && !live.dirty
                     && unix.saturating_sub(live.closed) > remember
-                    && live.open.values().all(|course| {
-                        let mut tasks = course.stages.iter().flat_map(|stage| &stage.tasks);
+                    && live.open.values().all(|occurrence| {
+                        let mut tasks = occurrence.stages.iter().flat_map(|stage| &stage.tasks);
                         tasks.all(|task| task.run.is_none())
                     })
             })
             .map(|live| Arc::clone(&live.job.id))
             .collect();
-        for id in &old {
+        for id in &expired {
             self.jobs.remove(id);
         }
-        old
+        expired
     }
 }
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -2,7 +2,7 @@
 //!
 //! A worker that crashes reports neither the end of its runs nor which of them was the cause. So a crash is recorded for each
 //! task whose run had only just begun. Such a task, a suspect, is not started together with other suspects: this separates the
-//! cause of a crash from its neighbours, which run stably elsewhere and lose their records. A task with [`CRASHES_MOST`] records
+//! cause of a crash from its neighbours, which run stably elsewhere and lose their records. A task with [`MAX_CRASHES`] records
 //! is abandoned and its job fails.
 //!
 //! The records are stored with the progress of the job, so that the next owner continues from them.
@@ -24,10 +24,10 @@
 /// A task that has crashed this many workers is isolated: nothing else is started on its worker until it has outlived
 /// [`CRASH_WINDOW`].
 pub(crate) const CRASHES_ALONE: usize = 2;
-/// A task with this many crash records is abandoned if at least [`CRASHES_SURE`] of them are confirmed.
-const CRASHES_MOST: usize = 3;
+/// A task with this many crash records is abandoned if at least [`MIN_CONFIRMED_CRASHES`] of them are confirmed.
+const MAX_CRASHES: usize = 3;
 /// Minimum number of confirmed crash records of an abandoned task.
-const CRASHES_SURE: usize = 2;
+const MIN_CONFIRMED_CRASHES: usize = 2;
 
 /// Workers that run suspects still within [`CRASH_WINDOW`], with the highest number of crashes of any such suspect.
 pub(crate) type SuspectsByWorker = FxHashMap<WorkerId, usize>;
@@ -38,7 +38,7 @@
     /// Number of the run.
     pub run: u32,
     /// Whether the worker was certainly up when the start command was sent. Otherwise it may have been down already.
-    pub sure: bool,
+    pub confirmed: bool,
 }
 
 /// Crash history of a task.
@@ -61,15 +61,21 @@
 
 impl Run {
     /// Whether a crash of the worker could still be attributed to this run, given when the latest answered poll was sent.
-    const fn is_on_trial(&self, last_hold: Ms) -> bool {
-        last_hold.saturating_sub(self.requested_at) < CRASH_WINDOW
+    const fn is_in_crash_window(&self, last_poll: Ms) -> bool {
+        last_poll.saturating_sub(self.requested_at) < CRASH_WINDOW
     }
 }
 
 impl Task {
     /// Restores the crash records stored by the previous owner.
     pub(crate) fn restore_crashes(&mut self, runs: &[u32]) {
-        self.crashed = runs.iter().map(|&run| Crash { run, sure: true }).collect();
+        self.crashed = runs
+            .iter()
+            .map(|&run| Crash {
+                run,
+                confirmed: true,
+            })
+            .collect();
         self.crashes_stored = runs.len();
         self.highest_run = self
             .highest_run
@@ -90,8 +96,8 @@
 
     /// Whether the task has crashed so many workers that it must not be started again.
     fn is_crash_loop(&self) -> bool {
-        let sure = self.past_crashes().filter(|crash| crash.sure).count();
-        self.crashes() >= CRASHES_MOST && sure >= CRASHES_SURE
+        let confirmed = self.past_crashes().filter(|crash| crash.confirmed).count();
+        self.crashes() >= MAX_CRASHES && confirmed >= MIN_CONFIRMED_CRASHES
     }
 
     /// Numbers of the recorded runs, as they are stored.
@@ -135,7 +141,7 @@
         }
         self.crashed.push(Crash {
             run: number,
-            sure: true,
+            confirmed: true,
         });
         true
     }
@@ -149,20 +155,20 @@
 
 impl Pool {
     /// Records a crash for the current run of a task whose worker was lost, if the run may be the cause.
-    pub(crate) fn note_crash(&mut self, now: Ms, key: &TaskKey, loss: Loss) {
+    pub(crate) fn record_crash(&mut self, now: Ms, key: &TaskKey, loss: Loss) {
         let Some(run) = self.task_mut(key).and_then(|task| task.run.clone()) else {
             return;
         };
         let Some(worker) = self.workers.get(&run.worker) else {
             return;
         };
-        let planned = worker.leaves_at.is_some();
-        if loss == Loss::Missing || planned || !run.is_on_trial(worker.last_poll) {
+        let was_leaving = worker.leaves_at.is_some();
+        if loss == Loss::Missing || was_leaving || !run.is_in_crash_window(worker.last_poll) {
             return;
         }
         let crash = Crash {
             run: run.number,
-            sure: run.proven,
+            confirmed: run.proven,
         };
         let Some(task) = self.task_mut(key) else {
             return;
@@ -179,7 +185,7 @@
 
     /// Handles a report of the current run of a suspect. When the run has outlived [`CRASH_WINDOW`], its crash record is dropped;
     /// after [`STABLE_AFTER`], all records of the task are.
-    pub(crate) fn note_survival(&mut self, now: Ms, key: &TaskKey) {
+    pub(crate) fn handle_survival(&mut self, now: Ms, key: &TaskKey) {
         let Some(task) = self.task_mut(key) else {
             return;
         };
@@ -235,7 +241,7 @@
                 task.announced = Some(next);
                 task.crashed.push(Crash {
                     run: next,
-                    sure: true,
+                    confirmed: true,
                 });
                 self.mark(&key.stage.job);
             }
@@ -249,19 +255,19 @@
 
     /// Determines which workers run suspects that are still within [`CRASH_WINDOW`].
     pub(crate) fn locate_suspects(&mut self) {
-        let mut trials = SuspectsByWorker::default();
+        let mut suspects = SuspectsByWorker::default();
         for key in &self.suspects {
             let task = self.stage(&key.stage);
             let Some(task) = task.and_then(|stage| stage.tasks.get(key.index as usize)) else {
                 continue;
             };
             let Some(run) = &task.run else { continue };
-            let last_hold = self.workers.get(&run.worker).map_or(0, |it| it.last_poll);
-            if run.is_on_trial(last_hold) {
-                let most = trials.entry(Arc::clone(&run.worker)).or_default();
-                *most = (*most).max(task.crashes());
+            let last_poll = self.workers.get(&run.worker).map_or(0, |it| it.last_poll);
+            if run.is_in_crash_window(last_poll) {
+                let max_crashes = suspects.entry(Arc::clone(&run.worker)).or_default();
+                *max_crashes = (*max_crashes).max(task.crashes());
             }
         }
-        self.trials = trials;
+        self.trials = suspects;
     }
 }
--- a/crates/pool/src/ends.rs
+++ b/crates/pool/src/ends.rs
@@ -10,9 +10,9 @@
 
 /// Delay before a failed task is started again, so that a worker on which everything fails at once doesn't use up all attempts
 /// before its failure score has grown. Short compared with the objectives of quick jobs.
-const RETRY_FAILED: Ms = 20;
+const FAILED_RETRY_DELAY: Ms = 20;
 /// Delay before a failed long-running task is started again: it must be back soon, but must not be restarted in a tight loop.
-const RETRY_LASTING: Ms = 200;
+const LONG_RUNNING_RETRY_DELAY: Ms = 200;
 
 impl Pool {
     /// Releases the capacity of a task's run.
@@ -64,16 +64,16 @@
     /// Applies the end of a run as reported by its worker.
     pub(crate) fn apply_end(&mut self, now: Ms, unix: u64, worker: &WorkerId, end: &RunEnd) {
         let key = &end.task;
-        if let Some(host) = self.workers.get_mut(worker)
-            && host
+        if let Some(reporter) = self.workers.get_mut(worker)
+            && reporter
                 .orphaned_runs
                 .get(key)
-                .is_some_and(|stray| stray.run == end.run)
-            && let Some(stray) = host.orphaned_runs.remove(key)
+                .is_some_and(|orphan| orphan.run == end.run)
+            && let Some(orphan) = reporter.orphaned_runs.remove(key)
         {
-            host.used = host
+            reporter.used = reporter
                 .used
-                .minus(stray.size.unwrap_or_default())
+                .minus(orphan.size.unwrap_or_default())
                 .unwrap_or_default();
         }
         let id = Arc::clone(&key.stage.job);
@@ -93,39 +93,40 @@
         } else {
             end.outcome
         };
-        let store = task.note_end(end.run, how, &end.checkpoint);
-        let own = task
+        let store = task.record_end(end.run, how, &end.checkpoint);
+        let current = task
             .run
             .as_ref()
             .filter(|run| run.number == end.run && run.worker == *worker)
             .cloned();
-        let other = task.done && own.is_none() && task.run.is_some();
+        let other_is_current = task.done && current.is_none() && task.run.is_some();
         let attempts = task.failed.len();
-        if let Some(run) = &own {
+        if let Some(run) = &current {
             self.judge(now, worker, how, run, key, step.long_running);
             let retry = match end.outcome {
-                RunOutcome::Failed if step.long_running => RETRY_LASTING,
-                RunOutcome::Failed => RETRY_FAILED,
+                RunOutcome::Failed if step.long_running => LONG_RUNNING_RETRY_DELAY,
+                RunOutcome::Failed => FAILED_RETRY_DELAY,
                 _ => 0,
             };
             self.end_run(now, key, retry);
         }
-        if other {
+        if other_is_current {
             self.stop_run(key);
         }
         if store {
             self.mark(&id);
         }
         match how {
-            RunOutcome::Done => self.done(now, unix, &key.stage, end.run, step.gang),
+            RunOutcome::Done => self.complete_task(now, unix, &key.stage, end.run, step.gang),
             RunOutcome::Failed if !step.long_running => {
                 let attempts = if step.gang {
                     self.gang_failures(&key.stage)
                 } else {
                     attempts
                 };
-                let most = job.policy.attempts.max(1) as usize;
-                if attempts >= most && !self.jobs.get(&id).is_none_or(|live| live.state.is_final())
+                let max_failures = job.policy.attempts.max(1) as usize;
+                if attempts >= max_failures
+                    && !self.jobs.get(&id).is_none_or(|live| live.state.is_final())
                 {
                     self.close(unix, &id, State::Failed);
                 }
@@ -168,14 +169,18 @@
     }
 
     /// Counts the completed tasks of a step, and opens the steps that depend on it if it is complete.
-    fn done(&mut self, now: Ms, unix: u64, key: &StageKey, run: u32, gang: bool) {
+    fn complete_task(&mut self, now: Ms, unix: u64, key: &StageKey, run: u32, gang: bool) {
         let Some(stage) = self.stage_mut(key) else {
             return;
         };
         if gang {
             // The end of one member completes all members of the same gang run.
             for task in &mut stage.tasks {
-                if task.run.as_ref().is_none_or(|own| own.number == run) {
+                if task
+                    .run
+                    .as_ref()
+                    .is_none_or(|current| current.number == run)
+                {
                     task.done = true;
                 }
             }
@@ -183,13 +188,13 @@
         stage.done = stage.tasks.iter().filter(|task| task.done).count();
         if stage.complete() {
             self.open.remove(key);
-            self.note_times(now, key);
+            self.record_step_times(now, key);
             self.complete_or_advance(now, unix, &key.job);
         }
     }
 
     /// Records the summary of a completed step, for the log.
-    fn note_times(&mut self, now: Ms, key: &StageKey) {
+    fn record_step_times(&mut self, now: Ms, key: &StageKey) {
         let (Some(live), Some(stage)) = (self.jobs.get(&key.job), self.stage(key)) else {
             return;
         };
--- a/crates/pool/src/inherit.rs
+++ b/crates/pool/src/inherit.rs
@@ -12,30 +12,30 @@
 impl Pool {
     /// Sets the workers of the previous owner that must report before inherited jobs may start new tasks. The wait ends when all
     /// commands and leases of the previous owner have certainly expired. For workers that were already unavailable to the
-    /// previous owner, `silent` holds the runs they may have, and only those tasks wait.
+    /// previous owner, `unavailable` holds the runs they may have, and only those tasks wait.
     ///
     /// Otherwise, a task that still runs on a worker that only the new owner can't reach would run a second time.
     pub fn inherit(
         &mut self,
         now: Ms,
         workers: impl IntoIterator<Item = WorkerId>,
-        silent: &[UnavailableWorker],
+        unavailable: &[UnavailableWorker],
     ) {
         self.proved_at = None;
-        let quiet = |id: &WorkerId| silent.iter().any(|silent| silent.worker == *id);
+        let is_unavailable = |id: &WorkerId| unavailable.iter().any(|entry| entry.worker == *id);
         self.unseen = workers
             .into_iter()
-            .filter(|id| !quiet(id))
+            .filter(|id| !is_unavailable(id))
             .filter(|id| self.workers.get(id).is_none_or(|worker| !worker.fenced))
             .collect();
-        for silent in silent {
-            let worker = self.workers.entry(Arc::clone(&silent.worker)).or_default();
-            worker.id = Arc::clone(&silent.worker);
+        for entry in unavailable {
+            let worker = self.workers.entry(Arc::clone(&entry.worker)).or_default();
+            worker.id = Arc::clone(&entry.worker);
             worker.slowness = 1.0;
             worker.lease_expires_at = Ms::MAX;
-            worker.incarnation = silent.incarnation;
+            worker.incarnation = entry.incarnation;
         }
-        self.silent = silent.to_vec();
+        self.silent = unavailable.to_vec();
         let jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
         for job in &jobs {
             self.assume_unreported_runs(now, job);
@@ -46,12 +46,13 @@
     /// reached yet.
     pub(crate) fn assume_unreported_runs(&mut self, now: Ms, job: &JobId) {
         let mut runs = Vec::new();
-        for silent in &self.silent {
-            let answered = self.workers.get(&silent.worker).is_none_or(|it| it.fenced);
-            let of = silent.runs.iter().filter(|(key, _)| key.stage.job == *job);
+        for entry in &self.silent {
+            let answered = self.workers.get(&entry.worker).is_none_or(|it| it.fenced);
+            let of_job = entry.runs.iter().filter(|(key, _)| key.stage.job == *job);
             runs.extend(
-                of.filter(|_| !answered)
-                    .map(|(key, number)| (key.clone(), *number, Arc::clone(&silent.worker))),
+                of_job
+                    .filter(|_| !answered)
+                    .map(|(key, number)| (key.clone(), *number, Arc::clone(&entry.worker))),
             );
         }
         for (key, number, worker) in runs {
@@ -80,8 +81,8 @@
         }
         self.cancels.clear();
         for worker in self.workers.values_mut() {
-            for stray in worker.orphaned_runs.values_mut() {
-                stray.since = now;
+            for orphan in worker.orphaned_runs.values_mut() {
+                orphan.since = now;
             }
             if let Some(unknown) = &mut worker.unknown_ends {
                 unknown.since = now;
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -126,17 +126,19 @@
     /// The job has no steps, or a step has no tasks.
     Empty,
     /// The job has more than [`Job::MAX_TASKS`] tasks.
-    TooMany,
+    TooManyTasks,
     /// The step with this index depends on itself or on a later step.
-    Order(usize),
+    InvalidDependency(usize),
 }
 
 impl fmt::Display for InvalidJob {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Empty => write!(to, "a job needs a step, and each step a task"),
-            Self::TooMany => write!(to, "a job has at most {} tasks", Job::MAX_TASKS),
-            Self::Order(step) => write!(to, "step {step}: comes after a step that isn't before it"),
+            Self::Empty => write!(to, "job has no steps, or a step has no tasks"),
+            Self::TooManyTasks => write!(to, "job has more than {} tasks", Job::MAX_TASKS),
+            Self::InvalidDependency(step) => {
+                write!(to, "step {step} depends on itself or on a later step")
+            }
         }
     }
 }
@@ -155,11 +157,11 @@
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
         if tasks > Self::MAX_TASKS {
-            return Err(InvalidJob::TooMany);
+            return Err(InvalidJob::TooManyTasks);
         }
         for (at, step) in self.steps.iter().enumerate() {
             if step.after.iter().any(|&before| usize::from(before) >= at) {
-                return Err(InvalidJob::Order(at));
+                return Err(InvalidJob::InvalidDependency(at));
             }
         }
         Ok(())
--- a/crates/pool/src/live.rs
+++ b/crates/pool/src/live.rs
@@ -53,26 +53,26 @@
 }
 
 impl Stage {
-    fn restore(step: &Step, course: Option<&StepProgress>) -> Self {
+    fn restore(step: &Step, progress: Option<&StepProgress>) -> Self {
         let mut tasks = vec![Task::default(); step.count as usize];
-        if let Some(course) = course {
+        if let Some(progress) = progress {
             for (index, task) in tasks.iter_mut().enumerate() {
-                task.done = course.is_done(index as u32);
-                task.highest_run = course.highest_run;
+                task.done = progress.is_done(index as u32);
+                task.highest_run = progress.highest_run;
             }
-            for (index, runs) in &course.failed {
+            for (index, runs) in &progress.failed {
                 if let Some(task) = tasks.get_mut(*index as usize) {
                     task.failed.clone_from(runs);
                 }
             }
-            for (index, runs) in &course.crashed {
+            for (index, runs) in &progress.crashed {
                 if let Some(task) = tasks.get_mut(*index as usize) {
                     task.restore_crashes(runs);
                 }
             }
-            for (index, saved) in &course.checkpoints {
+            for (index, checkpoint) in &progress.checkpoints {
                 if let Some(task) = tasks.get_mut(*index as usize) {
-                    task.checkpoint.clone_from(saved);
+                    task.checkpoint.clone_from(checkpoint);
                 }
             }
         }
@@ -84,7 +84,7 @@
         }
     }
 
-    fn course(&self) -> StepProgress {
+    fn progress(&self) -> StepProgress {
         let rows = || self.tasks.iter().enumerate().filter(|(_, task)| !task.done);
         StepProgress {
             done: StepProgress::pack(self.tasks.iter().map(|task| task.done)),
@@ -148,12 +148,14 @@
 }
 
 impl Occurrence {
-    fn new(job: &Job, course: Option<&OccurrenceProgress>, due: Ms) -> Self {
+    fn new(job: &Job, progress: Option<&OccurrenceProgress>, due: Ms) -> Self {
         let stages = job
             .steps
             .iter()
             .enumerate()
-            .map(|(at, step)| Stage::restore(step, course.and_then(|course| course.steps.get(at))))
+            .map(|(at, step)| {
+                Stage::restore(step, progress.and_then(|progress| progress.steps.get(at)))
+            })
             .collect();
         Self { stages, due }
     }
@@ -235,9 +237,9 @@
             job,
         };
         if !state.is_final() {
-            for course in progress.iter().flat_map(|progress| &progress.open) {
-                let occurrence = Occurrence::new(&live.job, Some(course), now);
-                live.open.insert(course.number, occurrence);
+            for stored in progress.iter().flat_map(|progress| &progress.open) {
+                let occurrence = Occurrence::new(&live.job, Some(stored), now);
+                live.open.insert(stored.number, occurrence);
             }
         }
         live
@@ -245,7 +247,7 @@
 
     /// Whether no task of the job has a run, as far as this owner knows.
     pub(crate) fn is_idle(&self) -> bool {
-        let mut stages = self.open.values().flat_map(|course| &course.stages);
+        let mut stages = self.open.values().flat_map(|occurrence| &occurrence.stages);
         stages.all(|stage| stage.tasks.iter().all(|task| task.run.is_none()))
     }
 
@@ -331,7 +333,7 @@
                     .iter()
                     .map(|(&number, occurrence)| OccurrenceProgress {
                         number,
-                        steps: occurrence.stages.iter().map(Stage::course).collect(),
+                        steps: occurrence.stages.iter().map(Stage::progress).collect(),
                     })
                     .collect()
             },
@@ -339,11 +341,11 @@
     }
 
     /// Records that this progress is stored.
-    pub(crate) fn note_stored(&mut self, progress: &Progress) {
-        for course in &progress.open {
-            for (step, stored) in course.steps.iter().enumerate() {
+    pub(crate) fn mark_stored(&mut self, progress: &Progress) {
+        for occurrence in &progress.open {
+            for (step, stored) in occurrence.steps.iter().enumerate() {
                 for (index, runs) in &stored.crashed {
-                    if let Some(task) = self.task(course.number, step as u16, *index) {
+                    if let Some(task) = self.task(occurrence.number, step as u16, *index) {
                         task.crashes_stored = runs.len();
                     }
                 }
@@ -353,19 +355,19 @@
 
     /// All tasks of the occurrences in progress, with their keys.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = (TaskKey, &Task)> {
-        self.open.iter().flat_map(move |(&occurrence, course)| {
-            course
+        self.open.iter().flat_map(move |(&number, occurrence)| {
+            occurrence
                 .stages
                 .iter()
                 .enumerate()
                 .flat_map(move |(step, stage)| {
                     let key = StageKey {
                         job: Arc::clone(&self.job.id),
-                        occurrence,
+                        occurrence: number,
                         step: step as u16,
                     };
-                    let named = move |(at, task)| (key.task(at as u32), task);
-                    stage.tasks.iter().enumerate().map(named)
+                    let keyed = move |(at, task)| (key.task(at as u32), task);
+                    stage.tasks.iter().enumerate().map(keyed)
                 })
         })
     }
--- a/crates/pool/src/loss.rs
+++ b/crates/pool/src/loss.rs
@@ -55,11 +55,11 @@
     }
 
     /// Records the loss of a task's current run for the log, and as a crash of the task if the run may be the cause.
-    pub(crate) fn note_loss(&mut self, now: Ms, key: &TaskKey, loss: Loss) {
+    pub(crate) fn record_loss(&mut self, now: Ms, key: &TaskKey, loss: Loss) {
         let Some(run) = self.task_mut(key).and_then(|task| task.run.as_ref()) else {
             return;
         };
-        let (number, id, ordered) = (run.number, Arc::clone(&run.worker), run.requested_at);
+        let (number, id, requested_at) = (run.number, Arc::clone(&run.worker), run.requested_at);
         let confirmed = !matches!(run.phase, Phase::Starting | Phase::Unconfirmed);
         let Some(worker) = self.workers.get(&id) else {
             return;
@@ -69,10 +69,10 @@
             run: number,
             loss,
             confirmed,
-            survived: worker.last_poll.saturating_sub(ordered),
+            survived: worker.last_poll.saturating_sub(requested_at),
             runs: worker.runs.len(),
             worker: id,
         });
-        self.note_crash(now, key, loss);
+        self.record_crash(now, key, loss);
     }
 }
--- a/crates/pool/src/plan.rs
+++ b/crates/pool/src/plan.rs
@@ -74,7 +74,7 @@
                 }
             }
             for key in &keys {
-                self.note_loss(now, key, Loss::Lapsed);
+                self.record_loss(now, key, Loss::Lapsed);
             }
             for key in keys {
                 self.end_run(now, &key, 0);
--- a/crates/pool/src/reconcile.rs
+++ b/crates/pool/src/reconcile.rs
@@ -19,74 +19,74 @@
 
 impl Pool {
     /// Applies a worker's answer to a poll.
-    pub fn apply_report(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &WorkerReport) {
+    pub fn apply_report(&mut self, now: Ms, unix: u64, id: &WorkerId, report: &WorkerReport) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.fenced && listing.incarnation < worker.incarnation {
+        if worker.fenced && report.incarnation < worker.incarnation {
             return;
         }
-        if listing.incarnation > worker.incarnation && (worker.fenced || worker.incarnation > 0) {
+        if report.incarnation > worker.incarnation && (worker.fenced || worker.incarnation > 0) {
             self.worker_restarted(now, unix, id);
         }
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let newest = listing.clock >= worker.clock(listing.requested_at).saturating_sub(1);
+        let newest = report.clock >= worker.clock(report.requested_at).saturating_sub(1);
         if !worker.fenced {
             worker.lease_expires_at = 0;
         }
-        if !worker.fenced || worker.incarnation != listing.incarnation {
+        if !worker.fenced || worker.incarnation != report.incarnation {
             worker.incarnation_since = now;
         }
         worker.fenced = true;
         worker.unresponsive = false;
-        worker.incarnation = listing.incarnation;
-        worker.last_poll = worker.last_poll.max(listing.requested_at);
-        if listing.clock > worker.clock.0 {
-            worker.clock = (listing.clock, now);
+        worker.incarnation = report.incarnation;
+        worker.last_poll = worker.last_poll.max(report.requested_at);
+        if report.clock > worker.clock.0 {
+            worker.clock = (report.clock, now);
         }
         // If this owner hasn't requested a lease yet, the previous owner may just have requested one of the maximum length.
-        let left = if listing.lease > 0 {
-            listing.lease.saturating_sub(listing.clock)
+        let lease_left = if report.lease > 0 {
+            report.lease.saturating_sub(report.clock)
         } else {
             self.options.lease_most
         };
         // The worker's clock may be 2% slow.
         worker.lease_expires_at = worker
             .lease_expires_at
-            .max(now + left + left / 33 + LEASE_SLACK);
+            .max(now + lease_left + lease_left / 33 + LEASE_SLACK);
         self.unseen.remove(id);
-        self.apply_ends(now, unix, id, listing);
+        self.apply_ends(now, unix, id, report);
         for job in self.awaiting.remove(id).unwrap_or_default() {
             if let Some(live) = self.jobs.get_mut(&job) {
                 live.awaited_workers = live.awaited_workers.saturating_sub(1);
             }
         }
         if newest {
-            self.compare(now, unix, id, listing);
+            self.reconcile_runs(now, unix, id, report);
         }
     }
 
     /// Applies new ends. An end of an unknown job, and all ends after it, are not acknowledged: the row of the job is still to
     /// come, and an end that was skipped would be lost. The later ends are applied nevertheless.
-    fn apply_ends(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &WorkerReport) {
+    fn apply_ends(&mut self, now: Ms, unix: u64, id: &WorkerId, report: &WorkerReport) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         let applied = worker.ends_applied;
-        let before = worker.unknown_ends.take();
+        let previous = worker.unknown_ends.take();
         let mut beyond = std::mem::take(&mut worker.applied_out_of_order);
         let mut unknown: Option<UnknownEnds> = None;
-        for end in listing.ended.iter().filter(|end| end.number > applied) {
+        for end in report.ended.iter().filter(|end| end.number > applied) {
             let job = &end.task.stage.job;
             if !self.jobs.contains_key(job) {
                 let found = unknown.get_or_insert_with(|| UnknownEnds {
                     first: end.number,
-                    since: before
+                    since: previous
                         .as_ref()
-                        .filter(|before| before.first == end.number)
-                        .map_or(now, |before| before.since),
+                        .filter(|previous| previous.first == end.number)
+                        .map_or(now, |previous| previous.since),
                     jobs: Vec::new(),
                 });
                 if self.partial || now.saturating_sub(found.since) < UNKNOWN_JOB_TIMEOUT {
@@ -117,11 +117,11 @@
     /// the workers' reports. Without this, the job would be started a second time next to the first.
     pub(crate) fn adopt_observed_runs(&mut self, now: Ms, job: &JobId) {
         let mut runs = Vec::new();
-        let mut waits = Vec::new();
+        let mut awaited = Vec::new();
         for worker in self.workers.values() {
-            let of = |key: &&TaskKey| key.stage.job == *job;
-            for key in worker.orphaned_runs.keys().filter(of) {
-                let run = worker.orphaned_runs.get(key).map_or(0, |stray| stray.run);
+            let of_job = |key: &&TaskKey| key.stage.job == *job;
+            for key in worker.orphaned_runs.keys().filter(of_job) {
+                let run = worker.orphaned_runs.get(key).map_or(0, |orphan| orphan.run);
                 runs.push((Arc::clone(&worker.id), key.clone(), run));
             }
             if worker
@@ -129,7 +129,7 @@
                 .as_ref()
                 .is_some_and(|unknown| unknown.jobs.contains(job))
             {
-                waits.push(Arc::clone(&worker.id));
+                awaited.push(Arc::clone(&worker.id));
             }
         }
         for (worker, task, run) in runs {
@@ -143,9 +143,9 @@
             self.observe_run(now, &worker, &row);
         }
         if let Some(live) = self.jobs.get_mut(job) {
-            live.awaited_workers = waits.len();
+            live.awaited_workers = awaited.len();
         }
-        for worker in waits {
+        for worker in awaited {
             self.awaiting
                 .entry(worker)
                 .or_default()
@@ -161,7 +161,7 @@
     /// that this owner considers expired, next to the ones it starts in their place. An owner without a recent majority renews
     /// nothing: it may have been replaced by an owner that can't reach this worker and relies on the lease to expire.
     pub fn extend_lease(&mut self, now: Ms, id: &WorkerId) -> Option<Ms> {
-        let most = self.options.lease_most;
+        let max_lease = self.options.lease_most;
         if !self.proved(now) {
             return None;
         }
@@ -172,8 +172,8 @@
         }
         worker.lease_expires_at = worker
             .lease_expires_at
-            .max(now + most + most / 33 + LEASE_SLACK);
-        Some(clock + most)
+            .max(now + max_lease + max_lease / 33 + LEASE_SLACK);
+        Some(clock + max_lease)
     }
 
     /// Records that a poll got no answer. Nothing is started on the worker until it answers one: the outcome of the command would
@@ -201,32 +201,33 @@
         if worker.info.draining.is_none() {
             worker.leaves_at = None;
         }
-        for stray in std::mem::take(&mut worker.orphaned_runs).into_values() {
+        for orphan in std::mem::take(&mut worker.orphaned_runs).into_values() {
             worker.used = worker
                 .used
-                .minus(stray.size.unwrap_or_default())
+                .minus(orphan.size.unwrap_or_default())
                 .unwrap_or_default();
         }
         let keys: Vec<TaskKey> = worker.runs.keys().cloned().collect();
         for key in &keys {
-            self.note_loss(now, key, Loss::Restarted);
+            self.record_loss(now, key, Loss::Restarted);
         }
         for key in keys {
-            let doubtful = self
+            let unanswered = self
                 .task_mut(&key)
                 .and_then(|task| task.run.as_mut())
                 .is_some_and(|run| {
                     // An unanswered start command may reach the new incarnation, which has forgotten the epoch. Its capacity
                     // stays reserved until a stop is confirmed there.
-                    let doubtful = run.phase == Phase::Starting || run.phase == Phase::Unconfirmed;
-                    if doubtful {
+                    let unanswered =
+                        run.phase == Phase::Starting || run.phase == Phase::Unconfirmed;
+                    if unanswered {
                         run.phase = Phase::Stopping;
                         run.stop_sent = 0;
                         run.stop_confirmed = 0;
                     }
-                    doubtful
+                    unanswered
                 });
-            if doubtful {
+            if unanswered {
                 self.loose.insert(key);
             } else {
                 let job = Arc::clone(&key.stage.job);
@@ -237,8 +238,8 @@
     }
 
     /// Compares the runs reported by a worker with the expected ones.
-    fn compare(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &WorkerReport) {
-        for row in &listing.running {
+    fn reconcile_runs(&mut self, now: Ms, unix: u64, id: &WorkerId, report: &WorkerReport) {
+        for row in &report.running {
             self.observe_run(now, id, row);
         }
         let Some(worker) = self.workers.get(id) else {
@@ -247,9 +248,9 @@
         if worker.runs.is_empty() && worker.orphaned_runs.is_empty() {
             return;
         }
-        let full = listing.ended.len() >= 500;
-        let there = |key: &TaskKey, number: u32| {
-            listing
+        let ends_truncated = report.ended.len() >= 500;
+        let is_reported = |key: &TaskKey, number: u32| {
+            report
                 .running
                 .iter()
                 .any(|row| row.run == number && row.task == *key)
@@ -257,13 +258,13 @@
         let missing: Vec<TaskKey> = worker
             .runs
             .iter()
-            .filter(|(key, number)| !there(key, **number))
+            .filter(|(key, number)| !is_reported(key, **number))
             .map(|(key, _)| key.clone())
             .collect();
-        let lost_strays: Vec<TaskKey> = worker
+        let gone_orphans: Vec<TaskKey> = worker
             .orphaned_runs
             .iter()
-            .filter(|(key, stray)| !there(key, stray.run))
+            .filter(|(key, orphan)| !is_reported(key, orphan.run))
             .map(|(key, _)| key.clone())
             .collect();
         for key in missing {
@@ -271,35 +272,35 @@
                 continue;
             };
             let over = match run.phase {
-                Phase::Starting | Phase::Unconfirmed => listing.clock > run.start_deadline,
+                Phase::Starting | Phase::Unconfirmed => report.clock > run.start_deadline,
                 // A report that was long in transit says nothing about a run that was started in the meantime.
                 Phase::Running => {
-                    !full
-                        && listing
+                    !ends_truncated
+                        && report
                             .requested_at
                             .saturating_sub(run.progressed_at.max(run.requested_at))
                             > MISSING_RUN_TIMEOUT
                 }
                 Phase::Stopping => {
-                    !full
-                        && (listing.clock > run.start_deadline
-                            || run.stop_confirmed > 0 && listing.clock >= run.stop_confirmed)
+                    !ends_truncated
+                        && (report.clock > run.start_deadline
+                            || run.stop_confirmed > 0 && report.clock >= run.stop_confirmed)
                 }
             };
             if over {
                 if run.phase == Phase::Running {
-                    self.note_loss(now, &key, Loss::Missing);
+                    self.record_loss(now, &key, Loss::Missing);
                 }
                 self.end_run(now, &key, 0);
                 self.complete_or_advance(now, unix, &key.stage.job);
             }
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            for key in lost_strays {
-                if let Some(stray) = worker.orphaned_runs.remove(&key) {
+            for key in gone_orphans {
+                if let Some(orphan) = worker.orphaned_runs.remove(&key) {
                     worker.used = worker
                         .used
-                        .minus(stray.size.unwrap_or_default())
+                        .minus(orphan.size.unwrap_or_default())
                         .unwrap_or_default();
                 }
             }
@@ -315,7 +316,7 @@
             .is_some_and(|live| live.state.is_final());
         let size = self.size(&key.stage);
         let Some(task) = self.task_mut(key) else {
-            self.stray(now, id, row, size);
+            self.record_orphaned_run(now, id, row, size);
             return;
         };
         task.highest_run = task.highest_run.max(row.run);
@@ -341,7 +342,7 @@
                 run.load = row.load;
             }
             if suspect {
-                self.note_survival(now, key);
+                self.handle_survival(now, key);
             }
             return;
         }
@@ -351,7 +352,7 @@
             .as_ref()
             .is_some_and(|run| run.inherited && run.number < row.run);
         if task.done || closed || task.run.is_some() && !outdated {
-            self.stray(now, id, row, size);
+            self.record_orphaned_run(now, id, row, size);
             return;
         }
         if outdated {
@@ -368,34 +369,40 @@
             ..Run::new(row.run, Arc::clone(id), now, 0)
         });
         if let Some(worker) = self.workers.get_mut(id)
-            && let Some(stray) = worker.orphaned_runs.remove(key)
+            && let Some(orphan) = worker.orphaned_runs.remove(key)
         {
             worker.used = worker
                 .used
-                .minus(stray.size.unwrap_or_default())
+                .minus(orphan.size.unwrap_or_default())
                 .unwrap_or_default();
         }
         self.reserve_capacity(key, id, row.run);
-        self.started(&key.stage.job);
+        self.mark_started(&key.stage.job);
     }
 
     /// Records a run that isn't the current run of any task; it occupies capacity until it is gone.
-    fn stray(&mut self, now: Ms, id: &WorkerId, row: &RunStatus, size: Option<resource::Size>) {
+    fn record_orphaned_run(
+        &mut self,
+        now: Ms,
+        id: &WorkerId,
+        row: &RunStatus,
+        size: Option<resource::Size>,
+    ) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         let known = worker.orphaned_runs.get_mut(&row.task);
-        let stray = OrphanedRun {
+        let orphan = OrphanedRun {
             run: row.run,
             size,
-            since: known.as_ref().map_or(now, |stray| stray.since),
-            stop_sent: known.as_ref().map_or(0, |stray| stray.stop_sent),
+            since: known.as_ref().map_or(now, |orphan| orphan.since),
+            stop_sent: known.as_ref().map_or(0, |orphan| orphan.stop_sent),
         };
-        let before = worker.orphaned_runs.insert(row.task.clone(), stray);
-        let before = before.and_then(|stray| stray.size).unwrap_or_default();
+        let replaced = worker.orphaned_runs.insert(row.task.clone(), orphan);
+        let replaced = replaced.and_then(|orphan| orphan.size).unwrap_or_default();
         worker.used = worker
             .used
-            .minus(before)
+            .minus(replaced)
             .unwrap_or_default()
             .plus(size.unwrap_or_default());
     }
@@ -404,16 +411,16 @@
     pub(crate) fn stop_orphaned_runs(&mut self, now: Ms) {
         let partial = self.partial;
         for worker in self.workers.values_mut() {
-            for (key, stray) in &mut worker.orphaned_runs {
-                let unknown = !partial && now.saturating_sub(stray.since) > UNKNOWN_JOB_TIMEOUT;
-                let due = stray.size.is_some() || unknown;
-                if due && (stray.stop_sent == 0 || now.saturating_sub(stray.stop_sent) > 400) {
-                    stray.stop_sent = now.max(1);
+            for (key, orphan) in &mut worker.orphaned_runs {
+                let unknown = !partial && now.saturating_sub(orphan.since) > UNKNOWN_JOB_TIMEOUT;
+                let due = orphan.size.is_some() || unknown;
+                if due && (orphan.stop_sent == 0 || now.saturating_sub(orphan.stop_sent) > 400) {
+                    orphan.stop_sent = now.max(1);
                     self.orders.push(crate::Order::Stop(crate::Stop {
                         task: key.clone(),
-                        run: stray.run,
+                        run: orphan.run,
                         worker: Arc::clone(&worker.id),
-                        why: "no task calls this run its own",
+                        why: "run is not the current run of its task",
                     }));
                 }
             }
--- a/crates/pool/src/repeat.rs
+++ b/crates/pool/src/repeat.rs
@@ -9,19 +9,19 @@
 use crate::task::Ms;
 
 /// Minimum time until a call is repeated; a worker that is briefly busy answers within it.
-const LEAST: Ms = 60;
+const MIN_DELAY: Ms = 60;
 /// Time until a call is repeated if no response time of the worker is known.
-const UNKNOWN: Ms = 200;
+const DEFAULT_DELAY: Ms = 200;
 /// Maximum time until the first copy.
-const MOST: Ms = 1_000;
+const MAX_FIRST_DELAY: Ms = 1_000;
 /// An answer is overdue after this multiple of the usual response time.
-const OVERDUE: Ms = 3;
+const OVERDUE_FACTOR: Ms = 3;
 /// Factor by which the interval grows with each copy.
-const GROWTH: Ms = 2;
+const BACKOFF_FACTOR: Ms = 2;
 /// Copies earned per call; higher than any share of unanswered calls for which repeating is worthwhile.
-const COPIES_A_CALL: f64 = 0.2;
+const COPIES_PER_CALL: f64 = 0.2;
 /// Maximum number of saved copies; enough for a few dozen workers that stop answering at the same time.
-const SAVED_MOST: f64 = 50.0;
+const MAX_SAVED_COPIES: f64 = 50.0;
 
 /// Budget of copies that may be sent.
 ///
@@ -43,23 +43,25 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { copies: SAVED_MOST }
+        Self {
+            copies: MAX_SAVED_COPIES,
+        }
     }
 }
 
 impl Budget {
     /// Adds the share of a copy that a new call earns.
     pub fn earn(&mut self) {
-        self.copies = (self.copies + COPIES_A_CALL).min(SAVED_MOST);
+        self.copies = (self.copies + COPIES_PER_CALL).min(MAX_SAVED_COPIES);
     }
 
     /// Consumes one copy; returns `false` if the budget is exhausted.
     pub fn spend(&mut self) -> bool {
-        let may = self.copies >= 1.0;
-        if may {
+        let available = self.copies >= 1.0;
+        if available {
             self.copies -= 1.0;
         }
-        may
+        available
     }
 }
 
@@ -67,19 +69,19 @@
 #[must_use]
 pub(crate) fn delay(usual: Ms, copies: u32) -> Ms {
     let first = if usual == 0 {
-        UNKNOWN
+        DEFAULT_DELAY
     } else {
-        (usual * OVERDUE).clamp(LEAST, MOST)
+        (usual * OVERDUE_FACTOR).clamp(MIN_DELAY, MAX_FIRST_DELAY)
     };
-    first * GROWTH.pow(copies.saturating_sub(1).min(4))
+    first * BACKOFF_FACTOR.pow(copies.saturating_sub(1).min(4))
 }
 
 /// Moving average of the response time; the new value `took` has a weight of one quarter.
 #[must_use]
-pub(crate) fn usual(before: Ms, took: Ms) -> Ms {
+pub(crate) fn smoothed_response_time(average: Ms, took: Ms) -> Ms {
     let took = took.max(1);
-    if before == 0 {
+    if average == 0 {
         return took;
     }
-    (before * 3 + took).div_ceil(4)
+    (average * 3 + took).div_ceil(4)
 }
--- a/crates/pool/src/replies.rs
+++ b/crates/pool/src/replies.rs
@@ -9,12 +9,12 @@
 use crate::task::{JobId, Ms, Phase, WorkerId};
 
 /// Time without new starts on a worker that reported itself unhealthy or was not at its address.
-const REST: Ms = 400;
+const UNHEALTHY_PAUSE: Ms = 400;
 /// Time without new starts on a worker that refused a task for lack of capacity although it should have had enough; it reports
 /// its runs again within this time.
-const REST_ROOM: Ms = 250;
+const REFUSAL_PAUSE: Ms = 250;
 /// Delay before a step is queried again after a failed query.
-const REST_ASK: Ms = 150;
+const QUERY_RETRY_DELAY: Ms = 150;
 
 impl Pool {
     /// Handles the answer to a start command.
@@ -28,13 +28,13 @@
         if run.number != start.run || run.worker != start.worker {
             return;
         }
-        let waiting = matches!(run.phase, Phase::Starting | Phase::Unconfirmed);
+        let unconfirmed = matches!(run.phase, Phase::Starting | Phase::Unconfirmed);
         // If the command was repeated, this is an upper bound of the response time.
         let took = now.saturating_sub(run.requested_at);
         if let Some(worker) = self.workers.get_mut(&start.worker)
             && !matches!(answer, StartAnswer::Lost | StartAnswer::Cut)
         {
-            worker.response_time = repeat::usual(worker.response_time, took);
+            worker.response_time = repeat::smoothed_response_time(worker.response_time, took);
         }
         let Some(run) = self
             .task_mut(&start.task)
@@ -45,12 +45,12 @@
         match answer {
             StartAnswer::Running => {
                 run.proven = true;
-                if waiting {
+                if unconfirmed {
                     run.phase = Phase::Running;
                     run.progressed_at = now;
                     self.loose.remove(&start.task);
                 }
-                self.started(&start.task.stage.job);
+                self.mark_started(&start.task.stage.job);
                 return;
             }
             StartAnswer::Lost | StartAnswer::Cut => {
@@ -65,22 +65,22 @@
             _ => {}
         }
         // An earlier copy of the command may still be in transit, so a refusal doesn't prove that the task won't start.
-        if run_repeated(self, start) {
+        if was_repeated(self, start) {
             self.stop_run(&start.task);
             return;
         }
         self.end_run(now, &start.task, 0);
-        self.break_gang(start);
+        self.stop_gang(start);
         match answer {
             StartAnswer::Unwell | StartAnswer::Away => {
                 if let Some(worker) = self.workers.get_mut(&start.worker) {
-                    worker.paused_until = now + REST;
+                    worker.paused_until = now + UNHEALTHY_PAUSE;
                     worker.failure_score += 0.5;
                 }
             }
             StartAnswer::Room => {
                 if let Some(worker) = self.workers.get_mut(&start.worker) {
-                    worker.paused_until = now + REST_ROOM;
+                    worker.paused_until = now + REFUSAL_PAUSE;
                 }
             }
             StartAnswer::Ticket => {
@@ -101,13 +101,13 @@
     }
 
     /// Stops all members of a gang if one of them can't start, because the others would wait for it in vain.
-    fn break_gang(&mut self, start: &Start) {
-        let gang = start
+    fn stop_gang(&mut self, start: &Start) {
+        let is_gang = start
             .job
             .steps
             .get(usize::from(start.task.stage.step))
             .is_some_and(|step| step.gang);
-        if !gang {
+        if !is_gang {
             return;
         }
         let count = self
@@ -119,7 +119,7 @@
     }
 
     /// Records that a task of the job has started.
-    pub(crate) fn started(&mut self, job: &JobId) {
+    pub(crate) fn mark_started(&mut self, job: &JobId) {
         if let Some(live) = self.jobs.get_mut(job)
             && live.state == State::Queued
         {
@@ -151,7 +151,7 @@
         ask: &Ask,
         allowed: Option<(&[(WorkerId, String)], Ms)>,
     ) {
-        let lives: Vec<u64> = allowed.map_or_else(Vec::new, |(rows, _)| {
+        let incarnations: Vec<u64> = allowed.map_or_else(Vec::new, |(rows, _)| {
             rows.iter()
                 .map(|(id, _)| self.workers.get(id).map_or(0, |worker| worker.incarnation))
                 .collect()
@@ -167,18 +167,18 @@
         };
         stage.advised.query_since = None;
         let Some((rows, valid)) = allowed else {
-            stage.advised.no_query_before = now + REST_ASK;
+            stage.advised.no_query_before = now + QUERY_RETRY_DELAY;
             return;
         };
         stage.timeline.advised(now);
-        for ((id, text), born) in rows.iter().zip(lives) {
+        for ((id, text), incarnation) in rows.iter().zip(incarnations) {
             stage.advised.denied.remove(id);
             stage.advised.allowed.insert(
                 id.clone(),
                 Ticket {
                     text: text.clone(),
                     valid_until: now + valid,
-                    incarnation: born,
+                    incarnation,
                 },
             );
         }
@@ -193,8 +193,8 @@
     }
 }
 
-/// Whether the start command was sent more than once.
-fn run_repeated(pool: &mut Pool, start: &Start) -> bool {
+/// Whether the command was repeated or one of its calls got no answer, so that the task may have been started all the same.
+fn was_repeated(pool: &mut Pool, start: &Start) -> bool {
     pool.task_mut(&start.task)
         .and_then(|task| task.run.as_ref())
         .is_some_and(|run| run.phase != Phase::Starting)
--- a/crates/pool/src/task.rs
+++ b/crates/pool/src/task.rs
@@ -153,13 +153,18 @@
     }
 
     /// Records the end of a run; returns whether progress must be stored.
-    pub(crate) fn note_end(&mut self, number: u32, how: RunOutcome, saved: &str) -> bool {
+    pub(crate) fn record_end(
+        &mut self,
+        number: u32,
+        outcome: RunOutcome,
+        checkpoint: &str,
+    ) -> bool {
         self.highest_run = self.highest_run.max(number);
-        if !saved.is_empty() && !self.done {
-            self.checkpoint = saved.to_owned();
+        if !checkpoint.is_empty() && !self.done {
+            self.checkpoint = checkpoint.to_owned();
         }
         let cleared = self.clear_crash(number);
-        let store = match how {
+        let store = match outcome {
             RunOutcome::Done => !std::mem::replace(&mut self.done, true),
             RunOutcome::Failed if !self.failed.contains(&number) => {
                 self.failed.push(number);
@@ -167,7 +172,7 @@
             }
             RunOutcome::Failed => false,
             RunOutcome::Stopped | RunOutcome::Lapsed | RunOutcome::Broken | RunOutcome::Alone => {
-                !saved.is_empty()
+                !checkpoint.is_empty()
             }
         };
         store || cleared
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -178,15 +178,15 @@
     /// Whether a task may be started on the worker at `now`.
     #[must_use]
     pub fn accepts_starts(&self, now: Ms) -> bool {
-        let unknown_strays = self
+        let has_unknown_orphans = self
             .orphaned_runs
             .values()
-            .any(|stray| stray.size.is_none());
+            .any(|orphan| orphan.size.is_none());
         self.registered
             && self.in_stored_roster
             && self.fenced
             && self.paused_until <= now
-            && !unknown_strays
+            && !has_unknown_orphans
             && !self.is_unavailable(now)
     }
 
--- a/crates/pool/tests/case/mod.rs
+++ b/crates/pool/tests/case/mod.rs
@@ -22,7 +22,7 @@
 pub(crate) fn register_workers(pool: &mut Pool, workers: usize) {
     let ids: Vec<WorkerId> = (0..workers).map(|at| format!("w{at:02}").into()).collect();
     for (at, id) in ids.iter().enumerate() {
-        let news = WorkerInfo {
+        let info = WorkerInfo {
             address: id.to_string(),
             service: "s".into(),
             rack: format!("r{}", at / 2),
@@ -31,7 +31,7 @@
             incarnation: 1,
             ..WorkerInfo::default()
         };
-        pool.listed(1_000, id, news);
+        pool.listed(1_000, id, info);
     }
     pool.enroll(&ids);
     for id in &ids {
@@ -46,7 +46,7 @@
     running: Vec<RunStatus>,
     ended: Vec<RunEnd>,
 ) {
-    let listing = WorkerReport {
+    let report = WorkerReport {
         clock: now + 50_000,
         incarnation: 1,
         lease: now + 55_000,
@@ -54,14 +54,14 @@
         running,
         ended,
     };
-    pool.apply_report(now, UNIX + now, id, &listing);
+    pool.apply_report(now, UNIX + now, id, &report);
 }
 
 pub(crate) fn report_all(pool: &mut Pool, now: u64, runs: &[Start]) {
     let ids: Vec<WorkerId> = pool.workers().map(|worker| worker.id.clone()).collect();
     for id in ids {
-        let there = runs.iter().filter(|start| start.worker == id);
-        let running = there
+        let on_worker = runs.iter().filter(|start| start.worker == id);
+        let running = on_worker
             .map(|start| RunStatus {
                 task: start.task.clone(),
                 run: start.run,
--- a/crates/pool/tests/losses.rs
+++ b/crates/pool/tests/losses.rs
@@ -10,14 +10,14 @@
 use world::{UNIX, job};
 
 fn restart(pool: &mut Pool, now: u64, id: &str) {
-    let listing = WorkerReport {
+    let report = WorkerReport {
         clock: 10,
         incarnation: 2,
         lease: 0,
         requested_at: now,
         ..WorkerReport::default()
     };
-    pool.apply_report(now, UNIX + now, &id.into(), &listing);
+    pool.apply_report(now, UNIX + now, &id.into(), &report);
 }
 
 /// Guards against losses that can't be told apart: a crash of the worker from a lease that was not renewed, and a run that had
--- a/crates/pool/tests/lost_answers.rs
+++ b/crates/pool/tests/lost_answers.rs
@@ -14,12 +14,12 @@
 
 /// Runs a scheduling pass every 5 ms from `from` to `to`; returns the start commands with the times at which they were issued.
 fn start_commands(pool: &mut Pool, from: Ms, to: Ms) -> Vec<(Ms, Start)> {
-    let mut given = Vec::new();
+    let mut sent = Vec::new();
     for now in (from..to).step_by(5) {
-        let planned = starts(pool.plan(now, UNIX + now));
-        given.extend(planned.into_iter().map(|start| (now, start)));
+        let issued = starts(pool.plan(now, UNIX + now));
+        sent.extend(issued.into_iter().map(|start| (now, start)));
     }
-    given
+    sent
 }
 
 /// Guards against repeating a command only when its call has timed out after 450 ms. A round trip takes a tenth of that, and a
@@ -31,11 +31,11 @@
     let first = start_commands(&mut pool, 1_000, 1_010);
     pool.start_answered(1_045, &first[0].1, StartAnswer::Running);
     adopt(&mut pool, 2_000, job("00000000000000q2", &[(1, 100, 500)]));
-    let given = start_commands(&mut pool, 2_000, 2_300);
-    assert!(given.len() > 1, "the command is repeated: {given:?}");
-    assert_eq!(given[0].1.task, given[1].1.task);
-    assert_eq!(given[0].1.run, given[1].1.run, "the same run");
-    let waited = given[1].0 - given[0].0;
+    let sent = start_commands(&mut pool, 2_000, 2_300);
+    assert!(sent.len() > 1, "the command is repeated: {sent:?}");
+    assert_eq!(sent[0].1.task, sent[1].1.task);
+    assert_eq!(sent[0].1.run, sent[1].1.run, "the same run");
+    let waited = sent[1].0 - sent[0].0;
     assert!((60..=200).contains(&waited), "after {waited} ms");
 }
 
@@ -63,9 +63,9 @@
 fn a_refused_copy_does_not_free_the_task() {
     let mut pool = pool(2);
     adopt(&mut pool, 1_000, job("00000000000000q1", &[(1, 100, 500)]));
-    let given = start_commands(&mut pool, 1_000, 1_300);
-    assert!(given.len() > 1);
-    pool.start_answered(1_300, &given[0].1, StartAnswer::Room);
+    let sent = start_commands(&mut pool, 1_000, 1_300);
+    assert!(sent.len() > 1);
+    pool.start_answered(1_300, &sent[0].1, StartAnswer::Room);
     assert_eq!(start_commands(&mut pool, 1_300, 1_500).len(), 0);
 }
 
--- a/crates/pool/tests/suspects.rs
+++ b/crates/pool/tests/suspects.rs
@@ -22,20 +22,20 @@
 }
 
 /// The worker of a start command reports with a new incarnation.
-fn restart(pool: &mut Pool, now: Ms, start: &Start, life: u64) {
-    let listing = WorkerReport {
+fn restart(pool: &mut Pool, now: Ms, start: &Start, restarts: u64) {
+    let report = WorkerReport {
         clock: 10 + now % 100,
-        incarnation: 1 + life,
+        incarnation: 1 + restarts,
         lease: 1_000_000,
         requested_at: now,
         ..WorkerReport::default()
     };
-    pool.apply_report(now, UNIX + now, &start.worker, &listing);
+    pool.apply_report(now, UNIX + now, &start.worker, &report);
 }
 
 /// A worker reports with its current incarnation: it has no runs, and these have ended.
 fn answer(pool: &mut Pool, now: Ms, id: &WorkerId, ended: Vec<RunEnd>) {
-    let listing = WorkerReport {
+    let report = WorkerReport {
         clock: now + 50_000,
         incarnation: pool.worker(id).map_or(0, |worker| worker.end_cursor().0),
         lease: now + 55_000,
@@ -43,7 +43,7 @@
         ended,
         ..WorkerReport::default()
     };
-    pool.apply_report(now, UNIX + now, id, &listing);
+    pool.apply_report(now, UNIX + now, id, &report);
 }
 
 /// All workers except the one of this start command report.
@@ -61,10 +61,10 @@
     adopt(pool, 1_000, task);
     let mut now = 1_000;
     for crashes in 0..6 {
-        let mut begun = run(pool, now);
+        let mut started = run(pool, now);
         drop(store(pool));
-        begun.extend(run(pool, now + 50));
-        let Some(start) = begun.iter().find(|start| start.task.index == 0) else {
+        started.extend(run(pool, now + 50));
+        let Some(start) = started.iter().find(|start| start.task.index == 0) else {
             drop(store(pool));
             assert_eq!(pool.state(&id), Some(State::Failed));
             return crashes;
@@ -72,7 +72,7 @@
         now += 1_000;
         restart(pool, now, start, crashes as u64 + 1);
         now += 1_000;
-        for other in begun.iter().filter(|it| it.worker != start.worker) {
+        for other in started.iter().filter(|it| it.worker != start.worker) {
             let broken = vec![end(other, crashes as u64 + 1, RunOutcome::Broken)];
             answer(pool, now, &other.worker, broken);
         }
@@ -84,9 +84,9 @@
 /// Guards against restarting a long-running task without limit if it crashes its workers.
 #[test]
 fn a_long_running_task_that_crashes_its_workers_is_abandoned() {
-    let mut lasting = job("00000000000000l1", &[(1, 500, 100)]);
-    lasting.steps[0].long_running = true;
-    assert_eq!(crash_until_abandoned(&mut pool(6), lasting), 3);
+    let mut long_running = job("00000000000000l1", &[(1, 500, 100)]);
+    long_running.steps[0].long_running = true;
+    assert_eq!(crash_until_abandoned(&mut pool(6), long_running), 3);
 }
 
 /// Guards against starting a gang without limit if one member crashes its worker.
@@ -124,9 +124,9 @@
 fn crash_twice(pool: &mut Pool) -> Ms {
     adopt(pool, 1_000, job("00000000000000a1", &[(1, 900, 5_000)]));
     let mut now = 1_000;
-    for life in 1..3 {
+    for restarts in 1..3 {
         let start = run(pool, now).remove(0);
-        restart(pool, now + 1_000, &start, life);
+        restart(pool, now + 1_000, &start, restarts);
         others_answer(pool, now + 1_100, &start);
         now += 1_200;
     }
@@ -204,7 +204,7 @@
         job("00000000000000a1", &[(1, 900, 5_000)]),
     );
     let first = run(&mut pool, 1_000).remove(0);
-    let noted = |pool: &mut Pool| {
+    let recorded = |pool: &mut Pool| {
         let progress = store(pool).expect("there is something to store");
         !progress.open[0].steps[0].crashed.is_empty()
     };
@@ -212,14 +212,14 @@
         others_answer(&mut pool, now, &first);
         drop(pool.plan(now, UNIX + now));
     }
-    assert!(noted(&mut pool));
+    assert!(recorded(&mut pool));
     let lapsed = vec![end(&first, 1, RunOutcome::Lapsed)];
     report(&mut pool, 10_000, &first.worker, vec![], lapsed);
     let running = starts(pool.plan(10_010, UNIX + 10_010));
     report_all(&mut pool, 10_020, &running);
     let crashed = store(&mut pool).is_some_and(|progress| {
-        let course = &progress.open[0].steps[0];
-        course.crashed.iter().any(|(_, runs)| runs.contains(&1))
+        let step = &progress.open[0].steps[0];
+        step.crashed.iter().any(|(_, runs)| runs.contains(&1))
     });
     assert!(!crashed);
 }
@@ -238,35 +238,35 @@
     others_answer(&mut pool, 2_100, &first);
     let second = run(&mut pool, 2_110);
     assert_eq!(second.len(), 1);
-    let noted = store(&mut pool).expect("the start is noted");
-    assert_eq!(noted.open[0].steps[0].crashed, vec![(0, vec![1, 2])]);
+    let recorded = store(&mut pool).expect("the start is recorded");
+    assert_eq!(recorded.open[0].steps[0].crashed, vec![(0, vec![1, 2])]);
     report_all(&mut pool, 4_200, &second);
-    let noted = store(&mut pool).expect("it has outlived its start");
-    assert_eq!(noted.open[0].steps[0].crashed, vec![(0, vec![1])]);
+    let recorded = store(&mut pool).expect("it has outlived its start");
+    assert_eq!(recorded.open[0].steps[0].crashed, vec![(0, vec![1])]);
     report_all(&mut pool, 12_200, &second);
-    let noted = store(&mut pool).expect("it is stable");
-    assert!(noted.open[0].steps[0].crashed.is_empty());
+    let recorded = store(&mut pool).expect("it is stable");
+    assert!(recorded.open[0].steps[0].crashed.is_empty());
 }
 
 /// Guards against a crash that no owner records: the worker stops answering under one owner and has restarted before the next
 /// owner reaches it.
 #[test]
 fn an_unavailable_worker_that_restarts_before_the_next_owner_reaches_it_has_crashed() {
-    let mut former = pool(4);
+    let mut previous = pool(4);
     adopt(
-        &mut former,
+        &mut previous,
         1_000,
         job("00000000000000a1", &[(1, 900, 5_000)]),
     );
-    let first = run(&mut former, 1_000).remove(0);
-    former.mark_unresponsive(&first.worker);
-    let silent = former.silent(1_100);
+    let first = run(&mut previous, 1_000).remove(0);
+    previous.mark_unresponsive(&first.worker);
+    let silent = previous.silent(1_100);
     assert_eq!(silent.len(), 1);
     let mut next = Pool::new(Options::default());
     let again = Arc::new(job("00000000000000a1", &[(1, 900, 5_000)]));
     next.adopt(1_200, UNIX + 1_200, again, None, true);
-    next.inherit(1_200, former.roster(1_100), &silent);
-    for worker in former.workers() {
+    next.inherit(1_200, previous.roster(1_100), &silent);
+    for worker in previous.workers() {
         next.listed(1_200, &worker.id, worker.info.clone());
         if worker.id != first.worker {
             report(&mut next, 1_250, &worker.id, vec![], vec![]);
@@ -288,27 +288,27 @@
     );
     let mut now = 1_000;
     for crashes in 0..8 {
-        let mut begun = starts(pool.plan(now, UNIX + now));
+        let mut started = starts(pool.plan(now, UNIX + now));
         drop(store(&mut pool));
         now += 10;
-        begun.extend(starts(pool.plan(now, UNIX + now)));
+        started.extend(starts(pool.plan(now, UNIX + now)));
         let lost = pool
             .workers()
             .find(|worker| worker.free_capacity().millicores < 4_000);
         let Some(worker) = lost.map(|worker| Arc::clone(&worker.id)) else {
             return crashes;
         };
-        for start in &begun {
+        for start in &started {
             pool.start_answered(now + 10, start, answer);
         }
-        let life = pool
+        let current = pool
             .worker(&worker)
             .map_or(0, |worker| worker.end_cursor().0);
         now += 1_000;
-        for (clock, born) in [(10, life + 1), (2_000, life + 1)] {
-            let listing = WorkerReport {
+        for (clock, next) in [(10, current + 1), (2_000, current + 1)] {
+            let report = WorkerReport {
                 clock,
-                incarnation: born,
+                incarnation: next,
                 lease: 1_000_000,
                 requested_at: now,
                 ..WorkerReport::default()
@@ -318,7 +318,7 @@
                     pool.stop_answered(now, &stop, StopAnswer::Stopped(20));
                 }
             }
-            pool.apply_report(now, UNIX + now, &worker, &listing);
+            pool.apply_report(now, UNIX + now, &worker, &report);
             now += 20;
         }
         let ids: Vec<_> = pool.workers().map(|it| Arc::clone(&it.id)).collect();
@@ -374,13 +374,13 @@
         job("00000000000000a1", &[(1, 900, 60_000)]),
     );
     let first = run(&mut pool, 1_000).remove(0);
-    let mut news = pool
+    let mut info = pool
         .worker(&first.worker)
-        .expect("it is there")
+        .expect("the worker is known")
         .info
         .clone();
-    news.draining = Some(2_000);
-    pool.listed(1_100, &first.worker, news);
+    info.draining = Some(2_000);
+    pool.listed(1_100, &first.worker, info);
     for now in (1_500..10_000).step_by(500) {
         others_answer(&mut pool, now, &first);
         drop(pool.plan(now, UNIX + now));
@@ -409,12 +409,12 @@
         run(&mut pool, 3_020).is_empty(),
         "no other worker has reported since"
     );
-    let alive = pool
+    let responsive = pool
         .workers()
         .map(|worker| Arc::clone(&worker.id))
         .find(|id| *id != first.worker && *id != second.worker);
-    let alive = alive.expect("there are four");
-    answer(&mut pool, 3_100, &alive, vec![]);
+    let responsive = responsive.expect("there are four");
+    answer(&mut pool, 3_100, &responsive, vec![]);
     let third = run(&mut pool, 3_110);
-    assert_eq!(third[0].worker, alive);
+    assert_eq!(third[0].worker, responsive);
 }
