--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -88,10 +88,10 @@
     }
 
     fn past_crashes(&self) -> impl Iterator<Item = &Crash> {
-        let present = self.run.as_ref().map(|run| run.number);
+        let current = self.run.as_ref().map(|run| run.number);
         self.crashed
             .iter()
-            .filter(move |it| Some(it.run) != present && Some(it.run) != self.announced)
+            .filter(move |it| Some(it.run) != current && Some(it.run) != self.announced)
     }
 
     /// Whether the task has crashed so many workers that it must not be started again.
--- a/crates/pool/src/ends.rs
+++ b/crates/pool/src/ends.rs
@@ -88,12 +88,12 @@
             return;
         };
         // A long-running task is never done, however it ends.
-        let how = if step.long_running && end.outcome == RunOutcome::Done {
+        let outcome = if step.long_running && end.outcome == RunOutcome::Done {
             RunOutcome::Stopped
         } else {
             end.outcome
         };
-        let store = task.record_end(end.run, how, &end.checkpoint);
+        let store = task.record_end(end.run, outcome, &end.checkpoint);
         let current = task
             .run
             .as_ref()
@@ -102,7 +102,7 @@
         let other_is_current = task.done && current.is_none() && task.run.is_some();
         let attempts = task.failed.len();
         if let Some(run) = &current {
-            self.judge(now, worker, how, run, key, step.long_running);
+            self.judge(now, worker, outcome, run, key, step.long_running);
             let retry = match end.outcome {
                 RunOutcome::Failed if step.long_running => LONG_RUNNING_RETRY_DELAY,
                 RunOutcome::Failed => FAILED_RETRY_DELAY,
@@ -116,7 +116,7 @@
         if store {
             self.mark(&id);
         }
-        match how {
+        match outcome {
             RunOutcome::Done => self.complete_task(now, unix, &key.stage, end.run, step.gang),
             RunOutcome::Failed if !step.long_running => {
                 let attempts = if step.gang {
--- a/crates/pool/src/reconcile.rs
+++ b/crates/pool/src/reconcile.rs
@@ -76,7 +76,7 @@
         };
         let applied = worker.ends_applied;
         let previous = worker.unknown_ends.take();
-        let mut beyond = std::mem::take(&mut worker.applied_out_of_order);
+        let mut out_of_order = std::mem::take(&mut worker.applied_out_of_order);
         let mut unknown: Option<UnknownEnds> = None;
         for end in report.ended.iter().filter(|end| end.number > applied) {
             let job = &end.task.stage.job;
@@ -95,17 +95,17 @@
                 }
                 unknown = None;
             }
-            if !beyond.remove(&end.number) {
+            if !out_of_order.remove(&end.number) {
                 self.apply_end(now, unix, id, end);
             }
             if unknown.is_some() {
-                beyond.insert(end.number);
+                out_of_order.insert(end.number);
             } else if let Some(worker) = self.workers.get_mut(id) {
                 worker.ends_applied = end.number;
             }
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.applied_out_of_order = beyond;
+            worker.applied_out_of_order = out_of_order;
             worker.unknown_ends = unknown;
         }
     }
