--- a/crates/host/src/claim.rs
+++ b/crates/host/src/claim.rs
@@ -17,12 +17,12 @@
 
 /// The transactions that wrote the two rows last; 0 for a row that isn't there.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) struct Version {
+pub(crate) struct ClaimVersion {
     pub owner: u64,
     pub roster: u64,
 }
 
-impl Version {
+impl ClaimVersion {
     /// The conditions under which the claim is still as it was. A write of either row makes every other write with these
     /// conditions impossible.
     pub(crate) fn checks(self) -> Vec<(String, String, u64)> {
@@ -58,10 +58,10 @@
     }
 
     /// The claim among these rows, with its version; `None` if one of the rows isn't there.
-    pub(crate) fn find(rows: &[Row]) -> Option<(Self, Version)> {
+    pub(crate) fn find(rows: &[Row]) -> Option<(Self, ClaimVersion)> {
         let (owner, written) = parse(rows, OWNER)?;
         let (roster, listed) = parse(rows, ROSTER)?;
-        let version = Version {
+        let version = ClaimVersion {
             owner: written,
             roster: listed,
         };
--- a/crates/host/src/current.rs
+++ b/crates/host/src/current.rs
@@ -95,14 +95,14 @@
             info!(from = "store", as_of = self.catalog_as_of(); "the configuration is followed");
             tokio::select! {
                 () = self.read_catalog() => {}
-                () = self.until(|| self.owns() == 0 && self.is_told_within(RELY_AGE_SHARE)) => {}
+                () = self.until(|| self.owned_pool_count() == 0 && self.is_told_within(RELY_AGE_SHARE)) => {}
             }
             info!(from = "owner", as_of = self.catalog_as_of(); "the configuration is followed");
             self.current.relying.store(true, Ordering::Relaxed);
             tokio::select! {
                 // A small table: its answers tell whether the store serves this host.
                 () = self.follow_plan() => {}
-                () = self.until(|| self.owns() > 0 || !self.is_kept_current()) => {}
+                () = self.until(|| self.owned_pool_count() > 0 || !self.is_kept_current()) => {}
             }
             self.current.relying.store(false, Ordering::Relaxed);
         }
@@ -192,7 +192,7 @@
         loop {
             self.current.newer.notified().await;
             let mine = self.catalog_version();
-            let Some(link) = self.ahead(|beat| beat.catalog > mine) else {
+            let Some(link) = self.link_to_owner_where(|beat| beat.catalog > mine) else {
                 behind = None;
                 continue;
             };
@@ -216,7 +216,7 @@
         loop {
             self.current.newer_plan.notified().await;
             let mine = self.plan.load().version;
-            if let Some(link) = self.ahead(|beat| beat.plan > mine)
+            if let Some(link) = self.link_to_owner_where(|beat| beat.plan > mine)
                 && let Some(Reply::Plan(plan)) = link.fetch(Call::Plan).await
             {
                 self.put_plan(*plan);
--- a/crates/host/src/election.rs
+++ b/crates/host/src/election.rs
@@ -20,17 +20,17 @@
 
 use self::grounds::Grounds;
 use self::member::Member;
-use crate::claim::{Claim, Version};
+use crate::claim::{Claim, ClaimVersion};
 use crate::clock;
 use crate::host::Host;
 use crate::outside::{StoreError, Transaction};
 use crate::owner::Owner;
-use crate::owners::{self, Known};
+use crate::owner_rows::{self, Known};
 use crate::peers::LinkEnd;
 use crate::plan::Plan;
-use crate::post::Post;
 use crate::rows::{COMMON, OWNER, OwnerRow, PLAN, ROSTER, RosterRow, pool_part};
-use crate::turn::Turn;
+use crate::suitability::Suitability;
+use crate::takeover_delay::TakeoverDelay;
 
 /// A store that answers within this is in the same region.
 pub(crate) const NEAR_MS: u64 = 12;
@@ -62,7 +62,7 @@
     };
     tokio::select! {
         () = part => {}
-        () = owners::follow(host) => {}
+        () = owner_rows::follow(host) => {}
         () = host.stop.ended() => {}
     }
     tasks.shutdown().await;
@@ -90,7 +90,7 @@
 
 /// Takes part in the choice of one pool's owner.
 async fn take_part(host: &Arc<Host>, pool: u32) {
-    let mut rows = host.owners.subscribe(pool);
+    let mut rows = host.owner_rows.subscribe(pool);
     let mut member = Member::default();
     loop {
         let known = rows.borrow_and_update().clone();
@@ -133,19 +133,19 @@
     let heirs = row.map_or(&[][..], |row| &row.heirs);
     let id = &host.settings.id;
     let hash = xxh3_64_with_seed(id.as_bytes(), pool.into());
-    let post = Post {
+    let post = Suitability {
         near: host.away() <= NEAR_MS,
         processors: host.settings.processors,
         line: host.settings.line,
-        pools: host.owns() + 1,
+        pools: host.owned_pool_count() + 1,
     };
-    let turn = Turn {
+    let turn = TakeoverDelay {
         own: host.has(Mechanism::Restart) && row.is_some_and(|row| row.host == *id),
         place: heirs.iter().position(|heir| heir.host == *id),
         heirs: heirs.len(),
         far: host.away() > NEAR_MS,
         processors: host.settings.processors,
-        owns: host.owns(),
+        owns: host.owned_pool_count(),
         weak: post.wait(host.plan().size(pool)),
         spread: Duration::from_millis(hash % SPREAD_MS),
     };
@@ -153,7 +153,7 @@
 }
 
 /// Reads who owns a pool and which workers it may use; `None` if that can't be read.
-async fn read_claim(host: &Host, pool: u32) -> Option<(Claim, Version)> {
+async fn read_claim(host: &Host, pool: u32) -> Option<(Claim, ClaimVersion)> {
     let part = pool_part(pool);
     let (owner, roster) = tokio::join!(
         host.store.list(OWNER, &part),
@@ -163,26 +163,32 @@
 }
 
 /// Takes the pool, and owns it until another does or this host leaves.
-async fn own(host: &Arc<Host>, pool: u32, mut before: Option<(Claim, Version)>, grounds: Grounds) {
+async fn own(
+    host: &Arc<Host>,
+    pool: u32,
+    mut before: Option<(Claim, ClaimVersion)>,
+    grounds: Grounds,
+) {
     let began = clock::now();
     for _ in 0..TRIES {
         let former = before.as_ref().map(|(claim, _)| claim);
         let claim = new_claim(host, former);
         let version = before
             .as_ref()
-            .map_or_else(Version::default, |(_, version)| *version);
+            .map_or_else(ClaimVersion::default, |(_, version)| *version);
         match write(host, pool, &claim, version).await {
             Written::Yes(version) => {
                 let former = before.map(|(claim, _)| claim);
                 info!(pool = pool, epoch = claim.owner.epoch, before = former.as_ref().map_or("", |claim| claim.owner.host.as_str()), workers = claim.roster.roster.len(), grounds:% = grounds, ms = clock::now().saturating_sub(began); "took the pool");
-                host.owners.note(pool, Some((claim.owner.clone(), version)));
+                host.owner_rows
+                    .note(pool, Some((claim.owner.clone(), version)));
                 let roster = former.map_or_else(Vec::new, |claim| claim.roster.roster);
                 Owner::run(host, pool, claim, roster, version).await;
                 return;
             }
             // Reads may lag behind: the same owner has written its row since it was read.
             Written::Other(found, version) => {
-                host.owners
+                host.owner_rows
                     .note(pool, Some((found.owner.clone(), version.owner)));
                 if former.is_none_or(|former| former.owner.epoch != found.owner.epoch) {
                     return;
@@ -218,12 +224,12 @@
     /// It is there, as of this transaction.
     Yes(u64),
     /// Another is there, of this version.
-    Other(Claim, Version),
+    Other(Claim, ClaimVersion),
     /// It is not there, as far as can be told.
     No,
 }
 
-async fn write(host: &Host, pool: u32, claim: &Claim, version: Version) -> Written {
+async fn write(host: &Host, pool: u32, claim: &Claim, version: ClaimVersion) -> Written {
     let (Ok(owner), Ok(roster)) = (claim.put_owner(), claim.put_roster()) else {
         return Written::No;
     };
--- a/crates/host/src/election/member.rs
+++ b/crates/host/src/election/member.rs
@@ -13,7 +13,7 @@
 use super::{own, pause, read_claim, wait_turn};
 use crate::clock;
 use crate::host::Host;
-use crate::owners::{self, Known};
+use crate::owner_rows::{self, Known};
 use crate::peers::{self, LinkEnd};
 use crate::rows::OwnerRow;
 use crate::verdict::{Evidence, Verdict};
@@ -186,7 +186,7 @@
             None => WITNESS_TIMEOUT,
         };
         let mut asked = pin!(ask_others(host, pool, row, time));
-        let mut read = pin!(timeout(time / 2, owners::read(host, pool)));
+        let mut read = pin!(timeout(time / 2, owner_rows::read(host, pool)));
         let mut found = None;
         let mut evidence = tokio::select! {
             evidence = &mut asked => evidence,
--- a/crates/host/src/front.rs
+++ b/crates/host/src/front.rs
@@ -53,11 +53,11 @@
     pub async fn submit(self: &Arc<Self>, job: Job, until: Instant) -> Submitted {
         let began = clock::now();
         let (id, queue) = (Arc::clone(&job.id), job.queue.clone());
-        let pool = route::choose(&self.plan(), &job, &self.loads());
-        let heard = self.heard(pool);
+        let pool = route::choose(&self.plan(), &job, &self.pool_loads());
+        let heard = self.last_heartbeat(pool);
         let job = Job {
             epoch: if self.has(Mechanism::JobEpochs) {
-                self.epoch(pool)
+                self.owner_epoch(pool)
             } else {
                 0
             },
@@ -74,7 +74,7 @@
         metrics::histogram!("lentilyoke_submit_ms", "outcome" => outcome).record(took);
         info!(
             job = &*id, queue = queue, outcome:? = submitted, ms = clock::now().saturating_sub(began),
-            pool = pool, epoch = heard.beat.epoch, beat_age = began.saturating_sub(heard.at),
+            pool = pool, epoch = heard.heartbeat.epoch, beat_age = began.saturating_sub(heard.received_at),
             plan = self.plan().version, store_served = self.served();
             "submit"
         );
@@ -141,7 +141,10 @@
     }
 
     async fn insert_by_owner(&self, pool: u32, job: &Job, until: Instant) -> Inserted {
-        let Some(link) = self.served_link().or_else(|| self.link(pool)) else {
+        let Some(link) = self
+            .link_to_owner_with_store()
+            .or_else(|| self.owner_link(pool))
+        else {
             return Inserted::Refused;
         };
         let left = until.saturating_duration_since(Instant::now());
@@ -157,16 +160,16 @@
     pub(crate) fn tell_accepted(&self, place: Place, job: Job) {
         let state = self.pool_state(place.pool);
         if let Some(owner) = state.owner {
-            owner.accepted(job, place);
+            owner.add_accepted_job(job, place);
         } else if let Some(link) = state.link {
-            link.tell(ToOwner::Accepted(Box::new(job), place));
+            link.send(ToOwner::Accepted(Box::new(job), place));
         }
     }
 
     async fn ask_owner(&self, pool: u32, call: Call, time: Duration) -> Option<Reply> {
         let state = self.pool_state(pool);
         if let Some(owner) = state.owner {
-            return Some(owner.answer(call).await);
+            return Some(owner.handle_call(call).await);
         }
         state.link?.call(call, time).await
     }
@@ -289,7 +292,7 @@
     /// How many of a queue's jobs have nothing started; `None` if that isn't known well enough.
     #[must_use]
     pub fn pending(&self, queue: &str) -> Option<u64> {
-        self.sum(PENDING_AGE, |beat| {
+        self.sum_over_pools(PENDING_AGE, |beat| {
             let pending = beat.pending.as_ref()?;
             Some(pending.get(queue).copied().unwrap_or(0))
         })
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -14,9 +14,9 @@
 use crate::clock;
 use crate::current::Current;
 use crate::outside::{Advisor, Decode, Store, Workers};
-use crate::owners::Owners;
+use crate::owner_rows::OwnerRows;
 use crate::plan::Plan;
-use crate::pool_state::{Heard, PoolState};
+use crate::pool_state::{LastHeartbeat, PoolState};
 use crate::rows::{COMMON, PLAN};
 use crate::settings::Settings;
 use crate::wire::Beat;
@@ -66,7 +66,7 @@
     /// A pool's owner may not be known any more.
     pub(crate) unowned: Notify,
     /// Rows of the pools' owners.
-    pub(crate) owners: Owners,
+    pub(crate) owner_rows: OwnerRows,
     /// The store serves this host again, or serves it no more.
     pub(crate) store_changed: Notify,
     /// An owner has lost the store: whether it serves this host is to be found out.
@@ -105,7 +105,7 @@
             pool_states: Mutex::default(),
             plan: ArcSwap::default(),
             unowned: Notify::new(),
-            owners: Owners::default(),
+            owner_rows: OwnerRows::default(),
             store_changed: Notify::new(),
             doubted: Notify::new(),
             probed: Notify::new(),
@@ -171,7 +171,7 @@
 
     /// Whether a job can be accepted now: the store serves this host, or an owner that takes jobs for it.
     pub(crate) fn can_accept(&self) -> bool {
-        self.served() || self.served_link().is_some()
+        self.served() || self.link_to_owner_with_store().is_some()
     }
 
     /// Whether this host should get new connections. One that can accept nothing sends callers away; the sooner it says so
@@ -210,11 +210,16 @@
             self.confirm(at, beat.catalog_as_of);
             self.current.told.fetch_max(at, Ordering::Relaxed);
         }
-        if beat.failing && self.owns() == 0 {
+        if beat.failing && self.owned_pool_count() == 0 {
             self.doubted.notify_one();
         }
         let (pool, catalog, plan) = (beat.pool, beat.catalog, beat.plan);
-        self.change(pool, |state| state.heard = Heard { at: now, beat });
+        self.update_pool_state(pool, |state| {
+            state.last_heartbeat = LastHeartbeat {
+                received_at: now,
+                heartbeat: beat,
+            }
+        });
         if catalog > mine {
             self.current.newer.notify_one();
         }
--- a/crates/host/src/lag.rs
+++ b/crates/host/src/lag.rs
@@ -15,21 +15,21 @@
 /// How late the timers of this host are.
 ///
 /// ```
-/// use host::lag::Lag;
+/// use host::lag::TimerLag;
 ///
-/// let mut lag = Lag::default();
+/// let mut lag = TimerLag::default();
 /// (0..40).for_each(|at| lag.note(at * 60, 10));
 /// assert!(!lag.is_overloaded(2_400));
 /// (0..6).for_each(|at| lag.note(3_000 + at * 500, 450));
 /// assert!(lag.is_overloaded(5_500));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lag {
+pub struct TimerLag {
     mean: f64,
     since: Option<Ms>,
 }
 
-impl Lag {
+impl TimerLag {
     /// A timer was this late, in milliseconds.
     pub fn note(&mut self, now: Ms, late: Ms) {
         self.mean += NEWEST * (late as f64 - self.mean);
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -8,9 +8,9 @@
 //! * [`insert`]: how a job's row is written, once.
 //! * [`Plan`]: which workers belong to which pool; [`route`]: which pool a job goes to.
 //! * [`packed`]: the configuration as hosts send it to each other.
-//! * [`post`]: which hosts have what a pool needs.
+//! * [`suitability`]: which hosts have what a pool needs.
 //! * [`sample`]: which jobs are told in full in the log.
-//! * [`turn`]: how long a host leaves a pool to others.
+//! * [`takeover_delay`]: how long a host leaves a pool to others.
 //! * [`lag`]: whether a host has time for what it does.
 //! * [`link`]: what a host asks an owner.
 //! * [`unserved`]: when an owner without the store gives its pool up.
@@ -33,20 +33,20 @@
 pub mod link;
 mod outside;
 mod owner;
-mod owners;
+mod owner_rows;
 pub mod packed;
 mod peers;
 pub mod plan;
 mod pool_state;
-pub mod post;
 pub mod route;
 mod rows;
 pub mod sample;
 mod session;
 mod settings;
+pub mod suitability;
+pub mod takeover_delay;
 mod timed_reader;
 mod transfer;
-pub mod turn;
 pub mod unserved;
 pub mod verdict;
 pub mod wire;
--- a/crates/host/src/link.rs
+++ b/crates/host/src/link.rs
@@ -22,7 +22,7 @@
 /// let link = Link::new(to);
 /// let owner = async {
 ///     if let Some(ToOwner::Ask(number, Call::Plan)) = from.recv().await {
-///         assert!(link.answer(number, Reply::Unsure).is_none());
+///         assert!(link.deliver_reply(number, Reply::Unsure).is_none());
 ///     }
 /// };
 /// let (reply, ()) = tokio::join!(link.fetch(Call::Plan), owner);
@@ -47,7 +47,7 @@
     }
 
     /// Tells the owner something; `false` if the link is broken or full.
-    pub fn tell(&self, message: ToOwner) -> bool {
+    pub fn send(&self, message: ToOwner) -> bool {
         self.to.try_send(message).is_ok()
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// The owner has answered the call with this number; tells the reply if nobody waits for it any more.
-    pub fn answer(&self, number: u64, reply: Reply) -> Option<Reply> {
+    pub fn deliver_reply(&self, number: u64, reply: Reply) -> Option<Reply> {
         match lock(&self.calls).remove(&number) {
             Some(to) => to.send(reply).err(),
             None => Some(reply),
@@ -85,7 +85,7 @@
         let number = self.number.fetch_add(1, Ordering::Relaxed);
         let (to, answer) = oneshot::channel();
         lock(&self.calls).insert(number, to);
-        if self.tell(ToOwner::Ask(number, call)) {
+        if self.send(ToOwner::Ask(number, call)) {
             return Some((number, answer));
         }
         lock(&self.calls).remove(&number);
--- a/crates/host/src/owner.rs
+++ b/crates/host/src/owner.rs
@@ -26,7 +26,7 @@
 use crate::helpers::Helper;
 use crate::host::{Host, lock};
 use crate::outside::Page;
-use crate::owners;
+use crate::owner_rows;
 use crate::rows::{JOBS, job_parts};
 use crate::sample::is_told_in_full;
 use crate::unserved::Unserved;
@@ -138,7 +138,7 @@
 
     /// The pool's number.
     #[must_use]
-    pub fn number(&self) -> u32 {
+    pub fn pool_number(&self) -> u32 {
         self.number
     }
 
@@ -167,7 +167,7 @@
     async fn look(self: Arc<Self>) {
         loop {
             tokio::time::sleep(LOOK).await;
-            let read = owners::read(&self.host, self.number).await;
+            let read = owner_rows::read(&self.host, self.number).await;
             if let Some((Some((row, _)), _)) = read
                 && row.epoch > self.epoch
             {
--- a/crates/host/src/owner/calls.rs
+++ b/crates/host/src/owner/calls.rs
@@ -22,7 +22,7 @@
     /// A host may be paused between the two. Meanwhile the job may have gone to another pool, and this one to another owner:
     /// taken up without its progress it would run a second time. What was written before this owner read the jobs is known
     /// by that, and what is more than the job itself is told by the row.
-    pub(crate) fn accepted(&self, job: Job, place: Place) {
+    pub(crate) fn add_accepted_job(&self, job: Job, place: Place) {
         let known = place.version <= self.read_to.load(Ordering::Relaxed);
         if !self.loaded.load(Ordering::Relaxed) || known || place.moved {
             return;
--- a/crates/host/src/owner/members.rs
+++ b/crates/host/src/owner/members.rs
@@ -16,10 +16,10 @@
 use crate::election::NEAR_MS;
 use crate::helpers::Helper;
 use crate::host::lock;
-use crate::lag::Lag;
+use crate::lag::TimerLag;
 use crate::peers::BEAT;
-use crate::post::Post;
 use crate::rows::Heir;
+use crate::suitability::Suitability;
 use crate::unserved::Candidate;
 use crate::wire::{Beat, FromOwner, ToOwner};
 
@@ -85,8 +85,8 @@
         }
     }
 
-    fn post(&self) -> Post {
-        Post {
+    fn post(&self) -> Suitability {
+        Suitability {
             near: self.away <= NEAR_MS,
             processors: self.processors,
             line: self.line,
@@ -103,7 +103,7 @@
     pub(super) async fn hand_over(self: Arc<Self>) {
         let began = clock::now();
         let mut urged: FxHashMap<String, Ms> = FxHashMap::default();
-        let mut lag = Lag::default();
+        let mut lag = TimerLag::default();
         loop {
             let due = clock::now() + HAND_OVER_INTERVAL.as_millis() as Ms;
             tokio::time::sleep(HAND_OVER_INTERVAL).await;
@@ -144,11 +144,11 @@
         let overloaded = overloaded && now.saturating_sub(began) > SETTLED_OVERLOADED;
         let leaving = unserved.is_some() || draining || overloaded;
         let workers = self.workers();
-        let own = Post {
+        let own = Suitability {
             near: self.host.away() <= NEAR_MS,
             processors: self.host.settings.processors,
             line: self.host.settings.line,
-            pools: self.host.owns_up_to(self.number),
+            pools: self.host.owned_pool_count_up_to(self.number),
         };
         // One that is too weak for the pool may never know the jobs.
         let settled = if own.suits(workers) {
@@ -184,7 +184,7 @@
 
     /// The largest pool that a host should own, among those that are here.
     pub(super) fn largest_pool(&self) -> u32 {
-        let own = Post {
+        let own = Suitability {
             near: true,
             processors: self.host.settings.processors,
             line: self.host.settings.line,
@@ -192,7 +192,7 @@
         };
         let members = lock(&self.members);
         let others = members.values().map(|member| {
-            let post = Post {
+            let post = Suitability {
                 pools: 1,
                 ..member.post()
             };
@@ -344,7 +344,9 @@
         to: mpsc::Sender<FromOwner>,
     ) -> u64 {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        drop(to.try_send(FromOwner::Beat(self.host.heard(self.number).beat)));
+        drop(to.try_send(FromOwner::Beat(
+            self.host.last_heartbeat(self.number).heartbeat,
+        )));
 
         lock(&self.members).insert(
             name.to_owned(),
@@ -407,7 +409,7 @@
                     member.sent = sent;
                 }
             }
-            ToOwner::Accepted(job, place) => self.accepted(*job, place),
+            ToOwner::Accepted(job, place) => self.add_accepted_job(*job, place),
             ToOwner::Advised(number, allowed) => {
                 let allowed = allowed.map(|(rows, valid)| {
                     let rows = rows
@@ -420,7 +422,7 @@
             ToOwner::Ask(number, call) => {
                 let (owner, to) = (Arc::clone(self), to.clone());
                 self.host.stop.spawn(async move {
-                    let reply = owner.answer(call).await;
+                    let reply = owner.handle_call(call).await;
                     drop(to.send(FromOwner::Told(number, reply)).await);
                 });
             }
--- a/crates/host/src/owners.rs
+++ b/crates/host/src/owner_rows.rs
@@ -56,11 +56,11 @@
 
 /// What is known of the owners' rows.
 #[derive(Debug, Default)]
-pub(crate) struct Owners {
+pub(crate) struct OwnerRows {
     pools: Mutex<Vec<watch::Sender<Known>>>,
 }
 
-impl Owners {
+impl OwnerRows {
     /// Tells the row of a pool's owner whenever a newer one is known.
     pub(crate) fn subscribe(&self, pool: u32) -> watch::Receiver<Known> {
         self.with(pool, watch::Sender::subscribe)
@@ -94,7 +94,7 @@
 pub(crate) async fn read(host: &Host, pool: u32) -> Option<(Option<Found>, u64)> {
     let page = host.store.list(OWNER, &pool_part(pool)).await.ok()?;
     let found = parse(&page.rows, OWNER);
-    host.owners.note(pool, found.clone());
+    host.owner_rows.note(pool, found.clone());
     Some((found, page.version))
 }
 
@@ -114,7 +114,7 @@
     let mut pools = 0;
     loop {
         let unowned = host.unowned.notified();
-        if !host.misses_owner() {
+        if !host.has_unknown_owner() {
             // All that changes until then is of no interest: the rows are read anew.
             after = None;
             unowned.await;
@@ -140,7 +140,7 @@
                     if let (Some(pool), Some(found)) =
                         (pool, parse(std::slice::from_ref(row), OWNER))
                     {
-                        host.owners.note(pool, Some(found));
+                        host.owner_rows.note(pool, Some(found));
                     }
                 }
             }
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -15,7 +15,7 @@
 use crate::host::Host;
 use crate::link::Link;
 use crate::owner::Owner;
-use crate::verdict::Answer;
+use crate::verdict::WitnessAnswer;
 use crate::wire::{Call, FromOwner, Receiver, Reply, Sender, ToOwner};
 
 /// Time between two beats. A shorter one finds a lost owner sooner and costs each host a wake-up more.
@@ -95,7 +95,7 @@
     let mut receiver = Receiver::<FromOwner>::new(read);
     let (to, from) = mpsc::channel(QUEUE);
     let link = Arc::new(Link::new(to));
-    link.tell(ToOwner::Hello {
+    link.send(ToOwner::Hello {
         host: host.settings.id.clone(),
         address: host.settings.address,
         pool,
@@ -110,11 +110,11 @@
                 catalog,
                 served: host.served(),
                 away: host.away(),
-                owns: host.owns(),
+                owns: host.owned_pool_count(),
                 sent: clock::now(),
                 answered: host.answered(),
             };
-            if !link.tell(beat) {
+            if !link.send(beat) {
                 return;
             }
             tokio::select! {
@@ -135,7 +135,7 @@
             match message {
                 FromOwner::Beat(beat) => {
                     host.hear(beat);
-                    if host.link(pool).is_none() {
+                    if host.owner_link(pool).is_none() {
                         host.set_link(pool, Some(Arc::clone(&link)));
                         info!(pool = pool, owner:% = address, epoch = epoch; "joined the owner");
                     }
@@ -143,7 +143,7 @@
                 FromOwner::NotOwner { life } => return LinkEnd::NotOwner { life },
                 FromOwner::Take { epoch: of } if of == epoch => return LinkEnd::Take,
                 FromOwner::Told(number, reply) => {
-                    if let Some(late) = link.answer(number, reply) {
+                    if let Some(late) = link.deliver_reply(number, reply) {
                         warn!(pool = pool, owner:% = address, reply = late.name(); "an answer came too late");
                     }
                 }
@@ -169,7 +169,7 @@
                             let rows = rows.into_iter().map(|(id, text)| (id.to_string(), text));
                             (rows.collect(), valid)
                         });
-                        link.tell(ToOwner::Advised(number, allowed));
+                        link.send(ToOwner::Advised(number, allowed));
                     });
                 }
                 FromOwner::Take { .. } | FromOwner::Hears(_) => {}
@@ -187,24 +187,24 @@
 }
 
 /// Asks another host, for this long, whether it hears the owner of a pool or is it.
-pub(crate) async fn hears(address: SocketAddr, pool: u32, time: Duration) -> Answer {
+pub(crate) async fn hears(address: SocketAddr, pool: u32, time: Duration) -> WitnessAnswer {
     let ask = async {
         let (read, half) = match connect(address, time).await {
             Ok(stream) => stream.into_split(),
-            Err(Loss::Refused) => return Answer::Refused,
-            Err(_) => return Answer::TimedOut,
+            Err(Loss::Refused) => return WitnessAnswer::Refused,
+            Err(_) => return WitnessAnswer::TimedOut,
         };
         let mut sender = Sender::<ToOwner>::new(half);
         if sender.feed(&ToOwner::Hears(pool)).await.is_err() || sender.flush().await.is_err() {
-            return Answer::TimedOut;
+            return WitnessAnswer::TimedOut;
         }
         match Receiver::<FromOwner>::new(read).next().await {
-            Ok(Some(FromOwner::Hears(true))) => Answer::Hears,
-            Ok(Some(FromOwner::Hears(false))) => Answer::DoesNotHear,
-            _ => Answer::TimedOut,
+            Ok(Some(FromOwner::Hears(true))) => WitnessAnswer::Hears,
+            Ok(Some(FromOwner::Hears(false))) => WitnessAnswer::DoesNotHear,
+            _ => WitnessAnswer::TimedOut,
         }
     };
-    timeout(time, ask).await.unwrap_or(Answer::TimedOut)
+    timeout(time, ask).await.unwrap_or(WitnessAnswer::TimedOut)
 }
 
 /// Answers other hosts.
@@ -265,7 +265,7 @@
             },
             Ok(Some(ToOwner::Hears(pool))) => {
                 let state = host.pool_state(pool);
-                let recent = clock::now().saturating_sub(state.heard.at) < 900;
+                let recent = clock::now().saturating_sub(state.last_heartbeat.received_at) < 900;
                 let hears = state.owner.is_some() || recent && state.link.is_some();
                 drop(to.send(FromOwner::Hears(hears)).await);
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -296,7 +296,7 @@
 
 impl Owner {
     /// Answers a call of a host, or of this one.
-    pub(crate) async fn answer(self: &Arc<Self>, call: Call) -> Reply {
+    pub(crate) async fn handle_call(self: &Arc<Self>, call: Call) -> Reply {
         match call {
             Call::State(id) => self.state(&id).map_or(Reply::Unknown, Reply::State),
             Call::Cancel(id) => self.cancel(&id).await,
--- a/crates/host/src/pool_state.rs
+++ b/crates/host/src/pool_state.rs
@@ -20,9 +20,9 @@
 
 /// What this host heard from an owner last.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Heard {
-    pub at: Ms,
-    pub beat: Beat,
+pub(crate) struct LastHeartbeat {
+    pub received_at: Ms,
+    pub heartbeat: Beat,
 }
 
 /// One pool, as a host that may own it sees it.
@@ -33,7 +33,7 @@
     /// The way to the owner, if it is another host and there is one.
     pub link: Option<Arc<Link>>,
     /// What the owner said last.
-    pub heard: Heard,
+    pub last_heartbeat: LastHeartbeat,
 }
 
 impl Host {
@@ -43,7 +43,7 @@
         pool_states.get(pool as usize).cloned().unwrap_or_default()
     }
 
-    pub(crate) fn change(&self, pool: u32, change: impl FnOnce(&mut PoolState)) {
+    pub(crate) fn update_pool_state(&self, pool: u32, change: impl FnOnce(&mut PoolState)) {
         let mut pool_states = lock(&self.pool_states);
         let at = pool as usize;
         if pool_states.len() <= at {
@@ -75,12 +75,12 @@
         if known {
             self.knows_owner.store(true, Ordering::Relaxed);
         }
-        self.change(pool, change);
+        self.update_pool_state(pool, change);
         self.unowned.notify_one();
     }
 
     /// Whether there is a pool whose owner this host doesn't know.
-    pub(crate) fn misses_owner(&self) -> bool {
+    pub(crate) fn has_unknown_owner(&self) -> bool {
         let pools = self.plan.load().pools() as usize;
         let pool_states = lock(&self.pool_states);
         let known = pool_states.iter().take(pools);
@@ -91,7 +91,7 @@
     }
 
     /// How many pools this host owns.
-    pub(crate) fn owns(&self) -> u32 {
+    pub(crate) fn owned_pool_count(&self) -> u32 {
         let pool_states = lock(&self.pool_states);
         pool_states
             .iter()
@@ -100,68 +100,74 @@
     }
 
     /// How many of the pools up to this one, itself included, this host owns.
-    pub(crate) fn owns_up_to(&self, pool: u32) -> u32 {
+    pub(crate) fn owned_pool_count_up_to(&self, pool: u32) -> u32 {
         let pool_states = lock(&self.pool_states);
         let up_to = pool_states.iter().take(pool as usize + 1);
         up_to.filter(|state| state.owner.is_some()).count() as u32
     }
 
-    pub(crate) fn link(&self, pool: u32) -> Option<Arc<Link>> {
+    pub(crate) fn owner_link(&self, pool: u32) -> Option<Arc<Link>> {
         self.pool_state(pool).link
     }
 
     /// Epoch of a pool's owner, if this host is linked to it or is it; 0 if not.
-    pub(crate) fn epoch(&self, pool: u32) -> u64 {
+    pub(crate) fn owner_epoch(&self, pool: u32) -> u64 {
         let state = self.pool_state(pool);
         match (state.owner, state.link) {
             (Some(owner), _) => owner.epoch(),
-            (None, Some(_)) => state.heard.beat.epoch,
+            (None, Some(_)) => state.last_heartbeat.heartbeat.epoch,
             (None, None) => 0,
         }
     }
 
     /// The way to an owner that the store serves, as far as this host knows.
-    pub(crate) fn served_link(&self) -> Option<Arc<Link>> {
+    pub(crate) fn link_to_owner_with_store(&self) -> Option<Arc<Link>> {
         let now = clock::now();
         let pool_states = lock(&self.pool_states);
         let served = pool_states.iter().find(|state| {
             state.link.is_some()
-                && state.heard.beat.served
-                && now.saturating_sub(state.heard.at) < SERVED_NEWS
+                && state.last_heartbeat.heartbeat.served
+                && now.saturating_sub(state.last_heartbeat.received_at) < SERVED_NEWS
         });
         served.and_then(|state| state.link.clone())
     }
 
-    pub(crate) fn heard(&self, pool: u32) -> Heard {
+    pub(crate) fn last_heartbeat(&self, pool: u32) -> LastHeartbeat {
         let pool_states = lock(&self.pool_states);
         pool_states
             .get(pool as usize)
-            .map_or_else(Heard::default, |state| state.heard.clone())
+            .map_or_else(LastHeartbeat::default, |state| state.last_heartbeat.clone())
     }
 
-    /// Sums up what owners said within the last `age` milliseconds; `None` if one of them wasn't heard or didn't know.
-    pub(crate) fn sum(&self, age: Ms, part: impl Fn(&Beat) -> Option<u64>) -> Option<u64> {
+    /// Sums up what owners said within the last `max_age` milliseconds; `None` if one of them wasn't heard or didn't know.
+    pub(crate) fn sum_over_pools(
+        &self,
+        max_age: Ms,
+        part: impl Fn(&Beat) -> Option<u64>,
+    ) -> Option<u64> {
         let now = clock::now();
         let pools = self.plan.load().pools() as usize;
         let pool_states = lock(&self.pool_states);
         let told = (0..pools).map(|pool| {
             let state = pool_states.get(pool)?;
-            let recent = now.saturating_sub(state.heard.at) < age;
-            recent.then(|| part(&state.heard.beat)).flatten()
+            let recent = now.saturating_sub(state.last_heartbeat.received_at) < max_age;
+            recent
+                .then(|| part(&state.last_heartbeat.heartbeat))
+                .flatten()
         });
         told.sum()
     }
 
     /// How loaded the pools are, as far as this host knows.
-    pub(crate) fn loads(&self) -> FxHashMap<u32, Load> {
+    pub(crate) fn pool_loads(&self) -> FxHashMap<u32, Load> {
         let now = clock::now();
         let pool_states = lock(&self.pool_states);
         let loads = pool_states.iter().enumerate().map(|(pool, state)| {
             let load = Load {
-                heard: now.saturating_sub(state.heard.at) < RECENT
-                    && state.heard.beat.pending.is_some(),
-                taken: state.heard.beat.taken,
-                labels: state.heard.beat.labels.clone(),
+                heard: now.saturating_sub(state.last_heartbeat.received_at) < RECENT
+                    && state.last_heartbeat.heartbeat.pending.is_some(),
+                taken: state.last_heartbeat.heartbeat.taken,
+                labels: state.last_heartbeat.heartbeat.labels.clone(),
             };
             (pool as u32, load)
         });
@@ -169,12 +175,12 @@
     }
 
     /// The way to an owner that was heard lately and knows something newer.
-    pub(crate) fn ahead(&self, newer: impl Fn(&Beat) -> bool) -> Option<Arc<Link>> {
+    pub(crate) fn link_to_owner_where(&self, newer: impl Fn(&Beat) -> bool) -> Option<Arc<Link>> {
         let now = clock::now();
         let pool_states = lock(&self.pool_states);
         let ahead = pool_states.iter().find(|state| {
-            now.saturating_sub(state.heard.at) < RECENT
-                && newer(&state.heard.beat)
+            now.saturating_sub(state.last_heartbeat.received_at) < RECENT
+                && newer(&state.last_heartbeat.heartbeat)
                 && state.link.is_some()
         });
         ahead.and_then(|state| state.link.clone())
--- a/crates/host/src/post.rs
+++ b/crates/host/src/suitability.rs
@@ -16,7 +16,7 @@
 
 /// A host, as far as it matters for owning a pool.
 #[derive(Clone, Copy, Debug)]
-pub struct Post {
+pub struct Suitability {
     /// It is in the store's region.
     pub near: bool,
     /// Its share of a processor.
@@ -28,13 +28,13 @@
     pub pools: u32,
 }
 
-impl Post {
+impl Suitability {
     /// How much of what a pool of so many workers needs the host has, at most 1.
     ///
     /// ```
-    /// use host::post::Post;
+    /// use host::suitability::Suitability;
     ///
-    /// let weak = Post { near: true, processors: 0.12, line: 10.0, pools: 1 };
+    /// let weak = Suitability { near: true, processors: 0.12, line: 10.0, pools: 1 };
     /// assert!(weak.suits(48) && !weak.suits(350));
     /// ```
     #[must_use]
--- a/crates/host/src/turn.rs
+++ b/crates/host/src/takeover_delay.rs
@@ -18,7 +18,7 @@
 
 /// What a host's turn depends on.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Turn {
+pub struct TakeoverDelay {
     /// The row names an earlier life of this host.
     pub own: bool,
     /// Its place among the heirs, from 0.
@@ -37,13 +37,13 @@
     pub spread: Duration,
 }
 
-impl Turn {
+impl TakeoverDelay {
     /// How long to wait.
     ///
     /// ```
-    /// use host::turn::Turn;
+    /// use host::takeover_delay::TakeoverDelay;
     ///
-    /// let named = Turn { own: true, heirs: 3, ..Turn::default() };
+    /// let named = TakeoverDelay { own: true, heirs: 3, ..TakeoverDelay::default() };
     /// assert!(named.wait().is_zero(), "nobody else can be the owner that the row names");
     /// ```
     #[must_use]
--- a/crates/host/src/transfer.rs
+++ b/crates/host/src/transfer.rs
@@ -13,7 +13,7 @@
 use log::{info, warn};
 use pool::JobId;
 
-use crate::claim::Version;
+use crate::claim::ClaimVersion;
 use crate::host::lock;
 use crate::outside::{StoreError, Transaction};
 use crate::owner::Owner;
@@ -30,7 +30,7 @@
 }
 
 /// Hands jobs that the pool can't serve to other pools, each to one that it hasn't been in.
-pub(crate) async fn run(owner: &Owner, version: Version, jobs: &[JobId]) -> Outcome {
+pub(crate) async fn run(owner: &Owner, version: ClaimVersion, jobs: &[JobId]) -> Outcome {
     for id in jobs {
         match hand_on(owner, version, id).await {
             Ok(()) => {}
@@ -41,7 +41,7 @@
     Outcome::Settled
 }
 
-async fn hand_on(owner: &Owner, version: Version, id: &JobId) -> Result<(), StoreError> {
+async fn hand_on(owner: &Owner, version: ClaimVersion, id: &JobId) -> Result<(), StoreError> {
     let host = owner.host();
     let part = job_part(id);
     let row = host.present(JOBS, &part, id).await;
@@ -53,19 +53,19 @@
         lock(&owner.pool).keep(id);
         return Ok(());
     };
-    if place.pool != owner.number() {
-        info!(job = &**id, from = owner.number(), to = place.pool; "an earlier write handed the job on");
+    if place.pool != owner.pool_number() {
+        info!(job = &**id, from = owner.pool_number(), to = place.pool; "an earlier write handed the job on");
         lock(&owner.pool).transferred(id);
         return Ok(());
     }
     let mut from = place.moved.map_or_else(Vec::new, |moved| moved.from);
-    from.push(owner.number());
+    from.push(owner.pool_number());
     let course = lock(&owner.pool).transferable(id);
     let Some((job, progress)) = course else {
         lock(&owner.pool).keep(id);
         return Ok(());
     };
-    let Some(to) = route::next(&host.plan(), &job, &from, &host.loads()) else {
+    let Some(to) = route::next(&host.plan(), &job, &from, &host.pool_loads()) else {
         lock(&owner.pool).keep(id);
         return Ok(());
     };
@@ -82,7 +82,7 @@
         return Ok(());
     };
     let transaction = Transaction {
-        part: pool_part(owner.number()),
+        part: pool_part(owner.pool_number()),
         checks: version.checks(),
         deletes: vec![(PROGRESS.to_owned(), id.to_string())],
         also: vec![Transaction {
@@ -102,7 +102,7 @@
         }
         return Err(error);
     }
-    info!(job = &**id, from = owner.number(), to = to, epoch = owner.epoch(); "handed the job on");
+    info!(job = &**id, from = owner.pool_number(), to = to, epoch = owner.epoch(); "handed the job on");
     lock(&owner.pool).transferred(&Arc::clone(id));
     Ok(())
 }
--- a/crates/host/src/verdict.rs
+++ b/crates/host/src/verdict.rs
@@ -15,7 +15,7 @@
 
 /// What came back when a host was asked whether it hears a pool's owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Answer {
+pub enum WitnessAnswer {
     /// It hears the owner, or is it.
     Hears,
     /// It is alive and doesn't hear the owner.
@@ -29,25 +29,25 @@
 /// Answers of the hosts that were asked, counted.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Tally {
-    /// How many answered [`Answer::Hears`].
+    /// How many answered [`WitnessAnswer::Hears`].
     pub hears: u32,
-    /// How many answered [`Answer::DoesNotHear`].
+    /// How many answered [`WitnessAnswer::DoesNotHear`].
     pub does_not_hear: u32,
-    /// How many answered [`Answer::Refused`].
+    /// How many answered [`WitnessAnswer::Refused`].
     pub refused: u32,
-    /// How many answered [`Answer::TimedOut`].
+    /// How many answered [`WitnessAnswer::TimedOut`].
     pub timed_out: u32,
 }
 
-impl FromIterator<Answer> for Tally {
-    fn from_iter<I: IntoIterator<Item = Answer>>(answers: I) -> Self {
+impl FromIterator<WitnessAnswer> for Tally {
+    fn from_iter<I: IntoIterator<Item = WitnessAnswer>>(answers: I) -> Self {
         let mut tally = Self::default();
         for answer in answers {
             let count = match answer {
-                Answer::Hears => &mut tally.hears,
-                Answer::DoesNotHear => &mut tally.does_not_hear,
-                Answer::Refused => &mut tally.refused,
-                Answer::TimedOut => &mut tally.timed_out,
+                WitnessAnswer::Hears => &mut tally.hears,
+                WitnessAnswer::DoesNotHear => &mut tally.does_not_hear,
+                WitnessAnswer::Refused => &mut tally.refused,
+                WitnessAnswer::TimedOut => &mut tally.timed_out,
             };
             *count += 1;
         }
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Evidence {
     /// What the owner's own address answered; `None` if the others had answered by then.
-    pub owner: Option<Answer>,
+    pub owner: Option<WitnessAnswer>,
     /// What its heirs answered.
     pub witnesses: Tally,
     /// The store answered in half the time that the others had: an answer of theirs takes two round trips, one of the store's
@@ -114,19 +114,22 @@
     /// What follows from it.
     ///
     /// ```
-    /// use host::verdict::{Answer, Evidence, Verdict};
+    /// use host::verdict::{WitnessAnswer, Evidence, Verdict};
     ///
-    /// let silent = Evidence { witnesses: [Answer::TimedOut; 7].into_iter().collect(), ..Evidence::default() };
+    /// let silent = Evidence { witnesses: [WitnessAnswer::TimedOut; 7].into_iter().collect(), ..Evidence::default() };
     /// assert_eq!(silent.verdict(), Verdict::Unsure);
-    /// let ended = Evidence { owner: Some(Answer::Refused), ..silent };
+    /// let ended = Evidence { owner: Some(WitnessAnswer::Refused), ..silent };
     /// assert_eq!(ended.verdict(), Verdict::Lost);
     /// ```
     #[must_use]
     pub fn verdict(&self) -> Verdict {
-        if self.owner == Some(Answer::Hears) || self.witnesses.hears > 0 {
+        if self.owner == Some(WitnessAnswer::Hears) || self.witnesses.hears > 0 {
             return Verdict::Alive;
         }
-        if matches!(self.owner, Some(Answer::DoesNotHear | Answer::Refused)) {
+        if matches!(
+            self.owner,
+            Some(WitnessAnswer::DoesNotHear | WitnessAnswer::Refused)
+        ) {
             return Verdict::Lost;
         }
         if self.witnesses.answered() > self.witnesses.timed_out {
--- a/crates/host/src/writer.rs
+++ b/crates/host/src/writer.rs
@@ -11,7 +11,7 @@
 use log::{info, warn};
 use pool::{Batch, WorkerId};
 
-use crate::claim::{Claim, Version};
+use crate::claim::{Claim, ClaimVersion};
 use crate::clock;
 use crate::host::lock;
 use crate::outside::{Row, StoreError, Transaction};
@@ -36,7 +36,7 @@
 
 /// Stores what the pool wants stored, until the owner is replaced.
 pub(crate) async fn run(owner: &Arc<Owner>, mut claim: Claim, taken: u64) {
-    let mut version = Version {
+    let mut version = ClaimVersion {
         owner: taken,
         roster: taken,
     };
@@ -233,11 +233,11 @@
     owner: &Owner,
     batch: &Batch,
     claim: Option<(&Claim, bool)>,
-    version: Version,
+    version: ClaimVersion,
     old: &[pool::JobId],
 ) -> Transaction {
     let mut transaction = Transaction {
-        part: pool_part(owner.number()),
+        part: pool_part(owner.pool_number()),
         checks: version.checks(),
         ..Transaction::default()
     };
@@ -262,7 +262,7 @@
 }
 
 /// The claim among these rows, if it is this owner's.
-fn own_claim(rows: &[Row], mine: &Claim) -> Option<(Claim, Version)> {
+fn own_claim(rows: &[Row], mine: &Claim) -> Option<(Claim, ClaimVersion)> {
     let (found, version) = Claim::find(rows)?;
     let (other, mine) = (&found.owner, &mine.owner);
     let same = other.host == mine.host && other.epoch == mine.epoch && other.life == mine.life;
--- a/crates/host/tests/links.rs
+++ b/crates/host/tests/links.rs
@@ -147,7 +147,7 @@
     while let Ok(Some(message)) = receiver.next_within(SILENCE).await {
         if let FromOwner::Told(number, reply) = message {
             assert!(
-                link.answer(number, reply).is_none(),
+                link.deliver_reply(number, reply).is_none(),
                 "the call was given up"
             );
         }
--- a/crates/host/tests/post.rs
+++ b/crates/host/tests/suitability.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use host::post::Post;
+use host::suitability::Suitability;
 
 /// A host of half a core on a good line, one of an eighth on a thin line, both near the store.
-fn posts() -> (Post, Post) {
-    let strong = Post {
+fn posts() -> (Suitability, Suitability) {
+    let strong = Suitability {
         near: true,
         processors: 0.5,
         line: 200.0,
         pools: 1,
     };
-    let weak = Post {
+    let weak = Suitability {
         processors: 0.12,
         line: 10.0,
         ..strong
@@ -28,7 +28,7 @@
     assert!(strong.suits(350) && !weak.suits(350));
     assert!(weak.wait(350) > Duration::from_millis(500));
     assert!(strong.wait(350).is_zero());
-    let far = Post {
+    let far = Suitability {
         near: false,
         ..strong
     };
@@ -43,12 +43,12 @@
 #[test]
 fn line_and_pools_count() {
     let (strong, _) = posts();
-    let thin = Post {
+    let thin = Suitability {
         line: 10.0,
         ..strong
     };
     assert!(!thin.suits(350));
-    let busy = Post { pools: 3, ..strong };
+    let busy = Suitability { pools: 3, ..strong };
     assert!(!busy.suits(350));
 }
 
--- a/crates/host/tests/turn.rs
+++ b/crates/host/tests/takeover_delay.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use host::turn::Turn;
+use host::takeover_delay::TakeoverDelay;
 
 /// A small host in a deployment whose owner has named eight heirs.
-fn turn() -> Turn {
-    Turn {
+fn turn() -> TakeoverDelay {
+    TakeoverDelay {
         heirs: 8,
         processors: 0.25,
-        ..Turn::default()
+        ..TakeoverDelay::default()
     }
 }
 
@@ -17,7 +17,7 @@
 /// were refused for 0.8 s longer, while it waited its turn as a stranger and the others waited for it to begin.
 #[test]
 fn the_host_of_the_row_goes_first_after_a_restart() {
-    let named = Turn {
+    let named = TakeoverDelay {
         own: true,
         ..turn()
     };
@@ -28,11 +28,11 @@
 /// Heirs go in their order, before all others; near hosts before far ones.
 #[test]
 fn heirs_go_before_strangers_and_near_hosts_before_far_ones() {
-    let heir = |place| Turn {
+    let heir = |place| TakeoverDelay {
         place: Some(place),
         ..turn()
     };
-    let far = Turn {
+    let far = TakeoverDelay {
         far: true,
         ..turn()
     };
--- a/crates/host/tests/verdict.rs
+++ b/crates/host/tests/verdict.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use host::verdict::{Answer, Evidence, Verdict};
+use host::verdict::{Evidence, Verdict, WitnessAnswer};
 
 /// Evidence from what the witnesses answered.
-fn witnesses(answers: &[Answer]) -> Evidence {
+fn witnesses(answers: &[WitnessAnswer]) -> Evidence {
     Evidence {
         witnesses: answers.iter().copied().collect(),
         ..Evidence::default()
@@ -15,7 +15,7 @@
 /// A host whose line was full took "no answer in time" for "nobody hears the owner", and took the pool from an owner that worked.
 #[test]
 fn no_answer_in_time_is_not_a_no() {
-    let silent = witnesses(&[Answer::TimedOut; 4]);
+    let silent = witnesses(&[WitnessAnswer::TimedOut; 4]);
     assert_ne!(silent.verdict(), Verdict::Lost);
 }
 
@@ -29,10 +29,10 @@
 #[test]
 fn an_owner_that_one_host_hears_is_alive() {
     let mixed = [
-        Answer::DoesNotHear,
-        Answer::Refused,
-        Answer::Hears,
-        Answer::TimedOut,
+        WitnessAnswer::DoesNotHear,
+        WitnessAnswer::Refused,
+        WitnessAnswer::Hears,
+        WitnessAnswer::TimedOut,
     ];
     assert_eq!(witnesses(&mixed).verdict(), Verdict::Alive);
 }
@@ -42,19 +42,22 @@
 #[test]
 fn an_owner_that_all_answers_miss_is_lost() {
     assert_eq!(
-        witnesses(&[Answer::DoesNotHear; 4]).verdict(),
+        witnesses(&[WitnessAnswer::DoesNotHear; 4]).verdict(),
+        Verdict::Lost
+    );
+    assert_eq!(
+        witnesses(&[WitnessAnswer::Refused; 4]).verdict(),
         Verdict::Lost
     );
-    assert_eq!(witnesses(&[Answer::Refused; 4]).verdict(), Verdict::Lost);
 }
 
 /// The owner's process has ended: whoever else is dead, its machine says so, and the pool must be taken at once.
 #[test]
 fn an_owner_whose_machine_refuses_is_lost() {
-    for owner in [Answer::Refused, Answer::DoesNotHear] {
+    for owner in [WitnessAnswer::Refused, WitnessAnswer::DoesNotHear] {
         let ended = Evidence {
             owner: Some(owner),
-            ..witnesses(&[Answer::TimedOut; 7])
+            ..witnesses(&[WitnessAnswer::TimedOut; 7])
         };
         assert_eq!(ended.verdict(), Verdict::Lost);
     }
@@ -64,8 +67,8 @@
 #[test]
 fn an_owner_that_answers_is_alive() {
     let answers = Evidence {
-        owner: Some(Answer::Hears),
-        ..witnesses(&[Answer::DoesNotHear; 7])
+        owner: Some(WitnessAnswer::Hears),
+        ..witnesses(&[WitnessAnswer::DoesNotHear; 7])
     };
     assert_eq!(answers.verdict(), Verdict::Alive);
 }
@@ -74,8 +77,8 @@
 /// answer, nor can the store. Two of seven are no majority.
 #[test]
 fn hosts_behind_the_same_full_line_depose_no_owner() {
-    let mut answers = [Answer::TimedOut; 7];
-    answers[..2].fill(Answer::DoesNotHear);
+    let mut answers = [WitnessAnswer::TimedOut; 7];
+    answers[..2].fill(WitnessAnswer::DoesNotHear);
     assert_eq!(witnesses(&answers).verdict(), Verdict::Unsure);
 }
 
@@ -83,8 +86,8 @@
 /// far region don't hear the owner either. They must not wait longer than before.
 #[test]
 fn a_lost_region_holds_nobody_up() {
-    let mut answers = [Answer::TimedOut; 7];
-    answers[..2].fill(Answer::DoesNotHear);
+    let mut answers = [WitnessAnswer::TimedOut; 7];
+    answers[..2].fill(WitnessAnswer::DoesNotHear);
     let lost = Evidence {
         store_answered: true,
         ..witnesses(&answers)
@@ -100,7 +103,7 @@
         let evidence = Evidence {
             store_answered,
             unsure_for: Duration::from_millis(ms),
-            ..witnesses(&[Answer::TimedOut; 7])
+            ..witnesses(&[WitnessAnswer::TimedOut; 7])
         };
         evidence.verdict()
     };
@@ -116,7 +119,7 @@
     let writes = Evidence {
         rewritten: true,
         unsure_for: Duration::from_secs(60),
-        ..witnesses(&[Answer::TimedOut; 7])
+        ..witnesses(&[WitnessAnswer::TimedOut; 7])
     };
     assert_eq!(writes.verdict(), Verdict::Alive);
 }
