--- a/crates/host/src/catalog.rs
+++ b/crates/host/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The queues in force.
+//! The configuration in force, as far as hosts need it.
 
 use pool::Policy;
 use serde::{Deserialize, Serialize};
@@ -7,32 +7,32 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: String,
-    /// The host name that callers address.
+    /// Host name in the URLs of its requests.
     pub host: String,
-    /// What its paths begin with.
+    /// Prefix of the paths of its requests.
     pub prefix: String,
     /// The service whose workers run its jobs.
     pub service: String,
-    /// What it lays down for its jobs.
+    /// Policy for its jobs.
     pub policy: Policy,
 }
 
-/// The configuration in force, as far as queues go.
+/// The queues in force, with the limits of their requests.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Catalog {
-    /// Its version; rises.
+    /// Version of the configuration, which increases with every change.
     pub version: u64,
-    /// Its queues.
+    /// The queues.
     pub queues: Vec<Queue>,
-    /// Longest body of a request in bytes; 0 for no limit.
+    /// Maximum size of the body of a request in bytes; 0 for no limit.
     pub body_most: usize,
 }
 
 impl Catalog {
-    /// The queue with the longest prefix that the path begins with.
+    /// The queue of this host name with the longest prefix of the path.
     ///
     /// ```
     /// use host::{Catalog, Queue};
--- a/crates/host/src/clock.rs
+++ b/crates/host/src/clock.rs
@@ -1,14 +1,14 @@
-//! The clocks that a host goes by.
+//! The clocks of a host.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use pool::Ms;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Milliseconds on a clock that also counts the time in which the machine was suspended.
+/// Milliseconds on a monotonic clock that also advances while the machine is suspended.
 ///
-/// An owner that goes on after a pause must see that its proof is old; a clock that stood still with it would not show
-/// that.
+/// An owner that resumes after a suspension must notice that the workers' confirmation of its ownership has expired; a clock that
+/// had been suspended with it would not show that.
 #[must_use]
 pub fn now() -> Ms {
     let time = clock_gettime(ClockId::Boottime);
--- a/crates/host/src/follow.rs
+++ b/crates/host/src/follow.rs
@@ -1,4 +1,4 @@
-//! How a table of the store is followed.
+//! Following the changes of a table of the store, and reading whole tables.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,31 +11,31 @@
 use crate::clock;
 use crate::outside::{Feed, Page, Store, StoreError};
 
-/// An answer with as many rows as this is taken for a full one: the store tells 500 rows at a time. It is followed by the
-/// next question at once: a large table may change faster than it is told with a pause after each answer.
-const FULL: usize = 450;
-/// Age of an answer from which on the next one is asked for without a wait.
-const LATE_ANSWER_MS: Ms = 300;
-/// Reads that are under way at once when a table is read, at first: enough for the way between regions.
-const READS_FIRST: usize = 32;
-/// The same at most.
-const READS_MOST: usize = 64;
-/// The same after failures: one that waits for its time-out must not hold up all others.
-const READS_LEAST: usize = 2;
-/// Pause of all reads after one that failed; twice as long after each further round of failures until one succeeds.
-const READ_RETRY_FIRST: Duration = Duration::from_millis(20);
-/// The same at most: this much later than it could a reader notices that the store is back.
-const READ_RETRY_MOST: Duration = Duration::from_millis(320);
+/// A page of changes with at least this many rows is taken as full; the store returns up to 500 rows at a time. The next poll
+/// follows a full page at once, or a table that changes fast would outpace a follower that pauses after each page.
+const FULL_PAGE_ROWS: usize = 450;
+/// Age of an answer above which the next poll doesn't wait for changes.
+const LATE_ANSWER: Ms = 300;
+/// Initial number of concurrent reads of a table: enough to hide the round trip between regions.
+const INITIAL_CONCURRENT_READS: usize = 32;
+/// Maximum number of concurrent reads of a table.
+const MAX_CONCURRENT_READS: usize = 64;
+/// Minimum number of concurrent reads after failures: one that waits for its time-out must not delay all others.
+const MIN_CONCURRENT_READS: usize = 2;
+/// Delay of reads after a failed one; doubled after each further round of failures until one succeeds.
+const MIN_READ_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Upper bound of that delay, and so of the time until a reader notices that the store is back.
+const MAX_READ_RETRY_DELAY: Duration = Duration::from_millis(320);
 
-/// How often a follower asks. Each question is a call that the store counts.
+/// Timing of the polls of a follower. Each poll counts as a call to the store.
 #[derive(Clone, Copy, Debug)]
 pub struct Rhythm {
-    /// A question for changes waits this long. A connection that has gone silent shows when no answer comes soon after, so
+    /// How long a poll waits for changes. If a connection is dead, this is noticed only when no answer arrives soon after, so
     /// this bounds how long a change may go unseen.
     pub wait: Duration,
-    /// Pause after an answer with changes: a table that changes all the time would be asked about all the time.
+    /// Pause after an answer with changes, which bounds the rate of polls of a table that changes all the time.
     pub pause: Duration,
-    /// Pause after a failed call.
+    /// Pause after a failed poll.
     pub retry: Duration,
 }
 
@@ -50,29 +50,29 @@
 }
 
 impl Rhythm {
-    /// With this longest wait for changes.
+    /// Sets how long a poll waits for changes.
     #[must_use]
     pub fn wait(self, wait: Duration) -> Self {
         Self { wait, ..self }
     }
 
-    /// With this pause after changes.
+    /// Sets the pause after an answer with changes.
     #[must_use]
     pub fn pause(self, pause: Duration) -> Self {
         Self { pause, ..self }
     }
 
-    /// With this pause after a failed call.
+    /// Sets the pause after a failed poll.
     #[must_use]
     pub fn retry(self, retry: Duration) -> Self {
         Self { retry, ..self }
     }
 }
 
-/// What a follower learns.
+/// What a follower receives.
 #[derive(Debug)]
 pub enum Change {
-    /// All rows as they are: what isn't among them is not there.
+    /// All rows of the followed parts; rows that are not listed don't exist.
     All(Page),
     /// Rows that changed, the newest last.
     Some(Feed),
@@ -80,44 +80,45 @@
     Failed(StoreError),
 }
 
-/// Follows parts of a table for good and tells each change. It starts anew from all rows when the history is gone.
+/// Follows parts of a table without end and passes each change to `apply`. Without a version `from` to start at, and when the
+/// store no longer has the history since the last change, it reads all rows.
 ///
-/// After a failure it asks for what there is now, without waiting for changes: the answer tells that the store is back.
-/// A host that waited for a change refused callers for one to two seconds after an outage had ended.
+/// After a failure the next poll doesn't wait for changes, since any answer shows that the store is back. With a poll that waits,
+/// hosts refused callers for one to two seconds after the end of an outage.
 ///
-/// Reads may lag behind while the store compacts its history: a list that is older than what was seen already is read
-/// again, so that nothing older is ever told after something newer.
+/// Reads may be stale while the store compacts its history. A list that is older than changes passed on before is read again, so
+/// that `apply` never receives older rows after newer ones.
 pub async fn follow(
     store: &dyn Store,
     table: &str,
     parts: &[String],
     from: Option<u64>,
     rhythm: Rhythm,
-    mut tell: impl FnMut(Change),
+    mut apply: impl FnMut(Change),
 ) {
     let mut newest = from.unwrap_or(0);
     let mut listed = from.is_some();
-    // What is known already may be old.
+    // Rows that the caller has read already may be old, so the first poll returns at once.
     let mut wait = if listed { Duration::ZERO } else { rhythm.wait };
     loop {
         if !listed {
             let page = read(store, table, parts, newest).await;
             newest = page.version;
-            tell(Change::All(page));
+            apply(Change::All(page));
             listed = true;
         }
         let asked = clock::now();
         match store.feed(table, newest, wait).await {
             Ok(mut feed) => {
                 newest = newest.max(feed.version);
-                let full = feed.rows.len() >= FULL;
+                let full = feed.rows.len() >= FULL_PAGE_ROWS;
                 feed.at = known_at(asked, wait, &feed);
-                // After an answer that took long a short one tells that nothing has changed since.
-                let late = clock::now().saturating_sub(feed.at) > LATE_ANSWER_MS;
+                // After an answer that took long, an immediate poll confirms sooner that nothing has changed since.
+                let late = clock::now().saturating_sub(feed.at) > LATE_ANSWER;
                 wait = if late { Duration::ZERO } else { rhythm.wait };
                 feed.rows.retain(|row| parts.contains(&row.part));
                 let any = !feed.rows.is_empty();
-                tell(Change::Some(feed));
+                apply(Change::Some(feed));
                 if any && !full && !rhythm.pause.is_zero() {
                     tokio::time::sleep(rhythm.pause).await;
                 }
@@ -125,15 +126,15 @@
             Err(StoreError::Gone) => listed = false,
             Err(error) => {
                 wait = Duration::ZERO;
-                tell(Change::Failed(error));
+                apply(Change::Failed(error));
                 tokio::time::sleep(rhythm.retry).await;
             }
         }
     }
 }
 
-/// When an answer for changes was the newest there was, if it was asked for at this time. One that tells of nothing was
-/// given when the wait was over, any other at some time since it was asked for.
+/// Latest time at which the answer to a poll made at `asked` is certain to have been up to date. An answer without changes was
+/// given at the end of the wait, any other at an unknown time since `asked`.
 fn known_at(asked: Ms, wait: Duration, feed: &Feed) -> Ms {
     let waited = if feed.rows.is_empty() {
         wait.as_millis() as Ms
@@ -143,76 +144,77 @@
     (asked + waited).min(clock::now())
 }
 
-/// Reads all rows of parts of a table, as of the oldest moment among them, but not before the transaction `least`.
+/// Reads all rows of parts of a table, none of them older than the transaction `min_version`. The result carries the version and
+/// time of the oldest page.
 ///
-/// Each page is read until it is there. A store that fails a part of all calls, or a line that loses a part of all packets,
-/// fails some of sixty reads nearly always: begun anew each time, a takeover took 1.5 s longer. Fewer are under way after a
-/// failure and more after an answer, since a thin line has no room for many at once.
-pub async fn read(store: &dyn Store, table: &str, parts: &[String], least: u64) -> Page {
+/// Each page is retried until it has been read. If the store fails some calls, or the network loses some packets, at least one of
+/// sixty reads nearly always fails; when that restarted all of them, a takeover took 1.5 s longer. The number of concurrent reads
+/// goes down after a failure and up after an answer, since a link of low bandwidth can't carry many at once.
+pub async fn read(store: &dyn Store, table: &str, parts: &[String], min_version: u64) -> Page {
     let mut all = Page {
         version: u64::MAX,
         at: Ms::MAX,
         ..Page::default()
     };
-    read_each(store, table, parts, least, |page| all.add(page)).await;
+    read_each(store, table, parts, min_version, |page| all.add(page)).await;
     all
 }
 
-/// The same, and tells each page when it is there.
+/// Like [`read`], but passes each page to `apply` as soon as it has been read.
 pub async fn read_each(
     store: &dyn Store,
     table: &str,
     parts: &[String],
-    least: u64,
-    mut tell: impl FnMut(Page),
+    min_version: u64,
+    mut apply: impl FnMut(Page),
 ) {
-    let first = |part| (part, String::new());
-    let mut left: VecDeque<(&String, String)> = parts.iter().map(first).collect();
-    let mut most = READS_FIRST;
-    let mut pause = Duration::ZERO;
+    let first_page = |part| (part, String::new());
+    let mut remaining: VecDeque<(&String, String)> = parts.iter().map(first_page).collect();
+    let mut max_reads = INITIAL_CONCURRENT_READS;
+    let mut delay = Duration::ZERO;
     let mut reads = FuturesUnordered::new();
     loop {
-        while reads.len() < most
-            && let Some((part, from)) = left.pop_front()
+        while reads.len() < max_reads
+            && let Some((part, from)) = remaining.pop_front()
         {
             reads.push(async move {
-                tokio::time::sleep(pause).await;
+                tokio::time::sleep(delay).await;
                 let asked = clock::now();
                 let page = store.page(table, part, &from).await;
                 (
                     part,
                     from,
-                    pause,
+                    delay,
                     page.map(|page| Page { at: asked, ..page }),
                 )
             });
         }
-        let Some((part, from, paused, page)) = reads.next().await else {
+        let Some((part, from, used_delay, page)) = reads.next().await else {
             return;
         };
         match page {
-            Ok(page) if page.version >= least => {
-                most = (most + 1).min(READS_MOST);
-                pause = Duration::ZERO;
+            Ok(page) if page.version >= min_version => {
+                max_reads = (max_reads + 1).min(MAX_CONCURRENT_READS);
+                delay = Duration::ZERO;
                 let next = page.next.clone();
-                tell(page);
+                apply(page);
                 if let Some(next) = next {
-                    left.push_front((part, next));
+                    remaining.push_front((part, next));
                 }
                 continue;
             }
             Ok(page) => {
-                info!(table = table, part = part.as_str(), version = page.version, least = least; "what was read is too old");
+                info!(table = table, part = part.as_str(), version = page.version, least = min_version; "page is older than required; reading it again");
             }
             Err(error) => {
-                warn!(table = table, part = part.as_str(), error:% = error; "can't be read yet");
-                most = (most / 2).max(READS_LEAST);
+                warn!(table = table, part = part.as_str(), error:% = error; "read of a page failed; retrying");
+                max_reads = (max_reads / 2).max(MIN_CONCURRENT_READS);
             }
         }
-        left.push_back((part, from));
-        // Reads that were under way together count once.
-        if paused == pause {
-            pause = (pause * 2).clamp(READ_RETRY_FIRST, READ_RETRY_MOST);
+        remaining.push_back((part, from));
+        // Concurrent reads that fail together increase the delay once.
+        if used_delay == delay {
+            delay = (delay * 2).clamp(MIN_READ_RETRY_DELAY, MAX_READ_RETRY_DELAY);
         }
     }
 }
--- a/crates/host/src/front.rs
+++ b/crates/host/src/front.rs
@@ -1,4 +1,4 @@
-//! What callers ask.
+//! Requests of callers: submitting, querying and cancelling jobs.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -17,39 +17,39 @@
 use crate::rows::{CANCEL, JOBS, JobPlace, PROGRESS, job_part, place_of, pool_part};
 use crate::wire::{Call, Reply, ToOwner};
 
-/// The owner answers a question about a job within this, or the store is asked.
-const OWNER_WAIT: Duration = Duration::from_millis(500);
-/// An owner waits 1.5 s for the note of a cancel; some more for the way.
-const CANCEL_WAIT: Duration = Duration::from_millis(1_600);
-/// Counts of waiting jobs are told if they are no older than this, in milliseconds; callers may be told what was 2 s ago.
-const PENDING_AGE: Ms = 1_900;
-/// A host that can't accept anything says to come back after this: a takeover takes about as long.
-const RETRY: Duration = Duration::from_secs(1);
+/// Time-out of a query for a job's state to the owner of its pool; after that the store is read.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time-out of a request to cancel. An owner waits 1.5 s until the cancellation is stored; the rest is for the network.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// Counts of pending jobs that are older than this are not returned; callers may get counts that are up to 2 s old.
+const MAX_PENDING_AGE: Ms = 1_900;
+/// Callers of a host that can't accept jobs are asked to retry after this time, which is about as long as a takeover takes.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What became of a job that a caller sent.
+/// Outcome of a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Submitted {
-    /// It is stored and will run.
+    /// The job is stored and will run.
     Accepted,
-    /// It is not stored and will never run; come back after this time.
+    /// The job is not stored and will never run; the caller may retry after this time.
     Refused(Duration),
-    /// It can't be told whether it is stored.
+    /// It is not known whether the job is stored.
     Unsure,
 }
 
-/// What became of a question or a cancel.
+/// Outcome of a query or a cancellation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Taken {
     /// The job's state.
     State(State),
     /// There is no such job.
     Unknown,
-    /// It can't be told now.
+    /// Neither the owner nor the store could give the state.
     Unsure,
 }
 
 impl Host {
-    /// Accepts a job, or refuses it.
+    /// Accepts a job, or refuses it. Gives up at `until`.
     pub async fn submit(self: &Arc<Self>, job: Job, until: Instant) -> Submitted {
         let began = clock::now();
         let (id, queue) = (Arc::clone(&job.id), job.queue.clone());
@@ -83,7 +83,7 @@
 
     async fn try_submit(self: &Arc<Self>, pool: u32, job: Job, until: Instant) -> Submitted {
         if self.has(Mechanism::EarlyRefusal) && !self.can_accept() {
-            return Submitted::Refused(RETRY);
+            return Submitted::Refused(RETRY_AFTER);
         }
         match self.insert_both_ways(pool, &job, until).await {
             (Inserted::There(place), by_owner) => {
@@ -92,16 +92,16 @@
                 }
                 Submitted::Accepted
             }
-            (Inserted::Refused, _) => Submitted::Refused(RETRY),
+            (Inserted::Refused, _) => Submitted::Refused(RETRY_AFTER),
             (Inserted::Unsure, _) => Submitted::Unsure,
         }
     }
 
-    /// Inserts a job's row by this host and, if its store doesn't answer in the usual time or refuses, by an owner as
-    /// well; tells whether it was the owner.
+    /// Inserts a job's row from this host and, if the store refuses or doesn't answer this host in its usual time, through an
+    /// owner as well. The flag in the result is `true` if the owner inserted it.
     ///
-    /// The store may serve the owner although it doesn't serve this host. Both inserts are the same, so whichever tells of
-    /// the row decides; "refused" needs both.
+    /// The store may be available to the owner although it is not to this host. Both write the same row, so the first that finds
+    /// it there decides; the job is refused only if both are.
     async fn insert_both_ways(&self, pool: u32, job: &Job, until: Instant) -> (Inserted, bool) {
         let patience = self.patience();
         if !self.has(Mechanism::JointInserts) && self.served() {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A job's row is written: tells the owner of the pool that it names.
+    /// Notifies the owner of the pool that a job's row has been written.
     pub(crate) fn tell_accepted(&self, place: Place, job: Job) {
         let state = self.pool_state(place.pool);
         if let Some(owner) = state.owner {
@@ -163,30 +163,32 @@
         }
     }
 
-    async fn ask_owner(&self, pool: u32, call: Call, time: Duration) -> Option<Reply> {
+    async fn call_owner(&self, pool: u32, call: Call, timeout: Duration) -> Option<Reply> {
         let state = self.pool_state(pool);
         if let Some(owner) = state.owner {
             return Some(owner.answer(call).await);
         }
-        state.link?.call(call, time).await
+        state.link?.call(call, timeout).await
     }
 
-    /// The state of a job.
+    /// The state of a job: asks the owners of its candidate pools first, then reads the store.
     pub async fn state(&self, id: &str) -> Taken {
-        let likely = route::candidates(&self.plan(), id);
-        for &pool in &likely {
+        let candidates = route::candidates(&self.plan(), id);
+        for &pool in &candidates {
             let call = Call::State(id.to_owned());
-            if let Some(Reply::State(state)) = self.ask_owner(pool, call, OWNER_WAIT).await {
+            if let Some(Reply::State(state)) = self.call_owner(pool, call, OWNER_TIMEOUT).await {
                 return Taken::State(state);
             }
         }
-        match self.home(id).await {
-            Ok(Some(home)) if likely.contains(&home.pool) => self.stored_state(&home, id).await,
-            Ok(Some(home)) => {
+        match self.read_header(id).await {
+            Ok(Some(header)) if candidates.contains(&header.pool) => {
+                self.stored_state(&header, id).await
+            }
+            Ok(Some(header)) => {
                 let call = Call::State(id.to_owned());
-                match self.ask_owner(home.pool, call, OWNER_WAIT).await {
+                match self.call_owner(header.pool, call, OWNER_TIMEOUT).await {
                     Some(Reply::State(state)) => Taken::State(state),
-                    _ => self.stored_state(&home, id).await,
+                    _ => self.stored_state(&header, id).await,
                 }
             }
             Ok(None) => Taken::Unknown,
@@ -194,8 +196,8 @@
         }
     }
 
-    /// Where a job is by its row; `None` if there is no such row.
-    async fn home(&self, id: &str) -> Result<Option<JobPlace>, ()> {
+    /// Reads the pool of a job from its row; `None` if there is no row.
+    async fn read_header(&self, id: &str) -> Result<Option<JobPlace>, ()> {
         match self.present(JOBS, &job_part(id), id).await? {
             None => Ok(None),
             Some(row) => {
@@ -205,11 +207,13 @@
         }
     }
 
-    async fn stored_state(&self, home: &JobPlace, id: &str) -> Taken {
-        let before = home.moved.as_ref().map(|moved| moved.progress.state);
-        match self.present(PROGRESS, &pool_part(home.pool), id).await {
+    /// Reads a job's state from the store. A job without progress in its present pool has the state with which it was
+    /// transferred there, if it was.
+    async fn stored_state(&self, header: &JobPlace, id: &str) -> Taken {
+        let transferred = header.moved.as_ref().map(|moved| moved.progress.state);
+        match self.present(PROGRESS, &pool_part(header.pool), id).await {
             Err(()) => Taken::Unsure,
-            Ok(None) => Taken::State(before.unwrap_or_default()),
+            Ok(None) => Taken::State(transferred.unwrap_or_default()),
             Ok(Some(row)) => row
                 .value
                 .and_then(|value| serde_json::from_slice::<pool::Progress>(&value).ok())
@@ -217,8 +221,11 @@
         }
     }
 
-    /// A row as it is at this moment. Reads may lag behind: a job that was just accepted would look unknown, a completed
-    /// one as if it ran. A transaction sees what is there, so one that demands the row's absence, and writes nothing, tells.
+    /// Reads the present version of a row; `None` if there is no such row, an error if the store didn't answer.
+    ///
+    /// Plain reads may be stale: a job that was just accepted would look unknown, and a completed one still running.
+    /// Transactions are not, so this commits one that writes nothing and requires the row to be absent; a conflict returns the
+    /// row.
     pub(crate) async fn present(
         &self,
         table: &str,
@@ -240,23 +247,24 @@
         }
     }
 
-    /// Cancels a job; the answer means that this is stored.
+    /// Cancels a job. When this returns [`State::Cancelled`], the cancellation is stored.
     pub async fn cancel(&self, id: &str, until: Instant) -> Taken {
-        let likely = route::candidates(&self.plan(), id);
-        for &pool in &likely {
-            if self.cancel_at(pool, id, until).await {
+        let candidates = route::candidates(&self.plan(), id);
+        for &pool in &candidates {
+            if self.cancel_by_owner(pool, id, until).await {
                 return Taken::State(State::Cancelled);
             }
         }
-        let home = match self.home(id).await {
-            Ok(Some(home)) => home,
+        let header = match self.read_header(id).await {
+            Ok(Some(header)) => header,
             Ok(None) => return Taken::Unknown,
             Err(()) => return Taken::Unsure,
         };
-        if !likely.contains(&home.pool) && self.cancel_at(home.pool, id, until).await {
+        if !candidates.contains(&header.pool) && self.cancel_by_owner(header.pool, id, until).await
+        {
             return Taken::State(State::Cancelled);
         }
-        match self.stored_state(&home, id).await {
+        match self.stored_state(&header, id).await {
             Taken::State(state) if state.is_final() => return Taken::State(state),
             Taken::State(_) => {}
             other => return other,
@@ -278,18 +286,18 @@
         }
     }
 
-    /// Has a pool's owner cancel a job; `true` if that is stored.
-    async fn cancel_at(&self, pool: u32, id: &str, until: Instant) -> bool {
+    /// Has the owner of a pool cancel a job; `true` if the cancellation is stored.
+    async fn cancel_by_owner(&self, pool: u32, id: &str, until: Instant) -> bool {
         let left = until.saturating_duration_since(Instant::now());
         let call = Call::Cancel(id.to_owned());
-        let reply = self.ask_owner(pool, call, left.min(CANCEL_WAIT)).await;
+        let reply = self.call_owner(pool, call, left.min(CANCEL_TIMEOUT)).await;
         matches!(reply, Some(Reply::Cancelled))
     }
 
-    /// How many of a queue's jobs have nothing started; `None` if that isn't known well enough.
+    /// Number of jobs of a queue of which nothing has started; `None` if a pool's count is missing or too old.
     #[must_use]
     pub fn pending(&self, queue: &str) -> Option<u64> {
-        self.sum(PENDING_AGE, |beat| {
+        self.sum(MAX_PENDING_AGE, |beat| {
             let pending = beat.pending.as_ref()?;
             Some(pending.get(queue).copied().unwrap_or(0))
         })
--- a/crates/host/src/hedge.rs
+++ b/crates/host/src/hedge.rs
@@ -1,8 +1,8 @@
-//! Asking again when an answer is overdue, and taking answers that come late.
+//! Hedged calls: a call is repeated when its answer is overdue, and late answers are still accepted.
 //!
-//! Answers the load in which workers leave a share of the calls unanswered, or the way to them is full and answers arrive late.
-//! A call that brings news of ends is asked again as soon as its answer is overdue: most often that one answer is lost, and news
-//! would wait for as long as it is awaited. Answers to earlier calls are taken whenever they come.
+//! Some answers of workers get lost, and on a congested network they arrive late. A poll reports the ends of runs, and if its
+//! answer is lost, the ends are not seen until the time-out. So the poll is repeated as soon as its answer is overdue. Answers to
+//! earlier calls are accepted whenever they arrive.
 
 use std::time::Duration;
 
@@ -10,15 +10,16 @@
 use futures::stream::FuturesUnordered;
 use futures::{FutureExt as _, StreamExt as _};
 
-/// Calls whose answers are awaited although they were due.
-const LATE_MOST: usize = 4;
+/// Maximum number of timed-out calls whose answers are still awaited.
+const MAX_LATE_CALLS: usize = 4;
 
-/// Part that one call counts in the share of lost answers: the last hundred or so decide.
-const NEWEST: f64 = 0.01;
-/// From this share on lost answers are common. A few workers that are down don't come to it.
-const COMMON: f64 = 0.03;
+/// Weight of one call in the moving average of lost answers, which makes it an average over about the last hundred calls.
+const NEWEST_WEIGHT: f64 = 0.01;
+/// Share of lost answers above which the loss rate is high. A few workers that are down don't reach it.
+const HIGH_LOSS_SHARE: f64 = 0.03;
 
-/// How common lost answers are among many hosts. Late ones don't count: more calls would make them later.
+/// Moving average of the share of lost answers over the calls to many hosts. Late answers don't count as lost: additional calls
+/// would delay them further.
 ///
 /// ```
 /// use host::hedge::Lost;
@@ -35,46 +36,47 @@
 }
 
 impl Lost {
-    /// A call was made, and its answer was lost or not.
+    /// Records whether the answer to a call was lost.
     pub fn note(&mut self, lost: bool) {
         let call = if lost { 1.0 } else { 0.0 };
-        self.share += NEWEST * (call - self.share);
+        self.share += NEWEST_WEIGHT * (call - self.share);
     }
 
-    /// Whether so many are that a call should not wait long for news: each of them may be the one without an answer.
+    /// Whether so many answers are lost that a poll should not wait long: what it would report is delayed for as long as a lost
+    /// poll waits.
     #[must_use]
     pub fn is_common(&self) -> bool {
-        self.share > COMMON
+        self.share > HIGH_LOSS_SHARE
     }
 }
 
-/// An answer, and whether it is to the call at hand.
+/// The call that an answer belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Call {
-    /// To the call that was sent last.
+    /// The one that was sent last.
     Present,
-    /// To an earlier one.
+    /// An earlier one.
     Earlier,
 }
 
-/// What became of a call.
+/// Outcome of a hedged call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It was answered in time.
+    /// The first call was answered in time.
     InTime,
-    /// An answer came after it was overdue: the way is full, or one of the two hosts has no time.
+    /// The first call was answered after its answer was overdue: the network is congested, or one of the two hosts overloaded.
     Late,
-    /// The second call was answered and the first one wasn't: one answer is lost.
+    /// The second call was answered and the first one wasn't, so one answer is lost.
     Lost,
-    /// Neither was answered.
+    /// Neither call was answered.
     Unanswered,
 }
 
-/// Calls of one kind to one host, and those of them that were not answered in time.
+/// Hedges calls of one kind to one host. Keeps those that were not answered in time.
 pub struct Hedge<T> {
-    /// With their numbers.
+    /// Timed-out calls that yield their number and answer.
     late: FuturesUnordered<BoxFuture<'static, (u64, T)>>,
-    /// How many calls were made.
+    /// Number of calls made, which is also the number of the last one.
     calls: u64,
 }
 
@@ -88,27 +90,27 @@
 }
 
 impl<T: Send + 'static> Hedge<T> {
-    /// Makes a call and takes its answer; calls once more if that is not there after `overdue` and `again` gives a call, and waits
-    /// until `due` in all.
+    /// Makes the call `first`. If it is not answered within `overdue`, makes a second one if `repeat` returns one. Waits up to
+    /// `timeout` in all. Every answer that arrives meanwhile is passed to `handle`, also those to calls of earlier invocations.
     ///
     /// # Errors
-    /// What `take` says of an answer.
+    /// The first error that `handle` returns.
     pub async fn ask<E>(
         &mut self,
         first: BoxFuture<'static, T>,
-        again: impl FnOnce() -> Option<BoxFuture<'static, T>>,
+        repeat: impl FnOnce() -> Option<BoxFuture<'static, T>>,
         overdue: Duration,
-        due: Duration,
-        mut take: impl FnMut(T, Call) -> Result<(), E>,
+        timeout: Duration,
+        mut handle: impl FnMut(T, Call) -> Result<(), E>,
     ) -> Result<Outcome, E> {
-        if self.answer(first, overdue, None, &mut take).await? == Some(Call::Present) {
+        if self.answer(first, overdue, None, &mut handle).await? == Some(Call::Present) {
             return Ok(Outcome::InTime);
         }
         let first = Some(self.calls);
-        let left = due.saturating_sub(overdue);
-        let answered = match again() {
-            Some(again) => self.answer(again, left, first, &mut take).await?,
-            None => self.late_answer(left, first, &mut take).await?,
+        let left = timeout.saturating_sub(overdue);
+        let answered = match repeat() {
+            Some(second) => self.answer(second, left, first, &mut handle).await?,
+            None => self.late_answer(left, first, &mut handle).await?,
         };
         Ok(match answered {
             Some(Call::Earlier) => Outcome::Late,
@@ -117,69 +119,69 @@
         })
     }
 
-    /// Waits this long for the answer to a call or to the one with the number `first`, whichever comes first, and takes answers to
-    /// earlier ones meanwhile; tells to which of the two it came.
+    /// Makes a call and waits for its answer or the one to the call with the number `first`, and handles answers to other calls
+    /// meanwhile. Returns which of the two was answered, or `None` after the time-out.
     async fn answer<E>(
         &mut self,
         call: BoxFuture<'static, T>,
-        due: Duration,
+        timeout: Duration,
         first: Option<u64>,
-        take: &mut impl FnMut(T, Call) -> Result<(), E>,
+        handle: &mut impl FnMut(T, Call) -> Result<(), E>,
     ) -> Result<Option<Call>, E> {
         self.calls += 1;
         let number = self.calls;
         let mut call = call.map(move |answer| (number, answer)).boxed();
-        let due = tokio::time::sleep(due);
-        tokio::pin!(due);
+        let timeout = tokio::time::sleep(timeout);
+        tokio::pin!(timeout);
         loop {
             tokio::select! {
-                // An answer that is there counts, however late this host looks.
+                // An answer that has arrived takes precedence over the time-out, however late this task is scheduled.
                 biased;
                 (_, answer) = &mut call => {
-                    take(answer, Call::Present)?;
+                    handle(answer, Call::Present)?;
                     return Ok(Some(Call::Present));
                 }
                 Some((number, answer)) = self.late.next(), if !self.late.is_empty() => {
-                    take(answer, Call::Earlier)?;
+                    handle(answer, Call::Earlier)?;
                     if first == Some(number) {
-                        self.keep(call);
+                        self.keep_late(call);
                         return Ok(Some(Call::Earlier));
                     }
                 }
-                () = &mut due => {
-                    self.keep(call);
+                () = &mut timeout => {
+                    self.keep_late(call);
                     return Ok(None);
                 }
             }
         }
     }
 
-    /// Waits this long for the answer to the call with the number `first`, and takes those to earlier ones meanwhile.
+    /// Waits for the answer to the call with the number `first`, and handles answers to other calls meanwhile.
     async fn late_answer<E>(
         &mut self,
-        due: Duration,
+        timeout: Duration,
         first: Option<u64>,
-        take: &mut impl FnMut(T, Call) -> Result<(), E>,
+        handle: &mut impl FnMut(T, Call) -> Result<(), E>,
     ) -> Result<Option<Call>, E> {
-        let due = tokio::time::sleep(due);
-        tokio::pin!(due);
+        let timeout = tokio::time::sleep(timeout);
+        tokio::pin!(timeout);
         loop {
             tokio::select! {
                 biased;
                 Some((number, answer)) = self.late.next(), if !self.late.is_empty() => {
-                    take(answer, Call::Earlier)?;
+                    handle(answer, Call::Earlier)?;
                     if first == Some(number) {
                         return Ok(Some(Call::Earlier));
                     }
                 }
-                () = &mut due => return Ok(None),
+                () = &mut timeout => return Ok(None),
             }
         }
     }
 
-    /// A call's answer is awaited beside those to come.
-    fn keep(&mut self, call: BoxFuture<'static, (u64, T)>) {
-        if self.late.len() < LATE_MOST {
+    /// Keeps a timed-out call, whose answer may still arrive; drops it if too many are kept.
+    fn keep_late(&mut self, call: BoxFuture<'static, (u64, T)>) {
+        if self.late.len() < MAX_LATE_CALLS {
             self.late.push(call);
         }
     }
--- a/crates/host/src/helpers.rs
+++ b/crates/host/src/helpers.rs
@@ -1,78 +1,79 @@
-//! Which host asks the advisor.
+//! Choice of the host that queries the advisor.
 //!
-//! Answers the load in which an owner has far more questions than one host can ask: the advisor serves one call at a time for each
-//! host, so others ask for the owner. Half of them are in another region or have a thin line, and the way there and back costs
-//! more than a short question, but little against a long one. So short questions go where the answer is back soonest, by what a
-//! host has to ask already and by how much later than reckoned its answers came before; long ones go to the hosts that are
-//! farthest, as long as one of those is free, and leave the near ones to the short.
+//! An owner may have far more queries than one host can make, since the advisor serves one call at a time for each host; so other
+//! hosts act as its proxies. Half of them are in another region or on a slow link, where the round trip costs more than a short
+//! query, but little compared to a long one. So a short query goes to the proxy whose answer should be back first, judged by its
+//! queued queries and by how late its earlier answers came. Long queries go to the most distant proxies, as long as one of those is
+//! free, and leave the near ones to short queries.
 
 use std::cmp::Reverse;
 
 use pool::Ms;
 
-/// Each answer counts this part of the running mean.
-const NEWEST: Ms = 4;
-/// An answer that failed or came very late counts as this late, so that one outage doesn't set a host aside for long.
-const LATE_MOST: Ms = 1_000;
+/// The running mean of delays weighs the newest one by the inverse of this.
+const MEAN_WINDOW: Ms = 4;
+/// Upper bound of the delay that one answer counts with, so that a single outage doesn't exclude a host for long.
+const MAX_DELAY: Ms = 1_000;
 
-/// What is known of one host that asks the advisor.
+/// State of one host that queries the advisor.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Helper {
-    /// The advisor is done with its questions by then.
+    /// Expected time at which the advisor has served all queries assigned to this host.
     pub busy: Ms,
-    /// How much later its answers come, in milliseconds; `None` if it was not asked yet.
-    late: Option<Ms>,
+    /// Mean delay of its answers beyond the expected duration of the queries; `None` before the first answer.
+    delay: Option<Ms>,
 }
 
-/// A question is short if it takes no longer, in milliseconds.
-const SHORT: Ms = 150;
-/// A question that takes this many times as long as the way to a host may as well go there.
-const LONG: Ms = 3;
+/// Maximum duration of a short query.
+const MAX_SHORT_QUERY: Ms = 150;
+/// A query is long for a host if it takes more than this many times the delay of the host's answers.
+const LONG_QUERY_DELAYS: Ms = 3;
 
-/// Place of a host in the choice; the smallest is taken.
+/// Rank of a host in the choice; the smallest is chosen.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Place {
-    /// When the answer would be back, or when the host is free, but for the time that the question itself takes.
-    free: Ms,
-    /// For long questions, how near it is.
-    near: Reverse<Ms>,
+    /// Time at which the answer of a short query would be back, or at which the host is free for a long one; without the duration
+    /// of the query itself.
+    ready_at: Ms,
+    /// For long queries, the delay of the host's answers: the most distant host is chosen.
+    delay: Reverse<Ms>,
 }
 
-/// A question that was given to a host: when its answer would be there without the way.
+/// Expected time of the answer to an assigned query, without the network delay.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Due(pub Ms);
 
 impl Helper {
-    /// Its place in the choice for a question that takes this long. `away` is the time in which the platform answers the host, in
-    /// milliseconds: as long as it was not asked, the way to it counts as much again.
+    /// Rank of this host for a query of the duration `takes`. `away` is the round trip between the host and the platform, in
+    /// milliseconds. Before the first answer, the delay between owner and host is assumed to be the same again.
     #[must_use]
     pub fn place(&self, now: Ms, away: Ms, takes: Ms) -> Place {
-        let late = self.late.unwrap_or(away.min(LATE_MOST) * 2);
-        let free = self.busy.max(now);
-        if takes > late * LONG && takes > SHORT {
+        let delay = self.delay.unwrap_or(away.min(MAX_DELAY) * 2);
+        let free_at = self.busy.max(now);
+        if takes > delay * LONG_QUERY_DELAYS && takes > MAX_SHORT_QUERY {
             return Place {
-                free,
-                near: Reverse(late),
+                ready_at: free_at,
+                delay: Reverse(delay),
             };
         }
         Place {
-            free: free + late,
-            near: Reverse(0),
+            ready_at: free_at + delay,
+            delay: Reverse(0),
         }
     }
 
-    /// It is given a question that takes this long.
+    /// Assigns a query of the duration `takes` to this host.
     pub fn ask(&mut self, now: Ms, takes: Ms) -> Due {
         self.busy = self.busy.max(now) + takes;
         Due(self.busy)
     }
 
-    /// The answer is there, or it failed.
+    /// Records that an assigned query was answered or failed.
     pub fn answered(&mut self, now: Ms, due: Due) {
-        let late = now.saturating_sub(due.0).min(LATE_MOST);
-        self.late = Some(match self.late {
-            None => late,
-            Some(before) => (before * (NEWEST - 1) + late) / NEWEST,
+        let delay = now.saturating_sub(due.0).min(MAX_DELAY);
+        self.delay = Some(match self.delay {
+            None => delay,
+            Some(mean) => (mean * (MEAN_WINDOW - 1) + delay) / MEAN_WINDOW,
         });
     }
 }
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -1,4 +1,4 @@
-//! One process of the system.
+//! A host process: shared state and the health of its dependencies.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -21,27 +21,28 @@
 use crate::settings::Settings;
 use crate::wire::Beat;
 
-/// A configuration that was confirmed longer ago than this share of the time in which a change has to be in force may be
-/// out of date: nothing is accepted by it. The rest is for requests that are in hand then.
-const CURRENT: f64 = 0.88;
-/// The store counts as serving a host if it has done so within this time: each host asks it for changes more often.
-const SERVED: Ms = 2_600;
+/// Share of `catalog_within` after which an unconfirmed configuration counts as outdated and no more requests are accepted
+/// under it. The remainder is left for requests that are already being processed.
+const MAX_CATALOG_AGE_SHARE: f64 = 0.88;
+/// The store counts as available if it has answered within this time. Every host polls it for changes more often than that.
+const STORE_ANSWER_VALIDITY: Ms = 2_600;
 
-/// Answers to questions for changes take as long as nothing changes; they say nothing about the store's speed.
-const LONGEST_ANSWER: u64 = 10_000;
-/// A sound store answers within 50 ms from any region, so a lost answer is found out after this.
-const PATIENCE_LEAST: Duration = Duration::from_millis(160);
-/// Callers wait three seconds, so a third call would come too late.
-const PATIENCE_MOST: Duration = Duration::from_millis(900);
-/// A host waits this long before it asks the store whether it is served: an answer that the store gave before it began to refuse
-/// says nothing, and a store that has just begun to refuse all may have answered this host a moment ago.
+/// Answers that took longer are left out of the latency statistics: a poll for changes takes as long as nothing changes, which
+/// says nothing about the speed of the store.
+const MAX_LATENCY_SAMPLE_MS: u64 = 10_000;
+/// Lower bound of the delay before a call to the store is repeated. A healthy store answers within 50 ms from any region.
+const MIN_STORE_RETRY_DELAY: Duration = Duration::from_millis(160);
+/// Upper bound of the same delay. Callers wait three seconds, so a third call would come too late.
+const MAX_STORE_RETRY_DELAY: Duration = Duration::from_millis(900);
+/// Delay before the store is probed. An answer given before the store began to refuse proves nothing, and a store that has just
+/// begun to refuse all hosts may have answered this one a moment ago.
 const PROBE_DELAY: Duration = Duration::from_millis(100);
-/// A host asks the store no more often than this whether it is served while an owner isn't.
+/// Minimum time between two probes of the store while an owner has lost it.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
-/// A store that has failed all calls for this long doesn't serve this host.
-const FAILING: Ms = 400;
+/// A store that has failed all calls for this long counts as unavailable.
+const STORE_FAILURE_TOLERANCE: Ms = 400;
 
-/// One process of the system.
+/// A host process: accepts jobs from callers and may own pools of workers.
 pub struct Host {
     pub(crate) settings: Settings,
     pub(crate) store: Arc<dyn Store>,
@@ -49,37 +50,40 @@
     pub(crate) advisor: Arc<dyn Advisor>,
     pub(crate) decode: Arc<dyn Decode>,
     pub(crate) stop: Stop,
-    /// Start of this life in Unix milliseconds.
+    /// Start time of this process in Unix milliseconds.
     pub(crate) life: u64,
     catalog: ArcSwapOption<Catalog>,
-    /// What is known of how current the configuration is.
+    /// How recent the configuration in force is known to be.
     pub(crate) current: Current,
-    served_at: AtomicU64,
-    /// Since when the store has only refused or not answered; 0 if it serves.
-    failing: AtomicU64,
-    away: AtomicU64,
-    /// Time in which the store has answered lately, in milliseconds.
-    usual: AtomicU64,
-    /// What is known of each pool's owner, by the pool's number.
+    /// Time of the last answer from the store; 0 if there was none.
+    last_store_answer: AtomicU64,
+    /// Time since which every call to the store has failed; 0 if the last one was answered.
+    store_failing_since: AtomicU64,
+    /// Shortest time in which the store has answered, in milliseconds.
+    min_store_rtt: AtomicU64,
+    /// Moving average of the time in which the store answers, in milliseconds.
+    typical_store_latency: AtomicU64,
+    /// State of each pool's owner, indexed by pool number.
     pub(crate) pool_states: Mutex<Vec<PoolState>>,
     pub(crate) plan: ArcSwap<Plan>,
-    /// A pool's owner may not be known any more.
+    /// Notified when the owner of a pool may have become unknown.
     pub(crate) unowned: Notify,
     /// Rows of the pools' owners.
     pub(crate) owners: Owners,
-    /// The store serves this host again, or serves it no more.
+    /// Notified when the store becomes available or unavailable.
     pub(crate) store_changed: Notify,
-    /// An owner has lost the store: whether it serves this host is to be found out.
+    /// Notified when an owner has lost the store, so that this host checks its own access.
     pub(crate) doubted: Notify,
-    /// That was found out.
+    /// Notified when that check is done.
     pub(crate) probed: Notify,
-    /// The plan has changed.
+    /// Notified when a newer pool map is in force.
     pub(crate) replanned: Notify,
+    /// Whether this host has known the owner of any pool since it started.
     pub(crate) knows_owner: AtomicBool,
 }
 
 impl Host {
-    /// A host that meets the outside through these.
+    /// Creates a host that uses these external interfaces.
     pub fn new(
         settings: Settings,
         store: Arc<dyn Store>,
@@ -98,10 +102,10 @@
             life: clock::unix(),
             catalog: ArcSwapOption::empty(),
             current: Current::default(),
-            served_at: AtomicU64::new(0),
-            failing: AtomicU64::new(0),
-            away: AtomicU64::new(u64::MAX),
-            usual: AtomicU64::new(0),
+            last_store_answer: AtomicU64::new(0),
+            store_failing_since: AtomicU64::new(0),
+            min_store_rtt: AtomicU64::new(u64::MAX),
+            typical_store_latency: AtomicU64::new(0),
             pool_states: Mutex::default(),
             plan: ArcSwap::default(),
             unowned: Notify::new(),
@@ -114,7 +118,7 @@
         })
     }
 
-    /// Does all that a host does besides answering callers, until it is stopped.
+    /// Runs all background work until the host is stopped. Requests of callers are served by the other methods.
     pub async fn run(self: &Arc<Self>) {
         tokio::join!(
             self.follow_catalog(),
@@ -124,8 +128,8 @@
         );
     }
 
-    /// Asks the store when an owner has lost it, and has the answer told to owners at once. A host without callers may not have
-    /// asked for seconds.
+    /// Probes the store when an owner has lost it, and has the result sent to owners at once. A host without callers may not have
+    /// called the store for seconds.
     async fn probe(&self) {
         loop {
             tokio::select! {
@@ -133,26 +137,26 @@
                 () = self.stop.ended() => return,
             }
             tokio::time::sleep(PROBE_DELAY).await;
-            // Whether it was answered is noted for all calls alike.
+            // Whether the call was answered is recorded for every call in `note_store`.
             drop(self.store.get(PLAN, COMMON, PLAN).await);
             self.probed.notify_waiters();
             tokio::time::sleep(PROBE_INTERVAL).await;
         }
     }
 
-    /// How long ago the store answered this host last; `None` if it never did.
+    /// Time since the last answer from the store; `None` if there was none.
     pub(crate) fn answered(&self) -> Option<Ms> {
-        let at = self.served_at.load(Ordering::Relaxed);
+        let at = self.last_store_answer.load(Ordering::Relaxed);
         (at > 0).then(|| clock::now().saturating_sub(at))
     }
 
-    /// Since when all calls to the store have failed; `None` if the last one was answered.
+    /// Time since which every call to the store has failed; `None` if the last one was answered.
     pub(crate) fn failing_since(&self) -> Option<Ms> {
-        let since = self.failing.load(Ordering::Relaxed);
+        let since = self.store_failing_since.load(Ordering::Relaxed);
         (since > 0).then_some(since)
     }
 
-    /// The configuration in force, if it is known to be current.
+    /// The configuration in force; `None` until one was loaded. See [`Host::is_current`] for its age.
     #[must_use]
     pub fn catalog(&self) -> Option<Arc<Catalog>> {
         self.catalog.load_full()
@@ -161,21 +165,22 @@
     /// Whether the configuration is known to be current.
     #[must_use]
     pub fn is_current(&self) -> bool {
-        Duration::from_millis(self.catalog_age()) < self.settings.catalog_within.mul_f64(CURRENT)
+        Duration::from_millis(self.catalog_age())
+            < self.settings.catalog_within.mul_f64(MAX_CATALOG_AGE_SHARE)
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is enabled.
     pub(crate) fn has(&self, mechanism: Mechanism) -> bool {
         self.settings.pool.switches.has(mechanism)
     }
 
-    /// Whether a job can be accepted now: the store serves this host, or an owner that takes jobs for it.
+    /// Whether jobs can be accepted now: the store is available to this host, or to an owner that inserts jobs for it.
     pub(crate) fn can_accept(&self) -> bool {
         self.served() || self.served_link().is_some()
     }
 
-    /// Whether this host should get new connections. One that can accept nothing sends callers away; the sooner it says so
-    /// here, the fewer are sent to it.
+    /// Whether this host should receive new connections. A host that can't accept jobs has to refuse its callers, so it reports
+    /// not ready at once to get fewer of them.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.stop.is_draining()
@@ -185,30 +190,33 @@
             && self.knows_owner.load(Ordering::Relaxed)
     }
 
-    /// The plan of pools, as far as this host knows.
+    /// The newest pool map that this host knows.
     #[must_use]
     pub fn plan(&self) -> Arc<Plan> {
         self.plan.load_full()
     }
 
-    /// Takes up a plan unless it knows a newer one.
+    /// Puts a pool map into force unless this host knows one at least as new.
     pub(crate) fn put_plan(&self, plan: Plan) {
         let before = self.plan.load();
         if plan.version > before.version {
-            info!(version = plan.version, pools = plan.pools(), racks = plan.racks.len(); "plan of pools");
+            info!(version = plan.version, pools = plan.pools(), racks = plan.racks.len(); "pool map in force");
             self.plan.store(Arc::new(plan));
             self.replanned.notify_waiters();
             self.unowned.notify_one();
         }
     }
 
-    /// An owner's beat has come: the configuration is as current as the owner's if that is the same.
+    /// Processes an owner's heartbeat. If both have the same version of the configuration, this host's is as current as the
+    /// owner's.
     pub(crate) fn hear(&self, beat: Beat) {
         let now = clock::now();
         let mine = self.catalog_version();
         if let Some(at) = beat.confirms(mine) {
             self.confirm(at, beat.catalog_as_of);
-            self.current.told.fetch_max(at, Ordering::Relaxed);
+            self.current
+                .confirmed_by_owner_at
+                .fetch_max(at, Ordering::Relaxed);
         }
         if beat.failing && self.owns() == 0 {
             self.doubted.notify_one();
@@ -229,32 +237,37 @@
         catalog.as_ref().map_or(0, |catalog| catalog.version)
     }
 
-    /// The store answered a call after this long, or did not.
+    /// Records whether the store answered a call, and how long the call took.
     pub fn note_store(&self, answered: bool, took: Duration) {
         let outcome = if answered { "answered" } else { "failed" };
         metrics::counter!("lentilyoke_store_calls_total", "outcome" => outcome).increment(1);
         if answered {
-            self.served_at.store(clock::now(), Ordering::Relaxed);
+            self.last_store_answer
+                .store(clock::now(), Ordering::Relaxed);
             let took = took.as_millis() as u64;
-            let before = self.away.load(Ordering::Relaxed);
-            self.away.store(before.min(took), Ordering::Relaxed);
-            if took < LONGEST_ANSWER {
+            let before = self.min_store_rtt.load(Ordering::Relaxed);
+            self.min_store_rtt
+                .store(before.min(took), Ordering::Relaxed);
+            if took < MAX_LATENCY_SAMPLE_MS {
                 metrics::histogram!("lentilyoke_store_ms").record(took as f64);
-                let usual = self.usual.load(Ordering::Relaxed);
-                self.usual.store((usual * 3 + took) / 4, Ordering::Relaxed);
+                let typical = self.typical_store_latency.load(Ordering::Relaxed);
+                self.typical_store_latency
+                    .store((typical * 3 + took) / 4, Ordering::Relaxed);
             }
         }
-        // A call that went unanswered tells that the store has been silent for as long as it took, unless another call
-        // was answered meanwhile.
+        // An unanswered call means that the store has failed since the call began, unless another call was answered
+        // meanwhile.
         let began = clock::now().saturating_sub(took.as_millis() as u64);
         let since = if answered {
             0
         } else {
-            began.max(self.served_at.load(Ordering::Relaxed)).max(1)
+            began
+                .max(self.last_store_answer.load(Ordering::Relaxed))
+                .max(1)
         };
-        let before = self.failing.load(Ordering::Relaxed);
+        let before = self.store_failing_since.load(Ordering::Relaxed);
         if answered || before == 0 {
-            self.failing.store(since, Ordering::Relaxed);
+            self.store_failing_since.store(since, Ordering::Relaxed);
         }
         if answered && before > 0 {
             info!(dependency = "store", ms = clock::now().saturating_sub(before); "regained");
@@ -265,27 +278,29 @@
         }
     }
 
-    /// Whether the store serves this host. One call without an answer says little: the next may be answered.
+    /// Whether the store is available to this host. A single call without an answer doesn't make it unavailable, since the next
+    /// one may be answered.
     #[must_use]
     pub fn served(&self) -> bool {
         let now = clock::now();
-        let failing = self.failing.load(Ordering::Relaxed);
-        (failing == 0 || now.saturating_sub(failing) < FAILING)
-            && now.saturating_sub(self.served_at.load(Ordering::Relaxed)) < SERVED
+        let failing_since = self.store_failing_since.load(Ordering::Relaxed);
+        (failing_since == 0 || now.saturating_sub(failing_since) < STORE_FAILURE_TOLERANCE)
+            && now.saturating_sub(self.last_store_answer.load(Ordering::Relaxed))
+                < STORE_ANSWER_VALIDITY
     }
 
-    /// How long an answer of the store is awaited before the same call is made again.
+    /// Delay before a call to the store that is not answered yet is repeated: a multiple of the usual latency.
     pub(crate) fn patience(&self) -> Duration {
-        let usual = Duration::from_millis(self.usual.load(Ordering::Relaxed));
-        (usual * 3).clamp(PATIENCE_LEAST, PATIENCE_MOST)
+        let typical = Duration::from_millis(self.typical_store_latency.load(Ordering::Relaxed));
+        (typical * 3).clamp(MIN_STORE_RETRY_DELAY, MAX_STORE_RETRY_DELAY)
     }
 
-    /// Shortest time in which the store answered, in milliseconds.
+    /// Shortest time in which the store has answered, in milliseconds.
     pub(crate) fn away(&self) -> u64 {
-        self.away.load(Ordering::Relaxed)
+        self.min_store_rtt.load(Ordering::Relaxed)
     }
 
-    /// Puts a configuration into force unless a newer one is.
+    /// Puts a configuration into force unless one at least as new is.
     pub(crate) fn put_catalog(&self, catalog: Catalog) {
         let before = self.catalog_version();
         if catalog.version > before {
@@ -296,7 +311,7 @@
     }
 }
 
-/// Locks; what a thread that panicked left is used as it is.
+/// Locks a mutex, ignoring poisoning: state left by a thread that panicked is used as it is.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
--- a/crates/host/src/insert.rs
+++ b/crates/host/src/insert.rs
@@ -1,4 +1,4 @@
-//! Writing a job's row, once, whatever the store does meanwhile.
+//! Idempotent insertion of a job's row while the store may lose calls or answers.
 
 use std::time::Duration;
 
@@ -11,46 +11,46 @@
 use crate::outside::{Store, StoreError, Transaction};
 use crate::rows::{JOBS, JobRow, job_part, place_of};
 
-/// After a refusal of an insert that is in doubt, it is tried again after this time.
-const REFUSED: Duration = Duration::from_millis(40);
+/// Delay before an insert whose outcome is unknown is repeated after a refusal.
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// Where a job is, by its row.
+/// The pool of a job, as its row says.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Place {
-    /// The pool.
+    /// The pool that the job is in.
     pub pool: u32,
     /// The transaction that wrote the row.
     pub version: u64,
-    /// It came there from another pool, so its row holds more than the job.
+    /// The job was transferred from another pool, so its row holds its progress too.
     pub moved: bool,
 }
 
-/// What became of an insert.
+/// Outcome of an insert.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Inserted {
-    /// The row is there, by this call or an earlier one. An earlier call may have chosen another pool than this one: the
-    /// job belongs to the one that the row names.
+    /// The row exists, written by this call or an earlier one. An earlier call may have chosen another pool than this one: the
+    /// job belongs to the pool that the row names.
     There(Place),
-    /// The row is certainly not there, and won't be by this call.
+    /// The row does not exist, and this call will not create it.
     Refused,
-    /// It can't be told.
+    /// It is not known whether the row exists.
     Unsure,
 }
 
-/// Inserts a job's row, for a pool, until it is known whether it is there, or time is up.
+/// Inserts the row of a job into a pool; returns once it is known whether the row exists, or at `until`.
 ///
-/// A lost answer leaves the insert in doubt: it may be carried out seconds later. From then on "refused" is not true any
-/// more, whatever a further try says; only the row itself ends the doubt, since the same insert has no second effect.
-/// That also makes it safe to send it again while an answer is awaited, after `again`, then twice that, and so on: the
-/// first answer that tells of the row decides. `again` has to be well above the time in which the store answers now, or a
-/// slow store gets several times the load.
+/// After a lost answer the store may still carry out the insert seconds later. From then on a refusal of a repeated call proves
+/// nothing, and only the row itself settles the outcome. The insert requires the row to be absent, so repeating it is safe: while
+/// an answer is outstanding it is sent again after `retry_delay`, then after twice that delay, and so on, and the first answer
+/// that shows the row decides. `retry_delay` has to be well above the present latency of the store, or a slow store gets several
+/// times the load. `may_exist` is set if an earlier call elsewhere may have written the row.
 pub async fn insert(
     store: &dyn Store,
     pool: u32,
     job: &Job,
     until: Instant,
-    again: Duration,
-    mut doubt: bool,
+    retry_delay: Duration,
+    mut may_exist: bool,
 ) -> Inserted {
     let row = JobRow {
         pool,
@@ -68,11 +68,11 @@
     };
     let mut calls = FuturesUnordered::new();
     let mut next = Instant::now();
-    let mut gap = again;
+    let mut delay = retry_delay;
     loop {
         let now = Instant::now();
         if now >= until {
-            return if doubt || !calls.is_empty() {
+            return if may_exist || !calls.is_empty() {
                 Inserted::Unsure
             } else {
                 Inserted::Refused
@@ -80,8 +80,8 @@
         }
         if now >= next {
             calls.push(store.commit(&transaction));
-            next = now + gap;
-            gap *= 2;
+            next = now + delay;
+            delay *= 2;
         }
         let answer = tokio::select! {
             Some(answer) = calls.next() => answer,
@@ -107,22 +107,22 @@
                 if let Some(found) = found {
                     return Inserted::There(found);
                 }
-                // It is there, but not where: the next answer may tell.
-                doubt = true;
+                // The row exists, but the answer doesn't show its pool; the next answer may.
+                may_exist = true;
             }
-            Err(StoreError::Lost { .. }) => doubt = true,
+            Err(StoreError::Lost { .. }) => may_exist = true,
             Err(StoreError::Rejected { .. }) => {
-                return if doubt || !calls.is_empty() {
+                return if may_exist || !calls.is_empty() {
                     Inserted::Unsure
                 } else {
                     Inserted::Refused
                 };
             }
             Err(StoreError::Refused { .. } | StoreError::Gone) => {
-                if !doubt && calls.is_empty() {
+                if !may_exist && calls.is_empty() {
                     return Inserted::Refused;
                 }
-                next = next.max(Instant::now() + REFUSED);
+                next = next.max(Instant::now() + REFUSED_RETRY_DELAY);
             }
         }
     }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,22 +1,20 @@
-//! One process of the system: callers' jobs are taken on every host, each pool of workers is owned by one.
+//! A host process of the scheduler. Every host accepts jobs from callers; each pool of workers is owned by one host, which
+//! schedules tasks on it.
 //!
-//! * [`Store`], [`Workers`], [`Advisor`], [`Decode`]: what a host needs from outside, as traits.
-//! * [`hedge`]: calls whose answers are overdue or late.
-//! * [`Catalog`]: queues in force; [`follow`]: how a table is followed.
-//! * [`helpers`]: which host asks the advisor.
-//! * [`Host`]: what callers ask ([`Host::submit`], [`Host::state`], [`Host::cancel`], [`Host::pending`]).
-//! * [`insert`]: how a job's row is written, once.
-//! * [`Plan`]: which workers belong to which pool; [`route`]: which pool a job goes to.
-//! * [`packed`]: the configuration as hosts send it to each other.
-//! * [`post`]: which hosts have what a pool needs.
-//! * [`sample`]: which jobs are told in full in the log.
-//! * [`turn`]: how long a host leaves a pool to others.
-//! * [`lag`]: whether a host has time for what it does.
-//! * [`link`]: what a host asks an owner.
-//! * [`unserved`]: when an owner without the store gives its pool up.
+//! * [`Store`], [`Workers`], [`Advisor`], [`Decode`]: external interfaces of a host.
+//! * [`Host`]: requests of callers ([`Host::submit`], [`Host::state`], [`Host::cancel`], [`Host::pending`]).
+//! * [`Owner`]: the owner of a pool, which takes it over, polls workers, starts tasks and stores progress.
+//! * [`Catalog`]: the configuration in force; [`packed`]: its compressed form.
+//! * [`Plan`]: assignment of workers to pools; [`route`]: choice of the pool for a job.
+//! * [`insert`]: idempotent insertion of a job's row.
+//! * [`follow`]: following the changes of a table.
+//! * [`hedge`]: repeated calls for overdue answers.
+//! * [`helpers`]: choice of the host that queries the advisor.
+//! * [`wire`]: protocol between hosts; [`link`]: a host's connection to an owner.
 //! * [`verdict`]: whether an owner is lost.
-//! * [`wire`]: what hosts say to each other.
-//! * [`Owner`]: a pool's owner: takes over, holds workers, starts tasks, stores progress.
+//! * [`post`]: suitability of a host as owner of a pool; [`turn`]: delay before a host takes a pool over.
+//! * [`unserved`]: handover of a pool by an owner that has lost the store; [`lag`]: detection of an overloaded host.
+//! * [`sample`]: sampling of the jobs that are logged in full.
 
 pub mod catalog;
 mod claim;
--- a/crates/host/src/outside.rs
+++ b/crates/host/src/outside.rs
@@ -1,4 +1,4 @@
-//! What a host needs from outside, as traits.
+//! External interfaces of a host: store, workers, advisor and decoding of foreign rows.
 
 use std::time::Duration;
 
@@ -11,81 +11,82 @@
 /// A row of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// Its table.
+    /// The table that it is in.
     pub table: String,
-    /// Its part of the table.
+    /// The part of the table that it is in.
     pub part: String,
-    /// Its key.
+    /// Key, unique within its part of the table.
     pub key: String,
-    /// What it holds; `None` if it is not there (any more).
+    /// Content; `None` if the row doesn't exist or was deleted.
     pub value: Option<Vec<u8>>,
-    /// The transaction that wrote it last; 0 if it was never there.
+    /// The transaction that wrote the row last; 0 if it never existed.
     pub version: u64,
 }
 
 /// Why a call to the store failed.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// Nothing was done.
-    #[snafu(display("the store refused: {why}"))]
+    /// The call had no effect, and may be repeated.
+    #[snafu(display("the store refused the call: {why}"))]
     Refused {
-        /// What it said.
+        /// Reason given by the store.
         why: String,
     },
-    /// Nothing was done, and the same call will never be: it is wrong or too large.
-    #[snafu(display("the store rejected: {why}"))]
+    /// The call had no effect, and will be rejected whenever it is repeated: it is invalid or too large.
+    #[snafu(display("the store rejected the call: {why}"))]
     Rejected {
-        /// What it said.
+        /// Reason given by the store.
         why: String,
     },
-    /// It may have been done, or may be done yet.
+    /// The call may have taken effect, or may still do so.
     #[snafu(display("no answer from the store: {why}"))]
     Lost {
-        /// What was seen.
+        /// What was seen instead of an answer.
         why: String,
     },
-    /// A condition did not hold; with the rows as they are.
-    #[snafu(display("a condition did not hold"))]
+    /// A condition of the transaction did not hold.
+    #[snafu(display("a condition of the transaction did not hold"))]
     Conflict {
-        /// The rows of the conditions.
+        /// Present versions of the rows of the conditions.
         rows: Vec<Row>,
     },
-    /// The history that was asked for is gone.
-    #[snafu(display("the history is gone"))]
+    /// The store no longer has the requested history.
+    #[snafu(display("the store no longer has the requested history"))]
     Gone,
 }
 
-/// Conditions and writes that take effect together or not at all, within one part, and in others if `also` names any.
+/// Conditions and writes that take effect atomically, within one part, and in further parts if `also` names any.
 #[derive(Clone, Debug, Default)]
 pub struct Transaction {
     /// The part that all rows are in.
     pub part: String,
-    /// Table, key and version that a row must have; 0: it must not be there.
+    /// Conditions: table, key and the version that the row must have, or 0 if it must not exist.
     pub checks: Vec<(String, String, u64)>,
-    /// Table, key and new value.
+    /// Writes: table, key and new value.
     pub puts: Vec<(String, String, Vec<u8>)>,
-    /// Table and key of rows to delete.
+    /// Deletions: table and key.
     pub deletes: Vec<(String, String)>,
-    /// What takes effect together with it in other parts. A store may refuse that, and takes twice as long for it.
+    /// Conditions and writes in other parts. A store may refuse transactions over several parts, and takes twice as long for
+    /// them.
     pub also: Vec<Transaction>,
 }
 
-/// Rows as of one moment.
+/// A consistent set of rows.
 #[derive(Clone, Debug, Default)]
 pub struct Page {
-    /// The rows.
+    /// The rows; in a feed, the newest last.
     pub rows: Vec<Row>,
-    /// The newest transaction of that moment.
+    /// The newest transaction that the rows reflect.
     pub version: u64,
-    /// The key at which the next page begins; `None` if there is none.
+    /// Key at which the next page begins; `None` on the last page.
     pub next: Option<String>,
-    /// When this was the newest there was, by [`crate::clock::now`]: a reader sets it to a time that is surely not too
-    /// late, since an answer may have been on its way for long.
+    /// Latest time, by [`crate::clock::now`], at which the page is certain to have been up to date. Readers set it, since an
+    /// answer may have been in transit for long.
     pub at: Ms,
 }
 
 impl Page {
-    /// Adds a further page: both together are as old as the older one.
+    /// Appends a further page. The result has the version and time of the older of the two.
     pub fn add(&mut self, page: Self) {
         self.version = self.version.min(page.version);
         self.at = self.at.min(page.at);
@@ -94,26 +95,26 @@
     }
 }
 
-/// Rows that changed.
+/// Changed rows.
 pub type Feed = Page;
 
 /// The platform's table service.
 #[async_trait]
 pub trait Store: Send + Sync {
-    /// Writes a transaction and tells its number.
+    /// Commits a transaction and returns its version.
     ///
     /// # Errors
-    /// What is known of it then.
+    /// What is known of its effect; see [`StoreError`].
     async fn commit(&self, transaction: &Transaction) -> Result<u64, StoreError>;
 
-    /// Reads rows of a part of a table, from a key on, as many as the store tells at once.
+    /// Reads one page of the rows of a part of a table, starting at the key `from`.
     ///
     /// # Errors
     /// [`StoreError::Refused`] or [`StoreError::Lost`].
     async fn page(&self, table: &str, part: &str, from: &str) -> Result<Page, StoreError>;
 
-    /// Reads all rows of a part of a table, or fails with the first page that does. What is read is as old as its oldest
-    /// page; a feed that goes on from there tells the rest.
+    /// Reads all rows of a part of a table, or fails with the first page that does. The result has the version of its oldest
+    /// page; a feed from that version on delivers the changes since.
     ///
     /// # Errors
     /// [`StoreError::Refused`] or [`StoreError::Lost`].
@@ -132,27 +133,27 @@
     /// [`StoreError::Refused`] or [`StoreError::Lost`].
     async fn get(&self, table: &str, part: &str, key: &str) -> Result<Option<Row>, StoreError>;
 
-    /// Waits for changes of a table after a transaction.
+    /// Returns the changes of a table since the transaction `after`; waits up to `wait` for the first one.
     ///
     /// # Errors
-    /// [`StoreError::Gone`] if they can't be told any more.
+    /// [`StoreError::Gone`] if the store no longer has all of them; [`StoreError::Refused`] or [`StoreError::Lost`].
     async fn feed(&self, table: &str, after: u64, wait: Duration) -> Result<Feed, StoreError>;
 }
 
-/// Why a hold failed.
+/// Why a hold call failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HoldFailure {
-    /// Another owner has a higher epoch there.
+    /// The worker has seen an owner with a higher epoch.
     Fenced,
-    /// Another worker answers at that address.
+    /// Another worker answered at the address.
     Other,
-    /// Nothing answers there.
+    /// The address could not be reached.
     Away,
-    /// No answer.
+    /// The call was sent but not answered.
     Lost,
 }
 
-/// The workers.
+/// Calls to workers.
 #[async_trait]
 pub trait Workers: Send + Sync {
     /// Starts a task.
@@ -161,11 +162,11 @@
     /// Stops a run.
     async fn stop(&self, address: &str, epoch: u64, stop: &Stop) -> StopAnswer;
 
-    /// Changes the pace of a run; `true` if it was confirmed.
+    /// Changes the pace of a run; `true` if the worker confirmed it.
     async fn pace(&self, address: &str, epoch: u64, pace: &Pace) -> bool;
 
-    /// Renews the lease (until `lease` on the worker's clock, if given), lets it forget ends up to `noted`, and lists
-    /// its runs; waits up to `wait` for an end.
+    /// Long poll of a worker: renews its lease (until `lease` on the worker's clock, if given), lets it discard the ends of runs
+    /// up to the number `noted`, and returns its runs; waits up to `wait` for the end of a run.
     ///
     /// # Errors
     /// Why there is no listing.
@@ -180,22 +181,23 @@
     ) -> Result<Listing, HoldFailure>;
 }
 
-/// Workers that may run a step, each with its ticket, and how long the tickets hold.
+/// Workers that may run a step, each with its ticket, and how long the tickets are valid.
 pub type Allowed = (Vec<(WorkerId, String)>, Ms);
 
-/// The advisor.
+/// The advisor, which decides which workers may run a step.
 #[async_trait]
 pub trait Advisor: Send + Sync {
-    /// Asks which of the workers may run a step; `None` if there is no answer.
+    /// Returns those of the workers that may run a step; `None` if the advisor didn't answer. `takes` is the expected duration
+    /// of the query.
     async fn ask(&self, stage: &StageKey, workers: &[WorkerId], takes: Duration)
     -> Option<Allowed>;
 }
 
-/// Reads what others write into the store.
+/// Decodes rows that other systems write into the store.
 pub trait Decode: Send + Sync {
-    /// The configuration; `None` if it can't be read.
+    /// Decodes the configuration; `None` if it can't be parsed.
     fn catalog(&self, value: &[u8]) -> Option<Catalog>;
 
-    /// A worker; `None` if the row names none.
+    /// Decodes the row of a worker; `None` if the row doesn't describe one.
     fn worker(&self, key: &str, value: &[u8]) -> Option<News>;
 }
--- a/crates/host/src/packed.rs
+++ b/crates/host/src/packed.rs
@@ -1,4 +1,4 @@
-//! The configuration as hosts send it to each other.
+//! The compressed configuration that hosts send to each other.
 
 use std::io::{Read as _, Write as _};
 
@@ -12,39 +12,39 @@
 
 use crate::catalog::Catalog;
 
-/// Most bytes of a configuration once it is unpacked.
-const UNPACKED_MOST: u64 = 64 << 20;
+/// Maximum size of an unpacked configuration in bytes.
+const MAX_UNPACKED_BYTES: u64 = 64 << 20;
 
 /// Why a configuration can't be packed or unpacked.
 #[derive(Debug, Snafu)]
 pub enum PackError {
-    /// It is no base64.
-    #[snafu(display("the text is no base64: {source}"))]
+    /// The text is not valid base64.
+    #[snafu(display("packed configuration is not valid base64: {source}"))]
     Text {
-        /// What is wrong with it.
+        /// The decoder's error.
         source: base64::DecodeError,
     },
-    /// It is not compressed as it should be.
-    #[snafu(display("the compression is broken: {source}"))]
+    /// The data can't be compressed or decompressed.
+    #[snafu(display("compression of the configuration failed: {source}"))]
     Compression {
-        /// What is wrong with it.
+        /// The codec's error.
         source: std::io::Error,
     },
-    /// It is no configuration.
-    #[snafu(display("the configuration can't be read or written: {source}"))]
+    /// The configuration can't be encoded as JSON, or the unpacked data is not one.
+    #[snafu(display("configuration can't be encoded or parsed as JSON: {source}"))]
     Json {
-        /// What is wrong with it.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// It is longer than [`UNPACKED_MOST`].
-    #[snafu(display("more than {most} bytes"))]
+    /// The unpacked data is larger than [`MAX_UNPACKED_BYTES`].
+    #[snafu(display("unpacked configuration is larger than {max_bytes} bytes"))]
     TooLarge {
-        /// The bound, in bytes.
-        most: u64,
+        /// The limit in bytes.
+        max_bytes: u64,
     },
 }
 
-/// A configuration, compressed.
+/// A compressed configuration.
 ///
 /// ```
 /// use host::{Catalog, packed::Packed};
@@ -56,9 +56,9 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Packed {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// DEFLATE over JSON, as base64.
+    /// The configuration as JSON, compressed with DEFLATE and encoded as base64.
     pub text: String,
 }
 
@@ -83,13 +83,13 @@
     fn try_from(packed: &Packed) -> Result<Self, PackError> {
         let bytes = STANDARD.decode(&packed.text).context(TextSnafu)?;
         let mut json = Vec::new();
-        let mut decoder = DeflateDecoder::new(bytes.as_slice()).take(UNPACKED_MOST + 1);
+        let mut decoder = DeflateDecoder::new(bytes.as_slice()).take(MAX_UNPACKED_BYTES + 1);
         decoder.read_to_end(&mut json).context(CompressionSnafu)?;
-        let fits = json.len() as u64 <= UNPACKED_MOST;
+        let fits = json.len() as u64 <= MAX_UNPACKED_BYTES;
         ensure!(
             fits,
             TooLargeSnafu {
-                most: UNPACKED_MOST
+                max_bytes: MAX_UNPACKED_BYTES
             }
         );
         serde_json::from_slice(&json).context(JsonSnafu)
--- a/crates/host/src/plan.rs
+++ b/crates/host/src/plan.rs
@@ -1,33 +1,33 @@
-//! Which workers belong to which pool.
+//! The pool map: assignment of racks, and so of workers, to pools.
 //!
-//! The pattern: a deployment grows from dozens of workers to thousands. One pool packs best, but its owner hears every
-//! worker and orders every start, on a share of one processor: at 3,000 workers one owner served 0.696 of the worth, six
-//! served 0.883 and 0.903. So whole racks are divided over pools, and a pool is added when the others have their share.
+//! Deployments have from dozens to thousands of workers. A single pool packs tasks best, but its owner polls every worker and
+//! commands every start with a share of one processor: with 3,000 workers, one owner achieved 0.696 of the possible value, six
+//! owners 0.883 and 0.903. So whole racks are divided among pools, and a pool is added when the others have reached their size.
 //!
-//! A rack never changes its pool: a worker with two owners would obey only the one whose epoch is higher.
+//! A rack never changes its pool: of two owners, a worker obeys only the one with the higher epoch.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Workers that name no rack are divided over this many racks of our own, by their ids: a fiftieth of the two-year size
-/// of 5,100 workers each.
-const UNNAMED: u64 = 64;
+/// Number of virtual racks for workers that name no rack, which are assigned to them by id. With 5,100 workers, the size expected
+/// in two years, each has about 80 workers.
+const VIRTUAL_RACKS: u64 = 64;
 
-/// Which rack belongs to which pool.
+/// The pool of each rack.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Plan {
-    /// Rises with every change.
+    /// Increases with every change.
     pub version: u64,
-    /// How many workers each pool had when its racks were given to it.
+    /// Number of workers that each pool's racks had when they were assigned to it.
     pub sizes: Vec<u32>,
-    /// Pool of each rack.
+    /// Pool by rack.
     pub racks: BTreeMap<String, u32>,
 }
 
 impl Default for Plan {
-    /// One pool without racks.
+    /// A single pool without racks.
     fn default() -> Self {
         Self {
             version: 0,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The rack by which a worker is divided: its own, or one of ours if it names none.
+/// The rack that decides the pool of a worker: its own, or a virtual one if it names none.
 ///
 /// ```
 /// assert_eq!(host::plan::rack_of("r1", "w7"), "r1");
@@ -46,7 +46,7 @@
 #[must_use]
 pub fn rack_of(rack: &str, worker: &str) -> String {
     if rack.is_empty() {
-        format!("~{}", xxh3_64(worker.as_bytes()) % UNNAMED)
+        format!("~{}", xxh3_64(worker.as_bytes()) % VIRTUAL_RACKS)
     } else {
         rack.to_owned()
     }
@@ -59,43 +59,43 @@
         self.sizes.len().max(1) as u32
     }
 
-    /// How many workers a pool had when its racks were given to it.
+    /// Number of workers that a pool's racks had when they were assigned to it.
     #[must_use]
     pub fn size(&self, pool: u32) -> u32 {
         self.sizes.get(pool as usize).copied().unwrap_or(0)
     }
 
-    /// The pool of a rack; `None` until it is given to one.
+    /// The pool of a rack; `None` until it is assigned to one.
     #[must_use]
     pub fn pool_of(&self, rack: &str) -> Option<u32> {
         self.racks.get(rack).copied()
     }
 
-    /// Gives racks that have no pool to pools, each to the smallest, and adds pools as far as `per_pool` workers each
-    /// demand; `None` if all racks have theirs.
+    /// Assigns racks without a pool, given with their numbers of workers: each goes to the smallest pool. Adds pools so that each
+    /// has about `per_pool` workers. Returns `None` if every rack has a pool already.
     ///
-    /// The number of pools is rounded, so a pool has between two thirds and one and a half times `per_pool` workers when
-    /// all come at once. Racks that come one by one fill the newest pool.
+    /// The number of pools is rounded, so a pool has between two thirds and one and a half times `per_pool` workers if all racks
+    /// are assigned at once. Racks that appear one by one fill the newest pool.
     #[must_use]
     pub fn extend(&self, racks: &BTreeMap<String, u32>, per_pool: u32) -> Option<Self> {
-        let fresh: Vec<(&String, u32)> = racks
+        let unassigned: Vec<(&String, u32)> = racks
             .iter()
             .filter(|(rack, _)| !self.racks.contains_key(*rack))
             .map(|(rack, &workers)| (rack, workers))
             .collect();
-        if fresh.is_empty() {
+        if unassigned.is_empty() {
             return None;
         }
         let mut next = self.clone();
         next.version += 1;
         let per_pool = per_pool.max(1);
-        let all: u32 =
-            self.sizes.iter().sum::<u32>() + fresh.iter().map(|(_, many)| many).sum::<u32>();
-        let wanted = ((all + per_pool / 2) / per_pool) as usize;
-        if next.sizes.len() < wanted {
-            next.sizes.resize(wanted, 0);
+        let total: u32 = self.sizes.iter().sum::<u32>()
+            + unassigned.iter().map(|(_, workers)| workers).sum::<u32>();
+        let pools = ((total + per_pool / 2) / per_pool) as usize;
+        if next.sizes.len() < pools {
+            next.sizes.resize(pools, 0);
         }
-        for (rack, workers) in fresh {
+        for (rack, workers) in unassigned {
             let smallest = (0..next.sizes.len()).min_by_key(|&pool| next.sizes[pool]);
             let pool = smallest.unwrap_or(0);
             if let Some(size) = next.sizes.get_mut(pool) {
--- a/crates/host/src/route.rs
+++ b/crates/host/src/route.rs
@@ -1,11 +1,11 @@
-//! Which pool a job goes to.
+//! Choice of the pool for a job.
 //!
-//! The pattern: several pools, and callers that send jobs of very unlike size to any host. By ids alone, a pool of 500
-//! workers is off by a tenth of its room now and then, while another has room left. Two pools are candidates for each id,
-//! by weighted rendezvous hashing, and the less loaded one gets the job; any host finds it again by its id with 1.5
-//! questions on average. Jobs whose data lies in one rack, or that need a label, go where that is.
+//! Callers send jobs of very different sizes to any host. If the pool were chosen by the id alone, the load of a pool of 500
+//! workers would at times be a tenth of its capacity above the mean while others have free capacity. So weighted rendezvous
+//! hashing gives two candidate pools for each id, and the less loaded one gets the job; any host finds it again by its id with
+//! 1.5 queries on average. Jobs whose data lies in one rack, or that need a label, go to a pool that has it.
 //!
-//! The choice is a matter of speed only: the pool is part of the job's row, and the row's key is the job's id.
+//! The choice affects latency only, not correctness: the pool is stored in the job's row, whose key is the job's id.
 
 use pool::Job;
 use rustc_hash::FxHashMap;
@@ -13,31 +13,31 @@
 
 use crate::plan::Plan;
 
-/// The second candidate is taken if it is less loaded by this much of its room. Loads are a quarter of a second old, so
-/// smaller differences would only move jobs to and fro.
-const CLEARLY: f64 = 0.05;
-/// A pool whose owner isn't heard counts as loaded by this much more: a takeover takes about as long as the tasks that
-/// wait for this share of its room.
-const UNHEARD: f64 = 0.5;
+/// The second candidate is preferred if its load is lower by at least this share of its capacity. Loads are up to 250 ms old, so
+/// smaller differences would make the choice oscillate.
+const MIN_LOAD_DIFFERENCE: f64 = 0.05;
+/// A pool whose owner sent no recent heartbeat counts as overloaded by this share of its capacity: a takeover delays a job about
+/// as long as a queue of this length does.
+const UNKNOWN_OWNER_EXCESS: f64 = 0.5;
 
-/// What the owner of a pool says of it.
+/// Load of a pool, as its owner reports it.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// Its owner was heard lately.
+    /// A recent heartbeat of the owner is known.
     pub heard: bool,
-    /// Work that runs and waits, as a share of its room.
+    /// Running and waiting work, as a share of the pool's capacity.
     pub taken: f64,
-    /// Labels of its workers.
+    /// Labels of the pool's workers.
     pub labels: Vec<String>,
 }
 
-/// The pools that a new job with this id may be in, the likelier first.
+/// The candidate pools of a new job with this id, the more likely one first.
 #[must_use]
 pub fn candidates(plan: &Plan, id: &str) -> Vec<u32> {
     ranked(plan, id).into_iter().take(2).collect()
 }
 
-/// All pools in the order of this id's rendezvous hash.
+/// All pools, ordered by the weighted rendezvous hash of this id.
 fn ranked(plan: &Plan, id: &str) -> Vec<u32> {
     let mut pools: Vec<(f64, u32)> = plan
         .sizes
@@ -45,36 +45,37 @@
         .enumerate()
         .map(|(pool, &size)| {
             let hash = xxh3_64_with_seed(id.as_bytes(), pool as u64);
-            // Between 0 and 1, never 0: the top 53 bits and a half.
-            let even = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-            (-even.ln() / f64::from(size.max(1)), pool as u32)
+            // Uniform in (0, 1): the top 53 bits plus a half, so that the logarithm is finite.
+            let uniform = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
+            (-uniform.ln() / f64::from(size.max(1)), pool as u32)
         })
         .collect();
     pools.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     pools.into_iter().map(|(_, pool)| pool).collect()
 }
 
-/// The pool that a job goes to which those in `been` could not serve; `None` if it was in all.
+/// The next pool for a job that the pools in `tried` could not serve; `None` if it was in all of them.
 #[must_use]
-pub fn next(plan: &Plan, job: &Job, been: &[u32], loads: &FxHashMap<u32, Load>) -> Option<u32> {
+pub fn next(plan: &Plan, job: &Job, tried: &[u32], loads: &FxHashMap<u32, Load>) -> Option<u32> {
     let first = choose(plan, job, loads);
     let others = ranked(plan, &job.id).into_iter().chain(0..plan.pools());
     std::iter::once(first)
         .chain(others)
-        .find(|pool| !been.contains(pool))
+        .find(|pool| !tried.contains(pool))
 }
 
-/// The pool that a new job goes to.
+/// The pool for a new job.
 #[must_use]
 pub fn choose(plan: &Plan, job: &Job, loads: &FxHashMap<u32, Load>) -> u32 {
     if plan.pools() == 1 {
         return 0;
     }
-    let homes = job
+    // The label of a step may be the name of a rack.
+    let racks = job
         .steps
         .iter()
         .flat_map(|step| [step.near.as_str(), step.label.as_str()]);
-    if let Some(pool) = homes.filter_map(|rack| plan.pool_of(rack)).next() {
+    if let Some(pool) = racks.filter_map(|rack| plan.pool_of(rack)).next() {
         return pool;
     }
     let label = job
@@ -82,18 +83,18 @@
         .iter()
         .map(|step| step.label.as_str())
         .find(|label| !label.is_empty());
-    let fit = |pool: &u32| {
+    let may_have_label = |pool: &u32| {
         label.is_none_or(|label| {
             let load = loads.get(pool).filter(|load| load.heard);
             load.is_none_or(|load| load.labels.iter().any(|has| has == label))
         })
     };
     let mut pools = candidates(plan, &job.id);
-    if !pools.iter().any(fit) {
+    if !pools.iter().any(may_have_label) {
         pools = (0..plan.pools()).collect();
     }
-    pools.retain(fit);
-    let taken = |pool: u32| {
+    pools.retain(may_have_label);
+    let known_load = |pool: u32| {
         loads
             .get(&pool)
             .filter(|load| load.heard)
@@ -101,10 +102,10 @@
     };
     let mut best = pools.first().copied().unwrap_or(0);
     for &pool in pools.iter().skip(1) {
-        let (now, other) = (taken(best), taken(pool));
-        let better = match (now.is_nan(), other.is_nan()) {
-            (true, false) => other < 1.0 + UNHEARD,
-            (false, false) => other + CLEARLY < now,
+        let (current, other) = (known_load(best), known_load(pool));
+        let better = match (current.is_nan(), other.is_nan()) {
+            (true, false) => other < 1.0 + UNKNOWN_OWNER_EXCESS,
+            (false, false) => other + MIN_LOAD_DIFFERENCE < current,
             _ => false,
         };
         if better {
--- a/crates/host/src/rows.rs
+++ b/crates/host/src/rows.rs
@@ -1,58 +1,58 @@
-//! The rows that the system keeps in the store.
+//! Rows in the store.
 //!
-//! What the owner writes is in one part, so that a transaction may hold both the writes and the owner's row as a condition.
-//! A part carries out one transaction after another, so jobs are spread over parts of their own by their ids: when the
-//! store is fifty times slower than usual, one part for all would take fewer jobs a second than come.
+//! All rows that the owner of a pool writes are in one part, so that a transaction can contain both its writes and a condition on
+//! the owner's row. A part executes one transaction at a time, so jobs are spread by id over parts of their own: with the store
+//! fifty times slower than usual, a single part would accept fewer jobs a second than arrive.
 //!
-//! | table | part | key | written | holds |
+//! | table | part | key | written | content |
 //! |---|---|---|---|---|
-//! | `jobs` | by id, one of 64 | id | when a job is accepted, by the host that took it; when it goes to another pool, by the owner of the pool that it leaves | [`JobRow`] |
-//! | `jobs` | by id, one of 64 | `!` and id | when a job is cancelled and the owner can't be asked | nothing |
-//! | `progress` | the pool's | id | in groups, by the owner | [`pool::Progress`] |
-//! | `owner` | the pool's | `owner` | when the owner or its heirs change | [`OwnerRow`] |
+//! | `jobs` | by id, one of 64 | id | by the host that accepts the job; by the owner of a pool when it transfers the job to another pool | [`JobRow`] |
+//! | `jobs` | by id, one of 64 | `!` and id | when a job is cancelled while the owner can't be reached | nothing |
+//! | `progress` | the pool's | id | in batches, by the owner | [`pool::Progress`] |
+//! | `owner` | the pool's | `owner` | when the owner or its successors change | [`OwnerRow`] |
 //! | `roster` | the pool's | `roster` | when the owner or its workers change, and after a write without an answer | [`RosterRow`] |
-//! | `plan` | `common` | `plan` | when a rack is seen for the first time, by the owner of pool 0 | [`crate::Plan`] |
+//! | `plan` | `common` | `plan` | by the owner of pool 0, when a rack is seen for the first time | [`crate::Plan`] |
 //!
-//! The pool's part is `pool-` and its number.
+//! The part of a pool is `pool-` and its number.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Accepted jobs and cancels; followed by the owners of all pools, each for its own.
+/// Accepted jobs and cancellations; each owner follows it for the jobs of its pool.
 ///
-/// One table for all: whether a job is accepted already must not depend on the pool that a host would choose for it.
+/// All pools share one table: whether a job has been accepted must not depend on the pool that a host would choose for it.
 pub(crate) const JOBS: &str = "jobs";
-/// Number of parts that jobs are spread over. A store that is 50 times slower carries out 6 transactions a second in a
-/// part, so 64 parts take some 400 a second: four times the rushes of the largest deployment so far. A new owner reads
-/// each part once.
+/// Number of parts that jobs are spread over. A store that is 50 times slower than usual executes 6 transactions a second in a
+/// part, so 64 parts accept about 400 a second: four times the peak rate of the largest deployment. A new owner reads each part
+/// once.
 const JOB_PARTS: u64 = 64;
 
-/// The part in which a job's row is.
+/// The part that holds a job's row.
 pub(crate) fn job_part(id: &str) -> String {
     format!("jobs-{}", xxh3_64(id.as_bytes()) % JOB_PARTS)
 }
 
-/// All parts in which rows of jobs are.
+/// All parts that hold rows of jobs.
 pub(crate) fn job_parts() -> impl Iterator<Item = String> {
     (0..JOB_PARTS).map(|part| format!("jobs-{part}"))
 }
 
 /// Progress of jobs.
 pub(crate) const PROGRESS: &str = "progress";
-/// Cancels, in the table of jobs so that one feed tells both: key of the job after this mark.
+/// Prefix of the keys of cancellations, followed by the job's id. They share the table of jobs so that one feed delivers both.
 pub(crate) const CANCEL: &str = "!";
 /// The workers that a pool's owner may use.
 pub(crate) const ROSTER: &str = "roster";
 /// The owner of a pool.
 pub(crate) const OWNER: &str = "owner";
-/// Which rack belongs to which pool.
+/// The pool map.
 pub(crate) const PLAN: &str = "plan";
-/// The part of the rows that belong to no pool.
+/// The part of rows that belong to no pool.
 pub(crate) const COMMON: &str = "common";
 
-/// The part of the rows of a pool.
+/// The part that holds the rows of a pool.
 pub(crate) fn pool_part(pool: u32) -> String {
     format!("pool-{pool}")
 }
@@ -60,85 +60,86 @@
 /// An accepted job.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct JobRow<J> {
-    /// The pool that it is in.
+    /// The pool that the job is in.
     pub pool: u32,
-    /// As its caller sent it.
+    /// The job as its caller sent it.
     pub job: J,
-    /// How it came to its pool, if that is not the first one.
+    /// Set if the job was transferred from another pool.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub moved: Option<Moved>,
 }
 
-/// A job that went from pool to pool.
+/// History of a job that was transferred between pools.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct Moved {
-    /// The pools that it was in before. It never comes back to one: that pool's owner may be told of the row as it was.
+    /// The pools that the job was in before. It never returns to one of them, whose owner might still receive an older version
+    /// of the row.
     pub from: Vec<u32>,
-    /// How far it had come.
+    /// Progress of the job at its last transfer.
     pub progress: pool::Progress,
 }
 
-/// What is read of a job's row to find out whose it is.
+/// The fields of a job's row that say which pool it is in, without the job itself.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct JobPlace {
-    /// The pool that it is in.
+    /// The pool that the job is in.
     pub pool: u32,
-    /// How it came there, if that is not the first one.
+    /// Set if the job was transferred from another pool.
     #[serde(default)]
     pub moved: Option<Moved>,
 }
 
-/// Where a job's row says that it is.
+/// Parses the pool of a job from the value of its row.
 pub(crate) fn place_of(value: &[u8]) -> Option<JobPlace> {
     serde_json::from_slice(value).ok()
 }
 
-/// Who owns a pool.
+/// The owner of a pool.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct OwnerRow {
-    /// The host.
+    /// Name of the owner's host.
     pub host: String,
-    /// Where other hosts reach it.
+    /// Address for connections of other hosts.
     pub address: SocketAddr,
-    /// Rises with every change; the fencing token of its orders.
+    /// Increases with every change of owner; the fencing token of the owner's commands.
     pub epoch: u64,
-    /// Tells this life of the host from others.
+    /// Start time of the host process in Unix milliseconds, which distinguishes it from earlier ones of the same name.
     pub life: u64,
-    /// Hosts that are to take the pool when the owner is lost, the best placed first.
+    /// Hosts that should take the pool over when the owner is lost, the most suitable first.
     pub heirs: Vec<Heir>,
 }
 
-/// A host that may take a pool.
+/// A host that may take over a pool.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub(crate) struct Heir {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// Where other hosts reach it.
+    /// Address for connections of other hosts.
     pub address: SocketAddr,
 }
 
-/// Which workers an owner may use. Use [`RosterRow::new`], which bounds its size.
+/// The workers that an owner may use. Create it with [`RosterRow::new`], which bounds its size.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct RosterRow {
-    /// Counts the writes of this owner.
+    /// Number of writes of the row by this owner.
     pub serial: u64,
-    /// Workers that may be given something, and those that can't be reached for which `silent` has no room. A new owner
-    /// waits until it has heard from them, or until their leases have lapsed.
+    /// Workers that may be given tasks, and unreachable ones for which `silent` has no space. A new owner waits until each of
+    /// them has answered or its lease has expired.
     pub roster: Vec<String>,
-    /// Workers that can't be reached, with what may run there. A new owner holds back only these tasks.
+    /// Unreachable workers with the runs that may still be executing there. A new owner holds back only these tasks.
     pub silent: Vec<pool::Silent>,
 }
 
 impl RosterRow {
-    /// A row of at most `most` bytes, unless the workers' ids alone take more.
+    /// Creates a row of at most `max_bytes` bytes, unless the ids of the workers alone take more.
     ///
-    /// Silent workers are listed with their runs, in the order given, as far as there is room. The others go to the roster,
-    /// which takes little more than an id: a new owner then knows less, and waits longer.
+    /// Silent workers are listed with their runs, in the given order, as long as there is space. The others are added to the
+    /// roster, where each takes little more than its id; a new owner then knows less about them and waits longer.
     pub(crate) fn new(
         serial: u64,
         roster: impl IntoIterator<Item = String>,
         silent: Vec<pool::Silent>,
-        most: usize,
+        max_bytes: usize,
     ) -> Self {
         let mut row = Self {
             serial,
@@ -146,7 +147,7 @@
             silent: Vec::new(),
         };
         let ids: usize = silent.iter().map(|it| encoded_len(&it.worker)).sum();
-        let mut left = most.saturating_sub(encoded_len(&row) + ids);
+        let mut left = max_bytes.saturating_sub(encoded_len(&row) + ids);
         for worker in silent {
             let more = encoded_len(&worker) - encoded_len(&worker.worker);
             if more <= left {
@@ -162,7 +163,7 @@
     }
 }
 
-/// Bytes of an entry of a list, with the comma after it.
+/// Encoded size of an entry of a JSON list in bytes, including the comma after it.
 fn encoded_len(entry: &impl Serialize) -> usize {
     serde_json::to_vec(entry).map_or(0, |bytes| bytes.len() + 1)
 }
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -1,9 +1,9 @@
-//! What a host is told when it starts.
+//! Settings that a host is started with.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where the store keeps what others write.
+/// Locations of the rows that other systems write into the store.
 #[derive(Clone, Debug)]
 pub struct Places {
     /// Table and key of the configuration.
@@ -15,28 +15,28 @@
 /// Settings of a host.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name, unique in the system.
+    /// Name of the host, unique in the deployment.
     pub id: String,
-    /// Where other hosts reach it.
+    /// Address on which it accepts connections of other hosts.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Name of its data centre.
     pub data_centre: String,
-    /// Its region.
+    /// Name of its region.
     pub region: String,
     /// Its share of a processor.
     pub processors: f64,
-    /// Its line, in Mbit/s.
+    /// Bandwidth of its network link, in Mbit/s.
     pub line: f64,
-    /// Where the store keeps what others write.
+    /// Locations of the rows that other systems write into the store.
     pub places: Places,
-    /// A pool's options.
+    /// Options of the pools that it owns.
     pub pool: pool::Options,
-    /// How many workers a pool has, about; more workers are divided over more pools.
+    /// Target number of workers in a pool; a larger deployment is divided into several pools.
     pub pool_workers: u32,
-    /// Most bytes of a row's value in the store.
+    /// Maximum size of a row's value in the store, in bytes.
     pub row_bytes: usize,
-    /// After SIGTERM the process is killed this much later.
+    /// Time between SIGTERM and the kill of the process.
     pub grace: Duration,
-    /// A configuration has to be in force this long after it was accepted.
+    /// Time within which an accepted configuration must be in force on all hosts.
     pub catalog_within: Duration,
 }
--- a/crates/host/src/timed_reader.rs
+++ b/crates/host/src/timed_reader.rs
@@ -1,4 +1,4 @@
-//! A reader that remembers when bytes came last.
+//! A reader that records the time of the last received byte.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -6,14 +6,13 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::time::Instant;
 
-/// Reads from another reader and remembers when that gave bytes last.
+/// Wraps a reader and records when it last returned bytes.
 pub(crate) struct TimedReader<R> {
     inner: R,
     last_read: Instant,
 }
 
 impl<R> TimedReader<R> {
-    /// Reads from this one.
     pub(crate) fn new(inner: R) -> Self {
         Self {
             inner,
@@ -21,7 +20,7 @@
         }
     }
 
-    /// When bytes came last; if none did, when this was made.
+    /// Time at which the inner reader last returned bytes; until it does, the time of creation.
     pub(crate) fn last_read(&self) -> Instant {
         self.last_read
     }
--- a/crates/host/src/transfer.rs
+++ b/crates/host/src/transfer.rs
@@ -1,12 +1,12 @@
-//! Handing a job to another pool, when its own can't serve it any more.
+//! Transfer of a job to another pool, when its own pool can't serve it any more.
 //!
-//! One transaction does it, over the part of the pool and that of the job: the job's row names the new pool and holds how
-//! far the job had come, and the pool's progress of it is deleted. Its conditions are the owner's claim, so that an owner
-//! which was replaced can't give away what its successor runs; the job's row as it was read; and that the caller has not
-//! taken the job back. The writer does it between two other transactions, so nothing else of this owner is under way.
+//! A single transaction over the part of the pool and that of the job writes the new pool and the job's progress into the job's
+//! row, and deletes the progress in the old pool. Its conditions are the owner's claim, so that an owner that was replaced can't
+//! transfer a job that its successor runs; the version of the job's row that was read; and that the job has not been cancelled.
+//! The writer makes the transfer between two other transactions, so no other write of this owner is in flight.
 //!
-//! A lost answer leaves it open whether the job is here. The writer then rewrites the roster, after which the lost one can't
-//! take effect any more, and the job's row tells. Until then nothing of the job runs.
+//! After a lost answer it is not known which pool the job is in. The writer then rewrites the roster, after which the lost
+//! transaction can't take effect any more, and reads the job's row. Until then no task of the job runs.
 
 use std::sync::Arc;
 
@@ -20,48 +20,48 @@
 use crate::route;
 use crate::rows::{CANCEL, JOBS, JobRow, Moved, PROGRESS, job_part, place_of, pool_part};
 
-/// What became of the jobs that should go.
+/// Outcome of the transfer of several jobs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Outcome {
-    /// All is known.
+    /// No transaction is in flight.
     Settled,
-    /// A transaction may take effect yet.
+    /// The answer to a transaction was lost, and it may still take effect.
     Unsure,
 }
 
-/// Hands jobs that the pool can't serve to other pools, each to one that it hasn't been in.
+/// Transfers jobs that the pool can't serve to other pools, each to one that it has not been in.
 pub(crate) async fn run(owner: &Owner, version: Version, jobs: &[JobId]) -> Outcome {
     for id in jobs {
-        match hand_on(owner, version, id).await {
+        match transfer(owner, version, id).await {
             Ok(()) => {}
             Err(StoreError::Lost { .. }) => return Outcome::Unsure,
-            Err(error) => warn!(job = &**id, error:% = error; "a job is not handed on yet"),
+            Err(error) => warn!(job = &**id, error:% = error; "job transfer failed"),
         }
     }
     Outcome::Settled
 }
 
-async fn hand_on(owner: &Owner, version: Version, id: &JobId) -> Result<(), StoreError> {
+async fn transfer(owner: &Owner, version: Version, id: &JobId) -> Result<(), StoreError> {
     let host = owner.host();
     let part = job_part(id);
     let row = host.present(JOBS, &part, id).await;
     let Ok(Some(row)) = row else {
-        // Not known now, or swept: the next look decides.
+        // The store didn't answer, or the row was deleted; the next pass tries again.
         return Ok(());
     };
-    let Some(place) = row.value.as_deref().and_then(place_of) else {
+    let Some(header) = row.value.as_deref().and_then(place_of) else {
         lock(&owner.pool).keep(id);
         return Ok(());
     };
-    if place.pool != owner.number() {
-        info!(job = &**id, from = owner.number(), to = place.pool; "an earlier write handed the job on");
+    if header.pool != owner.number() {
+        info!(job = &**id, from = owner.number(), to = header.pool; "an earlier write transferred the job");
         lock(&owner.pool).transferred(id);
         return Ok(());
     }
-    let mut from = place.moved.map_or_else(Vec::new, |moved| moved.from);
+    let mut from = header.moved.map_or_else(Vec::new, |moved| moved.from);
     from.push(owner.number());
-    let course = lock(&owner.pool).transferable(id);
-    let Some((job, progress)) = course else {
+    let transferable = lock(&owner.pool).transferable(id);
+    let Some((job, progress)) = transferable else {
         lock(&owner.pool).keep(id);
         return Ok(());
     };
@@ -71,7 +71,7 @@
     };
     let next = JobRow {
         pool: to,
-        // Epochs of different pools have nothing to do with each other.
+        // Epochs of different pools are not comparable.
         job: pool::Job {
             epoch: 0,
             ..(*job).clone()
@@ -102,7 +102,7 @@
         }
         return Err(error);
     }
-    info!(job = &**id, from = owner.number(), to = to, epoch = owner.epoch(); "handed the job on");
+    info!(job = &**id, from = owner.number(), to = to, epoch = owner.epoch(); "job transferred to another pool");
     lock(&owner.pool).transferred(&Arc::clone(id));
     Ok(())
 }
--- a/crates/host/src/unserved.rs
+++ b/crates/host/src/unserved.rs
@@ -1,68 +1,74 @@
-//! When an owner that the store doesn't serve gives its pool to another host, and to which.
+//! When an owner that has lost the store hands its pool over to another host, and to which.
 //!
-//! Answers the load in which the store turns the owner's host away and serves others. Nothing of the pool can be stored then: ends
-//! are not told, and callers of hosts without the store are refused. A refusal is an answer, so it needs no wait for one that may
-//! still come; but an outage begins with refusals too, and then no host should get the pool for being the last to notice. So the
-//! other host has to have been served after the owner was refused.
+//! The store may refuse the owner's host while it is available to others. Nothing of the pool can be stored then: results are not
+//! reported, and hosts without the store refuse their callers. A refusal is an answer, so there is no need to wait for a late one.
+//! But an outage for all hosts begins with refusals too, and then the pool should not go to the host that notices last. So the
+//! store must have answered the other host after it refused the owner.
 
 use pool::Ms;
 
-/// An owner that has got no answers from the store for this long gives the pool up.
-const UNANSWERED: Ms = 800;
-/// An owner that has got nothing but refusals for this long gives the pool up.
-const REFUSED: Ms = 200;
-/// A refusal comes within this time. One that took longer is a connection that could not be made: no answer.
-const REFUSAL_MOST: Ms = 150;
-/// An answer of the store to another host says something of the outage if it came this much after it began.
-const AFTER: Ms = 50;
+/// An owner without any answer from the store hands its pool over after this time.
+const UNANSWERED_LIMIT: Ms = 800;
+/// An owner that the store has only refused hands its pool over after this time.
+const REFUSED_LIMIT: Ms = 200;
+/// Maximum latency of a refusal. A refusal that took longer was a connection that could not be made, and counts as no answer.
+const MAX_REFUSAL_LATENCY: Ms = 150;
+/// An answer of the store to another host shows that the outage doesn't affect it if it came at least this long after the
+/// beginning of the outage.
+const MIN_ANSWER_AFTER_START: Ms = 50;
 
-/// Since when the store serves a host no more, and how.
+/// An outage of the store, as one host sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Unserved {
-    /// When the first call that failed was made.
+    /// Time of the first call that failed.
     pub since: Ms,
-    /// All calls since were refused; none went without an answer.
+    /// All calls since then were refused, rather than left without an answer.
     pub refused: bool,
 }
 
-/// What is known of another host.
+/// Availability of the store to another host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Candidate {
-    /// Since when the store serves it; `None` if it doesn't.
+    /// Time since which the store is available to it; `None` if it is not.
     pub served: Option<Ms>,
-    /// When the store answered it last.
+    /// Time of the store's last answer to it.
     pub answered: Ms,
 }
 
 impl Unserved {
-    /// A call that was made then has failed; `refused` if it was surely not done.
-    pub fn note(before: Option<Self>, asked: Ms, now: Ms, refused: bool) -> Self {
-        let refused = refused && now.saturating_sub(asked) <= REFUSAL_MOST;
-        let before = before.unwrap_or(Self {
+    /// Records the failure of a call made at `asked`, in an outage that began before if `outage` is given. `refused` is set if the
+    /// call certainly had no effect.
+    pub fn note(outage: Option<Self>, asked: Ms, now: Ms, refused: bool) -> Self {
+        let refused = refused && now.saturating_sub(asked) <= MAX_REFUSAL_LATENCY;
+        let outage = outage.unwrap_or(Self {
             since: asked,
             refused: true,
         });
         Self {
-            refused: before.refused && refused,
-            ..before
+            refused: outage.refused && refused,
+            ..outage
         }
     }
 
-    /// Whether the pool is to go to another host.
+    /// Whether the outage has lasted long enough to hand the pool over.
     #[must_use]
     pub fn gives_up(&self, now: Ms) -> bool {
-        let limit = if self.refused { REFUSED } else { UNANSWERED };
+        let limit = if self.refused {
+            REFUSED_LIMIT
+        } else {
+            UNANSWERED_LIMIT
+        };
         now.saturating_sub(self.since) > limit
     }
 
-    /// Whether that host may get it. When an outage ends for all, one host notices first. It must not get the pool for that: the
-    /// owner has as much time to notice it too.
+    /// Whether the pool may be handed over to this host. At the end of an outage for all, some host notices first. It must not
+    /// get the pool for that, so the store has to have been available to it for as long as the owner is given to notice, too.
     #[must_use]
     pub fn takes(&self, now: Ms, other: &Candidate) -> bool {
-        let Some(served) = other.served else {
+        let Some(available_since) = other.served else {
             return false;
         };
-        let steady = now.saturating_sub(served) >= UNANSWERED;
-        steady && (!self.refused || other.answered > self.since + AFTER)
+        let steady = now.saturating_sub(available_since) >= UNANSWERED_LIMIT;
+        steady && (!self.refused || other.answered > self.since + MIN_ANSWER_AFTER_START)
     }
 }
--- a/crates/host/src/wire.rs
+++ b/crates/host/src/wire.rs
@@ -1,6 +1,6 @@
-//! What hosts say to each other: frames of JSON over one TCP connection from each host to the owner.
+//! Protocol between hosts: JSON frames over one TCP connection from each host to the owner of a pool.
 //!
-//! One connection that both sides write to as they like needs one wake-up a message; a call over HTTP needs four.
+//! Both sides may send at any time, so a message costs one wake-up; a call over HTTP would cost four.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -21,92 +21,93 @@
 use crate::packed::Packed;
 use crate::timed_reader::TimedReader;
 
-/// Longest frame in bytes: the rows of one transaction and some more.
-const FRAME_MOST: usize = 4 << 20;
+/// Maximum size of a frame in bytes: the rows of one transaction, with some margin.
+const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// What a host says to the owner.
+/// Message from a host to the owner of a pool.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum ToOwner {
-    /// It is here.
+    /// First message of a connection that stays open.
     Hello {
-        /// Its name.
+        /// Name of the host.
         host: String,
-        /// Where other hosts reach it.
+        /// Address for connections of other hosts.
         address: SocketAddr,
-        /// The pool.
+        /// The pool whose owner is addressed.
         pool: u32,
-        /// The epoch that it takes the owner to have.
+        /// The epoch that the owner has, as far as the host knows.
         epoch: u64,
-        /// Its share of a processor.
+        /// The host's share of a processor.
         processors: f64,
-        /// Its line, in Mbit/s.
+        /// Bandwidth of the host's network link, in Mbit/s.
         line: f64,
     },
-    /// It is alive.
+    /// Sent periodically by every connected host.
     Beat {
-        /// Version of the configuration in force there.
+        /// Version of the configuration in force at the host.
         catalog: u64,
-        /// The store serves it.
+        /// Whether the store is available to the host.
         served: bool,
-        /// Round trip to the store in milliseconds.
+        /// Shortest round trip from the host to the store, in milliseconds.
         away: u64,
-        /// How many pools it owns.
+        /// Number of pools that the host owns.
         owns: u32,
-        /// When this was sent, on its clock.
+        /// Time of sending, on the host's clock.
         #[serde(default)]
         sent: Ms,
-        /// How long ago the store answered it last, in milliseconds; `None` if it never did.
+        /// Time since the store last answered the host, in milliseconds; `None` if it never did.
         #[serde(default)]
         answered: Option<Ms>,
     },
-    /// It has accepted a job: the row is written, and says this.
+    /// The host has accepted a job and written its row, which is at this place.
     Accepted(Box<Job>, Place),
-    /// It wants something.
+    /// A call with its number, answered with [`FromOwner::Told`].
     Ask(u64, Call),
-    /// Answer to [`FromOwner::Advise`].
+    /// Answer to [`FromOwner::Advise`] with its number: tickets by worker and their validity in milliseconds; `None` if the
+    /// advisor didn't answer.
     Advised(u64, Option<(Vec<(String, String)>, u64)>),
-    /// Whether the owner of this pool is alive, asked of any host: answered with [`FromOwner::Hears`].
+    /// Asks any host whether it reaches the owner of this pool or is it; answered with [`FromOwner::Hears`].
     Hears(u32),
 }
 
-/// What a host wants from the owner.
+/// Call of a host to the owner of a pool.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Call {
-    /// State of a job.
+    /// Returns the state of a job.
     State(String),
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel(String),
-    /// Write a job's row, for this pool, since the store doesn't serve the asker.
+    /// Writes a job's row, for this pool, because the store is not available to the calling host.
     Insert(u32, Box<Job>),
-    /// The configuration in force there.
+    /// Returns the configuration in force at the owner.
     Catalog,
-    /// Which workers belong to which pool, as known there.
+    /// Returns the pool map in force at the owner.
     Plan,
 }
 
-/// What the owner says to a call.
+/// Owner's reply to a [`Call`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Reply {
-    /// The job's state, as it is stored.
+    /// The job's state, as stored.
     State(State),
-    /// The job isn't known here.
+    /// The owner doesn't know the job.
     Unknown,
-    /// The job is cancelled, and that is stored.
+    /// The job is cancelled, and the cancellation is stored.
     Cancelled,
-    /// The row is written, and says this.
+    /// The job's row exists, at this place.
     Inserted(Place),
-    /// The row is certainly not written, and won't be.
+    /// The job's row was not written and will not be.
     Refused,
-    /// It can't be told.
+    /// The owner doesn't know the outcome, or has no answer.
     Unsure,
     /// The configuration in force.
     Catalog(Packed),
-    /// Which workers belong to which pool.
+    /// The pool map in force.
     Plan(Box<crate::Plan>),
 }
 
 impl Reply {
-    /// Its kind, for logs.
+    /// Name of its kind for logs.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -122,77 +123,79 @@
     }
 }
 
-/// What the owner says to a host.
+/// Message from the owner of a pool to a host.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum FromOwner {
-    /// It is the owner.
+    /// Sent periodically by the owner.
     Beat(Beat),
-    /// It is not the owner (any more).
+    /// The answering host is not, or no longer, the owner.
     NotOwner {
-        /// Start of the answering host's life in Unix milliseconds: an owner's row that names another one is of a life that
-        /// is over.
+        /// Start time of the answering process in Unix milliseconds. If the owner's row names another one, that process has
+        /// ended.
         life: u64,
     },
-    /// Answer to [`ToOwner::Ask`].
+    /// Reply to the [`ToOwner::Ask`] with this number.
     Told(u64, Reply),
-    /// Ask the advisor about a step.
+    /// Requests that the host queries the advisor about a step, for the owner.
     Advise {
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
         /// The step: job, occurrence, step.
         stage: (String, u32, u16),
-        /// The workers.
+        /// The workers to ask about.
         workers: Vec<String>,
-        /// Time that it will take, in milliseconds.
+        /// Expected duration of the query, in milliseconds.
         takes: u64,
     },
-    /// Take the pool over: the owner leaves, or the store doesn't serve it.
+    /// Requests that the host takes the pool over: the owner is leaving, has lost the store, or is less suitable.
     Take {
         /// The owner's epoch.
         epoch: u64,
     },
-    /// Whether this host hears the owner.
+    /// Whether the answering host reaches the owner, or is it.
     Hears(bool),
 }
 
-/// What all hosts have to know now.
+/// State that the owner of a pool sends to all connected hosts periodically.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Beat {
     /// The pool.
     pub pool: u32,
     /// The owner's epoch.
     pub epoch: u64,
-    /// Version of the configuration in force there.
+    /// Version of the configuration in force at the owner.
     pub catalog: u64,
     /// The transaction of the store up to which that version is known to be the newest.
     #[serde(default)]
     pub catalog_as_of: u64,
-    /// Time since that version was known to be the newest there.
+    /// Time since that version was last known to be the newest.
     #[serde(default)]
     pub catalog_age: Ms,
-    /// When the host that is told this sent the last beat that the owner has heard, on that host's clock; 0 if none.
+    /// Time at which the receiving host sent the last heartbeat that the owner has received, on that host's clock; 0 if there
+    /// was none.
     #[serde(default)]
     pub heard: Ms,
-    /// The store serves the owner.
+    /// Whether the store is available to the owner.
     pub served: bool,
-    /// The owner's last call to the store failed.
+    /// Whether the owner's last call to the store failed.
     #[serde(default)]
     pub failing: bool,
-    /// Version of the plan of pools known there.
+    /// Version of the pool map in force at the owner.
     pub plan: u64,
-    /// Jobs of which nothing has started, per queue; `None` while the owner doesn't know the jobs yet.
+    /// Number of jobs of which nothing has started, by queue; `None` until the owner has loaded the jobs.
     pub pending: Option<FxHashMap<String, u64>>,
-    /// Work that runs and waits, as a share of the pool's room.
+    /// Running and waiting work, as a share of the pool's capacity.
     pub taken: f64,
     /// Labels of the pool's workers.
     pub labels: Vec<String>,
 }
 
 impl Beat {
-    /// When a configuration of this version was surely the newest, on the clock of the host that is told this; `None` if
-    /// the beat doesn't say so.
+    /// Latest time at which a configuration of this version is certain to have been the newest, on the receiving host's clock;
+    /// `None` if the heartbeat doesn't confirm it.
     ///
-    /// A beat may have been on its way for long. What it says was so when the owner had heard the beat that it names.
+    /// A heartbeat may have been in transit for long. Its content was true once the owner had received the host's own heartbeat
+    /// that it echoes, so the time of sending that one is a safe lower bound.
     #[must_use]
     pub fn confirms(&self, version: u64) -> Option<Ms> {
         let same = version > 0 && self.catalog == version;
@@ -200,79 +203,79 @@
     }
 }
 
-/// Sends frames.
+/// Sends messages as frames.
 pub struct Sender<T, W = OwnedWriteHalf> {
-    to: FramedWrite<W, LengthDelimitedCodec>,
-    kind: std::marker::PhantomData<fn(T)>,
+    frames: FramedWrite<W, LengthDelimitedCodec>,
+    message: std::marker::PhantomData<fn(T)>,
 }
 
 impl<T: Serialize, W: AsyncWrite + Unpin> Sender<T, W> {
-    /// Over this half of a connection.
+    /// Creates a sender on the write half of a connection.
     #[must_use]
     pub fn new(half: W) -> Self {
         Self {
-            to: FramedWrite::new(half, codec()),
-            kind: std::marker::PhantomData,
+            frames: FramedWrite::new(half, codec()),
+            message: std::marker::PhantomData,
         }
     }
 
-    /// Adds a frame to what is sent with the next [`Sender::flush`].
+    /// Buffers a message until the next [`Sender::flush`].
     ///
     /// # Errors
     /// If the connection is broken.
     pub async fn feed(&mut self, message: &T) -> std::io::Result<()> {
         let bytes = serde_json::to_vec(message)?;
-        self.to.feed(Bytes::from(bytes)).await
+        self.frames.feed(Bytes::from(bytes)).await
     }
 
-    /// Sends what was added.
+    /// Sends the buffered messages.
     ///
     /// # Errors
     /// If the connection is broken.
     pub async fn flush(&mut self) -> std::io::Result<()> {
-        SinkExt::<Bytes>::flush(&mut self.to).await
+        SinkExt::<Bytes>::flush(&mut self.frames).await
     }
 }
 
-/// Receives frames.
+/// Receives messages as frames.
 pub struct Receiver<T, R = OwnedReadHalf> {
-    from: FramedRead<TimedReader<R>, LengthDelimitedCodec>,
-    kind: std::marker::PhantomData<fn() -> T>,
+    frames: FramedRead<TimedReader<R>, LengthDelimitedCodec>,
+    message: std::marker::PhantomData<fn() -> T>,
 }
 
 impl<T: DeserializeOwned, R: AsyncRead + Unpin> Receiver<T, R> {
-    /// From this half of a connection.
+    /// Creates a receiver on the read half of a connection.
     #[must_use]
     pub fn new(half: R) -> Self {
         Self {
-            from: FramedRead::new(TimedReader::new(half), codec()),
-            kind: std::marker::PhantomData,
+            frames: FramedRead::new(TimedReader::new(half), codec()),
+            message: std::marker::PhantomData,
         }
     }
 
-    /// The next frame; `None` at the end.
+    /// The next message; `None` if the connection was closed.
     ///
     /// # Errors
-    /// If the connection is broken or the frame can't be read.
+    /// If the connection is broken or the frame can't be parsed.
     pub async fn next(&mut self) -> std::io::Result<Option<T>> {
-        match self.from.next().await {
+        match self.frames.next().await {
             None => Ok(None),
             Some(frame) => Ok(Some(serde_json::from_slice(&frame?)?)),
         }
     }
 
-    /// The next frame from a sender that is never silent for longer than `silence`; `None` at the end. Each byte that
-    /// arrives starts the time anew, so a frame may take longer. A call that is dropped loses nothing of a frame.
+    /// The next message from a sender that is never silent for longer than `silence`; `None` if the connection was closed. Each
+    /// byte that arrives restarts the time-out, so a large frame may take longer. Dropping the future loses no part of a frame.
     ///
     /// # Errors
-    /// Of the kind `TimedOut` if the sender is silent; otherwise as [`Receiver::next`].
+    /// Of the kind `TimedOut` if the sender was silent for too long; otherwise as [`Receiver::next`].
     pub async fn next_within(&mut self, silence: Duration) -> std::io::Result<Option<T>> {
         let mut since = Instant::now();
         loop {
             if let Ok(next) = timeout_at(since + silence, self.next()).await {
                 return next;
             }
-            let last_read = self.from.get_ref().last_read();
+            let last_read = self.frames.get_ref().last_read();
             if last_read <= since {
                 return Err(ErrorKind::TimedOut.into());
             }
@@ -283,6 +286,6 @@
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME_MOST)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
