--- a/crates/host/src/helpers.rs
+++ b/crates/host/src/advisor_proxies.rs
@@ -17,7 +17,7 @@
 
 /// State of one host that queries the advisor.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Helper {
+pub struct AdvisorProxy {
     /// Expected time at which the advisor has served all queries assigned to this host.
     pub busy: Ms,
     /// Mean delay of its answers beyond the expected duration of the queries; `None` before the first answer.
@@ -31,7 +31,7 @@
 
 /// Rank of a host in the choice; the smallest is chosen.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct Score {
     /// Time at which the answer of a short query would be back, or at which the host is free for a long one; without the duration
     /// of the query itself.
     ready_at: Ms,
@@ -41,35 +41,35 @@
 
 /// Expected time of the answer to an assigned query, without the network delay.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Due(pub Ms);
+pub struct ExpectedAt(pub Ms);
 
-impl Helper {
+impl AdvisorProxy {
     /// Rank of this host for a query of the duration `takes`. `away` is the round trip between the host and the platform, in
     /// milliseconds. Before the first answer, the delay between owner and host is assumed to be the same again.
     #[must_use]
-    pub fn place(&self, now: Ms, away: Ms, takes: Ms) -> Place {
+    pub fn score(&self, now: Ms, away: Ms, takes: Ms) -> Score {
         let delay = self.delay.unwrap_or(away.min(MAX_DELAY) * 2);
         let free_at = self.busy.max(now);
         if takes > delay * LONG_QUERY_DELAYS && takes > MAX_SHORT_QUERY {
-            return Place {
+            return Score {
                 ready_at: free_at,
                 delay: Reverse(delay),
             };
         }
-        Place {
+        Score {
             ready_at: free_at + delay,
             delay: Reverse(0),
         }
     }
 
     /// Assigns a query of the duration `takes` to this host.
-    pub fn ask(&mut self, now: Ms, takes: Ms) -> Due {
+    pub fn assign(&mut self, now: Ms, takes: Ms) -> ExpectedAt {
         self.busy = self.busy.max(now) + takes;
-        Due(self.busy)
+        ExpectedAt(self.busy)
     }
 
     /// Records that an assigned query was answered or failed.
-    pub fn answered(&mut self, now: Ms, due: Due) {
+    pub fn complete(&mut self, now: Ms, due: ExpectedAt) {
         let delay = now.saturating_sub(due.0).min(MAX_DELAY);
         self.delay = Some(match self.delay {
             None => delay,
--- a/crates/host/src/catalog.rs
+++ b/crates/host/src/catalog.rs
@@ -28,7 +28,8 @@
     /// The queues.
     pub queues: Vec<Queue>,
     /// Maximum size of the body of a request in bytes; 0 for no limit.
-    pub body_most: usize,
+    #[serde(rename = "body_most")]
+    pub max_body_bytes: usize,
 }
 
 impl Catalog {
--- a/crates/host/src/current.rs
+++ b/crates/host/src/catalog_sync.rs
@@ -15,19 +15,19 @@
 
 use crate::catalog::Catalog;
 use crate::clock;
-use crate::follow::{Change, Rhythm, follow};
+use crate::follow::{Change, PollTiming, follow};
 use crate::host::{Host, lock};
-use crate::outside::Page;
+use crate::interfaces::Page;
 use crate::packed::Packed;
-use crate::plan::Plan;
-use crate::rows::{COMMON, PLAN};
+use crate::pool_map::PoolMap;
+use crate::rows::{COMMON, POOL_MAP};
 use crate::wire::{Call, Reply};
 
 /// Interval at which a host checks whether owners keep it up to date.
 const SOURCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// A host stops following the store when owners have confirmed its configuration within this share of `catalog_within`.
+/// A host stops following the store when owners have confirmed its configuration within this share of `catalog_deadline`.
 const RELY_AGE_SHARE: f64 = 0.5;
-/// A host follows the store again when the last confirmation by an owner is older than this share of `catalog_within`.
+/// A host follows the store again when the last confirmation by an owner is older than this share of `catalog_deadline`.
 const FALL_BACK_AGE_SHARE: f64 = 0.7;
 /// A host that follows the store fetches from an owner as well after it has been behind for this long, and one that fetches from
 /// an owner follows the store as well after it has waited for this long.
@@ -42,7 +42,7 @@
 
 /// State of the synchronisation of a host's configuration.
 #[derive(Default)]
-pub(crate) struct Current {
+pub(crate) struct CatalogSync {
     /// Latest time at which the configuration in force is known to have been the newest.
     confirmed_at: AtomicU64,
     /// The transaction of the store up to which it is known to be the newest.
@@ -56,7 +56,7 @@
     /// Notified by each heartbeat of an owner with a newer configuration.
     pub(crate) newer: Notify,
     /// Notified by each heartbeat of an owner with a newer pool map.
-    pub(crate) newer_plan: Notify,
+    pub(crate) newer_pool_map: Notify,
     /// Notified when a newer configuration is in force.
     pub(crate) changed: Notify,
     /// The packed configuration, cached for other hosts.
@@ -66,18 +66,20 @@
 impl Host {
     /// Records that the configuration in force was the newest at this time and up to this transaction of the store.
     pub(crate) fn confirm(&self, at: Ms, as_of: u64) {
-        self.current.confirmed_at.fetch_max(at, Ordering::Relaxed);
-        self.current.as_of.fetch_max(as_of, Ordering::Relaxed);
+        self.catalog_sync
+            .confirmed_at
+            .fetch_max(at, Ordering::Relaxed);
+        self.catalog_sync.as_of.fetch_max(as_of, Ordering::Relaxed);
     }
 
     /// The transaction of the store up to which the configuration in force is known to be the newest; 0 if unknown.
     pub(crate) fn catalog_as_of(&self) -> u64 {
-        self.current.as_of.load(Ordering::Relaxed)
+        self.catalog_sync.as_of.load(Ordering::Relaxed)
     }
 
     /// Time since the configuration in force was last known to be the newest.
     pub(crate) fn catalog_age(&self) -> Ms {
-        clock::now().saturating_sub(self.current.confirmed_at.load(Ordering::Relaxed))
+        clock::now().saturating_sub(self.catalog_sync.confirmed_at.load(Ordering::Relaxed))
     }
 
     /// Keeps the configuration and the pool map up to date until the host stops.
@@ -98,13 +100,13 @@
                 () = self.until(|| self.owns() == 0 && self.is_confirmed_within(RELY_AGE_SHARE)) => {}
             }
             info!(from = "owner", as_of = self.catalog_as_of(); "source of the configuration");
-            self.current.relying.store(true, Ordering::Relaxed);
+            self.catalog_sync.relying.store(true, Ordering::Relaxed);
             tokio::select! {
                 // The table is small, and the answers show whether the store is available to this host.
-                () = self.follow_plan() => {}
+                () = self.follow_pool_map() => {}
                 () = self.until(|| self.owns() > 0 || !self.is_kept_current()) => {}
             }
-            self.current.relying.store(false, Ordering::Relaxed);
+            self.catalog_sync.relying.store(false, Ordering::Relaxed);
         }
     }
 
@@ -114,23 +116,26 @@
         }
     }
 
-    /// Whether an owner has confirmed the configuration within this share of `catalog_within`.
+    /// Whether an owner has confirmed the configuration within this share of `catalog_deadline`.
     fn is_confirmed_within(&self, share: f64) -> bool {
-        let at = self.current.confirmed_by_owner_at.load(Ordering::Relaxed);
-        let age = clock::now().saturating_sub(at);
-        Duration::from_millis(age) < self.settings.catalog_within.mul_f64(share)
+        let age = clock::now().saturating_sub(
+            self.catalog_sync
+                .confirmed_by_owner_at
+                .load(Ordering::Relaxed),
+        );
+        Duration::from_millis(age) < self.settings.catalog_deadline.mul_f64(share)
     }
 
     /// Whether owners keep this host up to date: they have confirmed its configuration, or it is being fetched from one.
     fn is_kept_current(&self) -> bool {
-        let since = self.current.fetching_since.load(Ordering::Relaxed);
+        let since = self.catalog_sync.fetching_since.load(Ordering::Relaxed);
         let waited = Duration::from_millis(clock::now().saturating_sub(since));
         since > 0 && waited < SECOND_SOURCE_DELAY || self.is_confirmed_within(FALL_BACK_AGE_SHARE)
     }
 
     /// Follows the configuration in the store from the last known version on.
     async fn read_catalog(&self) {
-        let (table, key) = &self.settings.places.catalog;
+        let (table, key) = &self.settings.store_tables.catalog;
         let from = Some(self.catalog_as_of()).filter(|version| *version > 0);
         let parts = [String::new()];
         let store = self.store.as_ref();
@@ -139,9 +144,11 @@
             table,
             &parts,
             from,
-            Rhythm::default(),
+            PollTiming::default(),
             |change| match change {
-                Change::All(page) | Change::Some(page) => self.apply_catalog_rows(&page, key),
+                Change::Snapshot(page) | Change::Update(page) => {
+                    self.apply_catalog_rows(&page, key)
+                }
                 Change::Failed(error) => {
                     warn!(error:% = error; "poll for changes of the configuration failed");
                 }
@@ -161,23 +168,23 @@
         self.confirm(page.at, page.version);
     }
 
-    async fn follow_plan(&self) {
+    async fn follow_pool_map(&self) {
         let parts = [COMMON.to_owned()];
         let store = self.store.as_ref();
-        let rhythm = Rhythm::default()
+        let rhythm = PollTiming::default()
             .wait(POOL_MAP_POLL)
             .retry(POOL_MAP_RETRY_DELAY);
-        follow(store, PLAN, &parts, None, rhythm, |change| {
+        follow(store, POOL_MAP, &parts, None, rhythm, |change| {
             let rows = match change {
-                Change::All(page) | Change::Some(page) => page.rows,
+                Change::Snapshot(page) | Change::Update(page) => page.rows,
                 Change::Failed(error) => {
                     warn!(error:% = error; "poll for changes of the pool map failed");
                     return;
                 }
             };
             for value in rows.iter().filter_map(|row| row.value.as_deref()) {
-                match serde_json::from_slice::<Plan>(value) {
-                    Ok(plan) => self.put_plan(plan),
+                match serde_json::from_slice::<PoolMap>(value) {
+                    Ok(plan) => self.update_pool_map(plan),
                     Err(error) => warn!(error:% = error; "pool map can't be parsed"),
                 }
             }
@@ -187,29 +194,30 @@
 
     /// Fetches newer versions from owners. A reply may take as long as its connection lasts, so the two run concurrently.
     async fn fetch_from_owners(&self) {
-        tokio::join!(self.fetch_catalog(), self.fetch_plan());
+        tokio::join!(self.fetch_catalog(), self.fetch_pool_map());
     }
 
     async fn fetch_catalog(&self) {
         let mut behind_since: Option<Instant> = None;
         loop {
-            self.current.newer.notified().await;
+            self.catalog_sync.newer.notified().await;
             let mine = self.catalog_version();
             let Some(link) = self.ahead(|beat| beat.catalog > mine) else {
                 behind_since = None;
                 continue;
             };
             let since = *behind_since.get_or_insert_with(Instant::now);
-            let reads_store =
-                !self.current.relying.load(Ordering::Relaxed) && mine > 0 && self.served();
+            let reads_store = !self.catalog_sync.relying.load(Ordering::Relaxed)
+                && mine > 0
+                && self.store_available();
             if reads_store && since.elapsed() <= SECOND_SOURCE_DELAY {
                 continue;
             }
-            self.current
+            self.catalog_sync
                 .fetching_since
                 .store(clock::now(), Ordering::Relaxed);
             let reply = link.fetch(Call::Catalog).await;
-            self.current.fetching_since.store(0, Ordering::Relaxed);
+            self.catalog_sync.fetching_since.store(0, Ordering::Relaxed);
             if let Some(Reply::Catalog(packed)) = reply
                 && !self.apply_packed_catalog(&packed)
             {
@@ -218,14 +226,14 @@
         }
     }
 
-    async fn fetch_plan(&self) {
+    async fn fetch_pool_map(&self) {
         loop {
-            self.current.newer_plan.notified().await;
-            let mine = self.plan.load().version;
-            if let Some(link) = self.ahead(|beat| beat.plan > mine)
-                && let Some(Reply::Plan(plan)) = link.fetch(Call::Plan).await
+            self.catalog_sync.newer_pool_map.notified().await;
+            let mine = self.pool_map.load().version;
+            if let Some(link) = self.ahead(|beat| beat.pool_map > mine)
+                && let Some(Reply::PoolMap(plan)) = link.fetch(Call::PoolMap).await
             {
-                self.put_plan(*plan);
+                self.update_pool_map(*plan);
             }
         }
     }
@@ -247,7 +255,7 @@
     /// The packed configuration in force. Each version is packed once, for all hosts.
     pub(crate) fn packed_catalog(&self) -> Option<Packed> {
         let catalog = self.catalog()?;
-        let mut packed = lock(&self.current.packed);
+        let mut packed = lock(&self.catalog_sync.packed);
         if packed.version != catalog.version {
             match Packed::try_from(catalog.as_ref()) {
                 Ok(newer) => *packed = newer,
--- a/crates/host/src/claim.rs
+++ b/crates/host/src/claim.rs
@@ -5,7 +5,7 @@
 
 use serde::de::DeserializeOwned;
 
-use crate::outside::Row;
+use crate::interfaces::Row;
 use crate::rows::{OWNER, OwnerRow, ROSTER, RosterRow};
 
 /// An owner's row with its roster.
--- a/crates/host/src/election.rs
+++ b/crates/host/src/election.rs
@@ -23,13 +23,13 @@
 use crate::claim::{Claim, Version};
 use crate::clock;
 use crate::host::Host;
-use crate::outside::{StoreError, Transaction};
+use crate::interfaces::{StoreError, Transaction};
 use crate::owner::Owner;
 use crate::owners::{self, Known};
 use crate::peers::LinkEnd;
-use crate::plan::Plan;
+use crate::pool_map::PoolMap;
 use crate::post::Post;
-use crate::rows::{COMMON, OWNER, OwnerRow, PLAN, ROSTER, RosterRow, pool_part};
+use crate::rows::{COMMON, OWNER, OwnerRow, POOL_MAP, ROSTER, RosterRow, pool_part};
 use crate::turn::Turn;
 
 /// A store that answers within this is in the same region.
@@ -50,14 +50,14 @@
         read_plan(host).await;
         let mut begun = 0;
         loop {
-            let replanned = host.replanned.notified();
-            let pools = host.plan().pools();
+            let pool_map_changed = host.pool_map_changed.notified();
+            let pools = host.pool_map().pool_count();
             for pool in begun..pools {
                 let host = Arc::clone(host);
                 tasks.spawn(async move { take_part(&host, pool).await });
             }
             begun = pools;
-            replanned.await;
+            pool_map_changed.await;
         }
     };
     tokio::select! {
@@ -71,12 +71,12 @@
 /// Reads which pools there are. Later changes come with the owners' beats.
 async fn read_plan(host: &Host) {
     loop {
-        match host.store.get(PLAN, COMMON, PLAN).await {
+        match host.store.get(POOL_MAP, COMMON, POOL_MAP).await {
             Ok(row) => {
-                let plan =
-                    row.and_then(|row| serde_json::from_slice::<Plan>(row.value.as_deref()?).ok());
+                let plan = row
+                    .and_then(|row| serde_json::from_slice::<PoolMap>(row.value.as_deref()?).ok());
                 if let Some(plan) = plan {
-                    host.put_plan(plan);
+                    host.update_pool_map(plan);
                 }
                 return;
             }
@@ -130,23 +130,23 @@
     row: Option<&OwnerRow>,
     rows: &mut watch::Receiver<Known>,
 ) -> bool {
-    let heirs = row.map_or(&[][..], |row| &row.heirs);
+    let heirs = row.map_or(&[][..], |row| &row.successors);
     let id = &host.settings.id;
     let hash = xxh3_64_with_seed(id.as_bytes(), pool.into());
     let post = Post {
-        near: host.away() <= NEAR_MS,
+        near: host.store_rtt() <= NEAR_MS,
         processors: host.settings.processors,
-        line: host.settings.line,
+        line: host.settings.link_mbps,
         pools: host.owns() + 1,
     };
     let turn = Turn {
         own: host.has(Mechanism::Restart) && row.is_some_and(|row| row.host == *id),
         place: heirs.iter().position(|heir| heir.host == *id),
         heirs: heirs.len(),
-        far: host.away() > NEAR_MS,
+        far: host.store_rtt() > NEAR_MS,
         processors: host.settings.processors,
         owns: host.owns(),
-        weak: post.wait(host.plan().size(pool)),
+        weak: post.wait(host.pool_map().size(pool)),
         spread: Duration::from_millis(hash % SPREAD_MS),
     };
     timeout(turn.wait(), rows.changed()).await.is_err()
@@ -197,7 +197,7 @@
 /// The claim by which this host takes a pool: what the former owner has stored of workers goes on. Workers that it did not
 /// know are added by the first write.
 fn new_claim(host: &Host, former: Option<&Claim>) -> Claim {
-    let heirs = former.map_or_else(Vec::new, |claim| claim.owner.heirs.clone());
+    let heirs = former.map_or_else(Vec::new, |claim| claim.owner.successors.clone());
     let others = heirs
         .into_iter()
         .filter(|heir| heir.host != host.settings.id);
@@ -206,8 +206,8 @@
             host: host.settings.id.clone(),
             address: host.settings.address,
             epoch: former.map_or(0, |claim| claim.owner.epoch) + 1,
-            life: host.life,
-            heirs: others.collect(),
+            incarnation: host.incarnation,
+            successors: others.collect(),
         },
         roster: former.map_or_else(RosterRow::default, |claim| claim.roster.clone()),
     }
--- a/crates/host/src/election/member.rs
+++ b/crates/host/src/election/member.rs
@@ -69,15 +69,15 @@
             // An owner that was replaced and doesn't know it may urge too: its epoch tells.
             LinkEnd::Take => self.urged = Some(row.epoch),
             LinkEnd::NotOwner { life }
-                if (life == row.life || !host.has(Mechanism::Restart))
+                if (life == row.incarnation || !host.has(Mechanism::Restart))
                     && self.may_begin(row.epoch) =>
             {
                 tokio::time::sleep(JOIN_RETRY_DELAY).await;
             }
             LinkEnd::NotOwner { life } => {
                 self.lost = Some(row.epoch);
-                self.over = (life != row.life).then_some(row.epoch);
-                info!(pool = pool, owner = row.host.as_str(), epoch = row.epoch, why = "not the owner", same_life = life == row.life; "lost the owner");
+                self.over = (life != row.incarnation).then_some(row.epoch);
+                info!(pool = pool, owner = row.host.as_str(), epoch = row.epoch, why = "not the owner", same_life = life == row.incarnation; "lost the owner");
             }
             LinkEnd::Lost(loss) => {
                 self.lost = Some(row.epoch);
@@ -216,7 +216,7 @@
 /// Asks the owner and its heirs whether it is alive. If one says so, this host is cut off, and the owner is not lost.
 async fn ask_others(host: &Host, pool: u32, owner: &OwnerRow, time: Duration) -> Evidence {
     let others = owner
-        .heirs
+        .successors
         .iter()
         .filter(|heir| heir.host != host.settings.id);
     let heirs = others.map(|heir| peers::hears(heir.address, pool, time));
--- a/crates/host/src/follow.rs
+++ b/crates/host/src/follow.rs
@@ -9,7 +9,7 @@
 use pool::Ms;
 
 use crate::clock;
-use crate::outside::{Feed, Page, Store, StoreError};
+use crate::interfaces::{Feed, Page, Store, StoreError};
 
 /// A page of changes with at least this many rows is taken as full; the store returns up to 500 rows at a time. The next poll
 /// follows a full page at once, or a table that changes fast would outpace a follower that pauses after each page.
@@ -29,7 +29,7 @@
 
 /// Timing of the polls of a follower. Each poll counts as a call to the store.
 #[derive(Clone, Copy, Debug)]
-pub struct Rhythm {
+pub struct PollTiming {
     /// How long a poll waits for changes. If a connection is dead, this is noticed only when no answer arrives soon after, so
     /// this bounds how long a change may go unseen.
     pub wait: Duration,
@@ -39,7 +39,7 @@
     pub retry: Duration,
 }
 
-impl Default for Rhythm {
+impl Default for PollTiming {
     fn default() -> Self {
         Self {
             wait: Duration::from_millis(900),
@@ -49,7 +49,7 @@
     }
 }
 
-impl Rhythm {
+impl PollTiming {
     /// Sets how long a poll waits for changes.
     #[must_use]
     pub fn wait(self, wait: Duration) -> Self {
@@ -73,9 +73,9 @@
 #[derive(Debug)]
 pub enum Change {
     /// All rows of the followed parts; rows that are not listed don't exist.
-    All(Page),
+    Snapshot(Page),
     /// Rows that changed, the newest last.
-    Some(Feed),
+    Update(Feed),
     /// The store did not answer or refused.
     Failed(StoreError),
 }
@@ -93,7 +93,7 @@
     table: &str,
     parts: &[String],
     from: Option<u64>,
-    rhythm: Rhythm,
+    rhythm: PollTiming,
     mut apply: impl FnMut(Change),
 ) {
     let mut newest = from.unwrap_or(0);
@@ -104,7 +104,7 @@
         if !listed {
             let page = read(store, table, parts, newest).await;
             newest = page.version;
-            apply(Change::All(page));
+            apply(Change::Snapshot(page));
             listed = true;
         }
         let asked = clock::now();
@@ -118,12 +118,12 @@
                 wait = if late { Duration::ZERO } else { rhythm.wait };
                 feed.rows.retain(|row| parts.contains(&row.part));
                 let any = !feed.rows.is_empty();
-                apply(Change::Some(feed));
+                apply(Change::Update(feed));
                 if any && !full && !rhythm.pause.is_zero() {
                     tokio::time::sleep(rhythm.pause).await;
                 }
             }
-            Err(StoreError::Gone) => listed = false,
+            Err(StoreError::HistoryCompacted) => listed = false,
             Err(error) => {
                 wait = Duration::ZERO;
                 apply(Change::Failed(error));
--- a/crates/host/src/front.rs
+++ b/crates/host/src/front.rs
@@ -11,10 +11,12 @@
 
 use crate::clock;
 use crate::host::Host;
-use crate::insert::{Inserted, Place, insert};
-use crate::outside::{Row, StoreError, Transaction};
+use crate::insert::{Inserted, JobLocation, insert};
+use crate::interfaces::{Row, StoreError, Transaction};
 use crate::route;
-use crate::rows::{CANCEL, JOBS, JobPlace, PROGRESS, job_part, place_of, pool_part};
+use crate::rows::{
+    CANCEL_PREFIX, JOBS, JobRowHeader, PROGRESS, job_part, job_row_header, pool_part,
+};
 use crate::wire::{Call, Reply, ToOwner};
 
 /// Time-out of a query for a job's state to the owner of its pool; after that the store is read.
@@ -39,11 +41,11 @@
 
 /// Outcome of a query or a cancellation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum JobStatus {
     /// The job's state.
-    State(State),
+    Known(State),
     /// There is no such job.
-    Unknown,
+    NotFound,
     /// Neither the owner nor the store could give the state.
     Unsure,
 }
@@ -53,7 +55,7 @@
     pub async fn submit(self: &Arc<Self>, job: Job, until: Instant) -> Submitted {
         let began = clock::now();
         let (id, queue) = (Arc::clone(&job.id), job.queue.clone());
-        let pool = route::choose(&self.plan(), &job, &self.loads());
+        let pool = route::choose_pool(&self.pool_map(), &job, &self.loads());
         let heard = self.heard(pool);
         let job = Job {
             epoch: if self.has(Mechanism::JobEpochs) {
@@ -75,7 +77,7 @@
         info!(
             job = &*id, queue = queue, outcome:? = submitted, ms = clock::now().saturating_sub(began),
             pool = pool, epoch = heard.beat.epoch, beat_age = began.saturating_sub(heard.at),
-            plan = self.plan().version, store_served = self.served();
+            plan = self.pool_map().version, store_served = self.store_available();
             "submit"
         );
         submitted
@@ -86,9 +88,9 @@
             return Submitted::Refused(RETRY_AFTER);
         }
         match self.insert_both_ways(pool, &job, until).await {
-            (Inserted::There(place), by_owner) => {
+            (Inserted::Present(place), by_owner) => {
                 if !by_owner {
-                    self.tell_accepted(place, job);
+                    self.notify_accepted(place, job);
                 }
                 Submitted::Accepted
             }
@@ -103,8 +105,8 @@
     /// The store may be available to the owner although it is not to this host. Both write the same row, so the first that finds
     /// it there decides; the job is refused only if both are.
     async fn insert_both_ways(&self, pool: u32, job: &Job, until: Instant) -> (Inserted, bool) {
-        let patience = self.patience();
-        if !self.has(Mechanism::JointInserts) && self.served() {
+        let patience = self.store_retry_delay();
+        if !self.has(Mechanism::JointInserts) && self.store_available() {
             let inserted = insert(self.store.as_ref(), pool, job, until, patience, false).await;
             return (inserted, false);
         }
@@ -115,7 +117,7 @@
             inserted
         };
         let by_owner = async {
-            if self.served() {
+            if self.store_available() {
                 drop(timeout(patience, refused.notified()).await);
             }
             self.insert_by_owner(pool, job, until).await
@@ -125,7 +127,7 @@
             inserted = own.as_mut() => (inserted, false),
             inserted = by_owner.as_mut() => (inserted, true),
         };
-        if matches!(first, Inserted::There(_)) {
+        if matches!(first, Inserted::Present(_)) {
             return (first, owner_first);
         }
         let second = if owner_first {
@@ -134,7 +136,7 @@
             by_owner.await
         };
         match (first, second) {
-            (_, Inserted::There(_)) => (second, !owner_first),
+            (_, Inserted::Present(_)) => (second, !owner_first),
             (Inserted::Refused, Inserted::Refused) => (second, false),
             _ => (Inserted::Unsure, false),
         }
@@ -147,14 +149,14 @@
         let left = until.saturating_duration_since(Instant::now());
         let call = Call::Insert(pool, Box::new(job.clone()));
         match link.call(call, left).await {
-            Some(Reply::Inserted(place)) => Inserted::There(place),
+            Some(Reply::Inserted(place)) => Inserted::Present(place),
             Some(Reply::Refused) => Inserted::Refused,
             _ => Inserted::Unsure,
         }
     }
 
     /// Notifies the owner of the pool that a job's row has been written.
-    pub(crate) fn tell_accepted(&self, place: Place, job: Job) {
+    pub(crate) fn notify_accepted(&self, place: JobLocation, job: Job) {
         let state = self.pool_state(place.pool);
         if let Some(owner) = state.owner {
             owner.accepted(job, place);
@@ -172,12 +174,12 @@
     }
 
     /// The state of a job: asks the owners of its candidate pools first, then reads the store.
-    pub async fn state(&self, id: &str) -> Taken {
-        let candidates = route::candidates(&self.plan(), id);
+    pub async fn state(&self, id: &str) -> JobStatus {
+        let candidates = route::candidates(&self.pool_map(), id);
         for &pool in &candidates {
             let call = Call::State(id.to_owned());
             if let Some(Reply::State(state)) = self.call_owner(pool, call, OWNER_TIMEOUT).await {
-                return Taken::State(state);
+                return JobStatus::Known(state);
             }
         }
         match self.read_header(id).await {
@@ -187,21 +189,21 @@
             Ok(Some(header)) => {
                 let call = Call::State(id.to_owned());
                 match self.call_owner(header.pool, call, OWNER_TIMEOUT).await {
-                    Some(Reply::State(state)) => Taken::State(state),
+                    Some(Reply::State(state)) => JobStatus::Known(state),
                     _ => self.stored_state(&header, id).await,
                 }
             }
-            Ok(None) => Taken::Unknown,
-            Err(()) => Taken::Unsure,
+            Ok(None) => JobStatus::NotFound,
+            Err(()) => JobStatus::Unsure,
         }
     }
 
     /// Reads the pool of a job from its row; `None` if there is no row.
-    async fn read_header(&self, id: &str) -> Result<Option<JobPlace>, ()> {
-        match self.present(JOBS, &job_part(id), id).await? {
+    async fn read_header(&self, id: &str) -> Result<Option<JobRowHeader>, ()> {
+        match self.read_current(JOBS, &job_part(id), id).await? {
             None => Ok(None),
             Some(row) => {
-                let place = row.value.as_deref().and_then(place_of);
+                let place = row.value.as_deref().and_then(job_row_header);
                 place.map(Some).ok_or(())
             }
         }
@@ -209,15 +211,20 @@
 
     /// Reads a job's state from the store. A job without progress in its present pool has the state with which it was
     /// transferred there, if it was.
-    async fn stored_state(&self, header: &JobPlace, id: &str) -> Taken {
+    async fn stored_state(&self, header: &JobRowHeader, id: &str) -> JobStatus {
         let transferred = header.moved.as_ref().map(|moved| moved.progress.state);
-        match self.present(PROGRESS, &pool_part(header.pool), id).await {
-            Err(()) => Taken::Unsure,
-            Ok(None) => Taken::State(transferred.unwrap_or_default()),
+        match self
+            .read_current(PROGRESS, &pool_part(header.pool), id)
+            .await
+        {
+            Err(()) => JobStatus::Unsure,
+            Ok(None) => JobStatus::Known(transferred.unwrap_or_default()),
             Ok(Some(row)) => row
                 .value
                 .and_then(|value| serde_json::from_slice::<pool::Progress>(&value).ok())
-                .map_or(Taken::Unsure, |progress| Taken::State(progress.state)),
+                .map_or(JobStatus::Unsure, |progress| {
+                    JobStatus::Known(progress.state)
+                }),
         }
     }
 
@@ -226,7 +233,7 @@
     /// Plain reads may be stale: a job that was just accepted would look unknown, and a completed one still running.
     /// Transactions are not, so this commits one that writes nothing and requires the row to be absent; a conflict returns the
     /// row.
-    pub(crate) async fn present(
+    pub(crate) async fn read_current(
         &self,
         table: &str,
         part: &str,
@@ -248,39 +255,43 @@
     }
 
     /// Cancels a job. When this returns [`State::Cancelled`], the cancellation is stored.
-    pub async fn cancel(&self, id: &str, until: Instant) -> Taken {
-        let candidates = route::candidates(&self.plan(), id);
+    pub async fn cancel(&self, id: &str, until: Instant) -> JobStatus {
+        let candidates = route::candidates(&self.pool_map(), id);
         for &pool in &candidates {
             if self.cancel_by_owner(pool, id, until).await {
-                return Taken::State(State::Cancelled);
+                return JobStatus::Known(State::Cancelled);
             }
         }
         let header = match self.read_header(id).await {
             Ok(Some(header)) => header,
-            Ok(None) => return Taken::Unknown,
-            Err(()) => return Taken::Unsure,
+            Ok(None) => return JobStatus::NotFound,
+            Err(()) => return JobStatus::Unsure,
         };
         if !candidates.contains(&header.pool) && self.cancel_by_owner(header.pool, id, until).await
         {
-            return Taken::State(State::Cancelled);
+            return JobStatus::Known(State::Cancelled);
         }
         match self.stored_state(&header, id).await {
-            Taken::State(state) if state.is_final() => return Taken::State(state),
-            Taken::State(_) => {}
+            JobStatus::Known(state) if state.is_final() => return JobStatus::Known(state),
+            JobStatus::Known(_) => {}
             other => return other,
         }
         let transaction = Transaction {
             part: job_part(id),
-            puts: vec![(JOBS.to_owned(), format!("{CANCEL}{id}"), b"{}".to_vec())],
+            puts: vec![(
+                JOBS.to_owned(),
+                format!("{CANCEL_PREFIX}{id}"),
+                b"{}".to_vec(),
+            )],
             ..Transaction::default()
         };
         loop {
             match self.store.commit(&transaction).await {
-                Ok(_) => return Taken::State(State::Cancelled),
+                Ok(_) => return JobStatus::Known(State::Cancelled),
                 Err(StoreError::Conflict { .. } | StoreError::Rejected { .. }) => {
-                    return Taken::Unsure;
+                    return JobStatus::Unsure;
                 }
-                Err(_) if Instant::now() >= until => return Taken::Unsure,
+                Err(_) if Instant::now() >= until => return JobStatus::Unsure,
                 Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
             }
         }
--- a/crates/host/src/hedge.rs
+++ b/crates/host/src/hedge.rs
@@ -22,20 +22,20 @@
 /// would delay them further.
 ///
 /// ```
-/// use host::hedge::Lost;
+/// use host::hedge::LossRate;
 ///
-/// let mut lost = Lost::default();
+/// let mut lost = LossRate::default();
 /// (0..400).for_each(|call| lost.note(call % 100 == 0));
-/// assert!(!lost.is_common());
+/// assert!(!lost.is_high());
 /// (0..400).for_each(|call| lost.note(call % 15 == 0));
-/// assert!(lost.is_common());
+/// assert!(lost.is_high());
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lost {
+pub struct LossRate {
     share: f64,
 }
 
-impl Lost {
+impl LossRate {
     /// Records whether the answer to a call was lost.
     pub fn note(&mut self, lost: bool) {
         let call = if lost { 1.0 } else { 0.0 };
@@ -45,16 +45,16 @@
     /// Whether so many answers are lost that a poll should not wait long: what it would report is delayed for as long as a lost
     /// poll waits.
     #[must_use]
-    pub fn is_common(&self) -> bool {
+    pub fn is_high(&self) -> bool {
         self.share > HIGH_LOSS_SHARE
     }
 }
 
 /// The call that an answer belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Call {
+pub enum Attempt {
     /// The one that was sent last.
-    Present,
+    Current,
     /// An earlier one.
     Earlier,
 }
@@ -95,15 +95,15 @@
     ///
     /// # Errors
     /// The first error that `handle` returns.
-    pub async fn ask<E>(
+    pub async fn call<E>(
         &mut self,
         first: BoxFuture<'static, T>,
         repeat: impl FnOnce() -> Option<BoxFuture<'static, T>>,
         overdue: Duration,
         timeout: Duration,
-        mut handle: impl FnMut(T, Call) -> Result<(), E>,
+        mut handle: impl FnMut(T, Attempt) -> Result<(), E>,
     ) -> Result<Outcome, E> {
-        if self.answer(first, overdue, None, &mut handle).await? == Some(Call::Present) {
+        if self.answer(first, overdue, None, &mut handle).await? == Some(Attempt::Current) {
             return Ok(Outcome::InTime);
         }
         let first = Some(self.calls);
@@ -113,8 +113,8 @@
             None => self.late_answer(left, first, &mut handle).await?,
         };
         Ok(match answered {
-            Some(Call::Earlier) => Outcome::Late,
-            Some(Call::Present) => Outcome::Lost,
+            Some(Attempt::Earlier) => Outcome::Late,
+            Some(Attempt::Current) => Outcome::Lost,
             None => Outcome::Unanswered,
         })
     }
@@ -126,8 +126,8 @@
         call: BoxFuture<'static, T>,
         timeout: Duration,
         first: Option<u64>,
-        handle: &mut impl FnMut(T, Call) -> Result<(), E>,
-    ) -> Result<Option<Call>, E> {
+        handle: &mut impl FnMut(T, Attempt) -> Result<(), E>,
+    ) -> Result<Option<Attempt>, E> {
         self.calls += 1;
         let number = self.calls;
         let mut call = call.map(move |answer| (number, answer)).boxed();
@@ -138,14 +138,14 @@
                 // An answer that has arrived takes precedence over the time-out, however late this task is scheduled.
                 biased;
                 (_, answer) = &mut call => {
-                    handle(answer, Call::Present)?;
-                    return Ok(Some(Call::Present));
+                    handle(answer, Attempt::Current)?;
+                    return Ok(Some(Attempt::Current));
                 }
                 Some((number, answer)) = self.late.next(), if !self.late.is_empty() => {
-                    handle(answer, Call::Earlier)?;
+                    handle(answer, Attempt::Earlier)?;
                     if first == Some(number) {
                         self.keep_late(call);
-                        return Ok(Some(Call::Earlier));
+                        return Ok(Some(Attempt::Earlier));
                     }
                 }
                 () = &mut timeout => {
@@ -161,17 +161,17 @@
         &mut self,
         timeout: Duration,
         first: Option<u64>,
-        handle: &mut impl FnMut(T, Call) -> Result<(), E>,
-    ) -> Result<Option<Call>, E> {
+        handle: &mut impl FnMut(T, Attempt) -> Result<(), E>,
+    ) -> Result<Option<Attempt>, E> {
         let timeout = tokio::time::sleep(timeout);
         tokio::pin!(timeout);
         loop {
             tokio::select! {
                 biased;
                 Some((number, answer)) = self.late.next(), if !self.late.is_empty() => {
-                    handle(answer, Call::Earlier)?;
+                    handle(answer, Attempt::Earlier)?;
                     if first == Some(number) {
-                        return Ok(Some(Call::Earlier));
+                        return Ok(Some(Attempt::Earlier));
                     }
                 }
                 () = &mut timeout => return Ok(None),
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -11,17 +11,17 @@
 use tokio::sync::Notify;
 
 use crate::catalog::Catalog;
+use crate::catalog_sync::CatalogSync;
 use crate::clock;
-use crate::current::Current;
-use crate::outside::{Advisor, Decode, Store, Workers};
+use crate::interfaces::{Advisor, Decode, Store, Workers};
 use crate::owners::Owners;
-use crate::plan::Plan;
+use crate::pool_map::PoolMap;
 use crate::pool_state::{Heard, PoolState};
-use crate::rows::{COMMON, PLAN};
+use crate::rows::{COMMON, POOL_MAP};
 use crate::settings::Settings;
-use crate::wire::Beat;
+use crate::wire::Heartbeat;
 
-/// Share of `catalog_within` after which an unconfirmed configuration counts as outdated and no more requests are accepted
+/// Share of `catalog_deadline` after which an unconfirmed configuration counts as outdated and no more requests are accepted
 /// under it. The remainder is left for requests that are already being processed.
 const MAX_CATALOG_AGE_SHARE: f64 = 0.88;
 /// The store counts as available if it has answered within this time. Every host polls it for changes more often than that.
@@ -34,7 +34,7 @@
 const MIN_STORE_RETRY_DELAY: Duration = Duration::from_millis(160);
 /// Upper bound of the same delay. Callers wait three seconds, so a third call would come too late.
 const MAX_STORE_RETRY_DELAY: Duration = Duration::from_millis(900);
-/// Delay before the store is probed. An answer given before the store began to refuse proves nothing, and a store that has just
+/// Delay before the store is probe_finished. An answer given before the store began to refuse proves nothing, and a store that has just
 /// begun to refuse all hosts may have answered this one a moment ago.
 const PROBE_DELAY: Duration = Duration::from_millis(100);
 /// Minimum time between two probes of the store while an owner has lost it.
@@ -51,10 +51,10 @@
     pub(crate) decode: Arc<dyn Decode>,
     pub(crate) stop: Stop,
     /// Start time of this process in Unix milliseconds.
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     catalog: ArcSwapOption<Catalog>,
     /// How recent the configuration in force is known to be.
-    pub(crate) current: Current,
+    pub(crate) catalog_sync: CatalogSync,
     /// Time of the last answer from the store; 0 if there was none.
     last_store_answer: AtomicU64,
     /// Time since which every call to the store has failed; 0 if the last one was answered.
@@ -65,19 +65,19 @@
     typical_store_latency: AtomicU64,
     /// State of each pool's owner, indexed by pool number.
     pub(crate) pool_states: Mutex<Vec<PoolState>>,
-    pub(crate) plan: ArcSwap<Plan>,
+    pub(crate) pool_map: ArcSwap<PoolMap>,
     /// Notified when the owner of a pool may have become unknown.
-    pub(crate) unowned: Notify,
+    pub(crate) owner_missing: Notify,
     /// Rows of the pools' owners.
     pub(crate) owners: Owners,
     /// Notified when the store becomes available or unavailable.
     pub(crate) store_changed: Notify,
     /// Notified when an owner has lost the store, so that this host checks its own access.
-    pub(crate) doubted: Notify,
+    pub(crate) probe_requested: Notify,
     /// Notified when that check is done.
-    pub(crate) probed: Notify,
+    pub(crate) probe_finished: Notify,
     /// Notified when a newer pool map is in force.
-    pub(crate) replanned: Notify,
+    pub(crate) pool_map_changed: Notify,
     /// Whether this host has known the owner of any pool since it started.
     pub(crate) knows_owner: AtomicBool,
 }
@@ -99,21 +99,21 @@
             advisor,
             decode,
             stop,
-            life: clock::unix(),
+            incarnation: clock::unix(),
             catalog: ArcSwapOption::empty(),
-            current: Current::default(),
+            catalog_sync: CatalogSync::default(),
             last_store_answer: AtomicU64::new(0),
             store_failing_since: AtomicU64::new(0),
             min_store_rtt: AtomicU64::new(u64::MAX),
             typical_store_latency: AtomicU64::new(0),
             pool_states: Mutex::default(),
-            plan: ArcSwap::default(),
-            unowned: Notify::new(),
+            pool_map: ArcSwap::default(),
+            owner_missing: Notify::new(),
             owners: Owners::default(),
             store_changed: Notify::new(),
-            doubted: Notify::new(),
-            probed: Notify::new(),
-            replanned: Notify::new(),
+            probe_requested: Notify::new(),
+            probe_finished: Notify::new(),
+            pool_map_changed: Notify::new(),
             knows_owner: AtomicBool::new(false),
         })
     }
@@ -133,25 +133,25 @@
     async fn probe(&self) {
         loop {
             tokio::select! {
-                () = self.doubted.notified() => {}
+                () = self.probe_requested.notified() => {}
                 () = self.stop.ended() => return,
             }
             tokio::time::sleep(PROBE_DELAY).await;
-            // Whether the call was answered is recorded for every call in `note_store`.
-            drop(self.store.get(PLAN, COMMON, PLAN).await);
-            self.probed.notify_waiters();
+            // Whether the call was answered is recorded for every call in `record_store_call`.
+            drop(self.store.get(POOL_MAP, COMMON, POOL_MAP).await);
+            self.probe_finished.notify_waiters();
             tokio::time::sleep(PROBE_INTERVAL).await;
         }
     }
 
     /// Time since the last answer from the store; `None` if there was none.
-    pub(crate) fn answered(&self) -> Option<Ms> {
+    pub(crate) fn store_answer_age(&self) -> Option<Ms> {
         let at = self.last_store_answer.load(Ordering::Relaxed);
         (at > 0).then(|| clock::now().saturating_sub(at))
     }
 
     /// Time since which every call to the store has failed; `None` if the last one was answered.
-    pub(crate) fn failing_since(&self) -> Option<Ms> {
+    pub(crate) fn store_failing_since(&self) -> Option<Ms> {
         let since = self.store_failing_since.load(Ordering::Relaxed);
         (since > 0).then_some(since)
     }
@@ -166,7 +166,10 @@
     #[must_use]
     pub fn is_current(&self) -> bool {
         Duration::from_millis(self.catalog_age())
-            < self.settings.catalog_within.mul_f64(MAX_CATALOG_AGE_SHARE)
+            < self
+                .settings
+                .catalog_deadline
+                .mul_f64(MAX_CATALOG_AGE_SHARE)
     }
 
     /// Whether a mechanism is enabled.
@@ -176,7 +179,7 @@
 
     /// Whether jobs can be accepted now: the store is available to this host, or to an owner that inserts jobs for it.
     pub(crate) fn can_accept(&self) -> bool {
-        self.served() || self.served_link().is_some()
+        self.store_available() || self.served_link().is_some()
     }
 
     /// Whether this host should receive new connections. A host that can't accept jobs has to refuse its callers, so it reports
@@ -192,42 +195,42 @@
 
     /// The newest pool map that this host knows.
     #[must_use]
-    pub fn plan(&self) -> Arc<Plan> {
-        self.plan.load_full()
+    pub fn pool_map(&self) -> Arc<PoolMap> {
+        self.pool_map.load_full()
     }
 
     /// Puts a pool map into force unless this host knows one at least as new.
-    pub(crate) fn put_plan(&self, plan: Plan) {
-        let before = self.plan.load();
+    pub(crate) fn update_pool_map(&self, plan: PoolMap) {
+        let before = self.pool_map.load();
         if plan.version > before.version {
-            info!(version = plan.version, pools = plan.pools(), racks = plan.racks.len(); "pool map in force");
-            self.plan.store(Arc::new(plan));
-            self.replanned.notify_waiters();
-            self.unowned.notify_one();
+            info!(version = plan.version, pools = plan.pool_count(), racks = plan.racks.len(); "pool map in force");
+            self.pool_map.store(Arc::new(plan));
+            self.pool_map_changed.notify_waiters();
+            self.owner_missing.notify_one();
         }
     }
 
     /// Processes an owner's heartbeat. If both have the same version of the configuration, this host's is as current as the
     /// owner's.
-    pub(crate) fn hear(&self, beat: Beat) {
+    pub(crate) fn receive_heartbeat(&self, beat: Heartbeat) {
         let now = clock::now();
         let mine = self.catalog_version();
-        if let Some(at) = beat.confirms(mine) {
+        if let Some(at) = beat.confirmed_at(mine) {
             self.confirm(at, beat.catalog_as_of);
-            self.current
+            self.catalog_sync
                 .confirmed_by_owner_at
                 .fetch_max(at, Ordering::Relaxed);
         }
-        if beat.failing && self.owns() == 0 {
-            self.doubted.notify_one();
+        if beat.store_failing && self.owns() == 0 {
+            self.probe_requested.notify_one();
         }
-        let (pool, catalog, plan) = (beat.pool, beat.catalog, beat.plan);
+        let (pool, catalog, plan) = (beat.pool, beat.catalog, beat.pool_map);
         self.change(pool, |state| state.heard = Heard { at: now, beat });
         if catalog > mine {
-            self.current.newer.notify_one();
+            self.catalog_sync.newer.notify_one();
         }
-        if plan > self.plan.load().version {
-            self.current.newer_plan.notify_one();
+        if plan > self.pool_map.load().version {
+            self.catalog_sync.newer_pool_map.notify_one();
         }
     }
 
@@ -238,7 +241,7 @@
     }
 
     /// Records whether the store answered a call, and how long the call took.
-    pub fn note_store(&self, answered: bool, took: Duration) {
+    pub fn record_store_call(&self, answered: bool, took: Duration) {
         let outcome = if answered { "answered" } else { "failed" };
         metrics::counter!("lentilyoke_store_calls_total", "outcome" => outcome).increment(1);
         if answered {
@@ -281,7 +284,7 @@
     /// Whether the store is available to this host. A single call without an answer doesn't make it unavailable, since the next
     /// one may be answered.
     #[must_use]
-    pub fn served(&self) -> bool {
+    pub fn store_available(&self) -> bool {
         let now = clock::now();
         let failing_since = self.store_failing_since.load(Ordering::Relaxed);
         (failing_since == 0 || now.saturating_sub(failing_since) < STORE_FAILURE_TOLERANCE)
@@ -290,13 +293,13 @@
     }
 
     /// Delay before a call to the store that is not answered yet is repeated: a multiple of the usual latency.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn store_retry_delay(&self) -> Duration {
         let typical = Duration::from_millis(self.typical_store_latency.load(Ordering::Relaxed));
         (typical * 3).clamp(MIN_STORE_RETRY_DELAY, MAX_STORE_RETRY_DELAY)
     }
 
     /// Shortest time in which the store has answered, in milliseconds.
-    pub(crate) fn away(&self) -> u64 {
+    pub(crate) fn store_rtt(&self) -> u64 {
         self.min_store_rtt.load(Ordering::Relaxed)
     }
 
@@ -306,7 +309,7 @@
         if catalog.version > before {
             info!(version = catalog.version, before = before, queues = catalog.queues.len(); "configuration in force");
             self.catalog.store(Some(Arc::new(catalog)));
-            self.current.changed.notify_waiters();
+            self.catalog_sync.changed.notify_waiters();
         }
     }
 }
--- a/crates/host/src/insert.rs
+++ b/crates/host/src/insert.rs
@@ -8,15 +8,15 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::outside::{Store, StoreError, Transaction};
-use crate::rows::{JOBS, JobRow, job_part, place_of};
+use crate::interfaces::{Store, StoreError, Transaction};
+use crate::rows::{JOBS, JobRow, job_part, job_row_header};
 
 /// Delay before an insert whose outcome is unknown is repeated after a refusal.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// The pool of a job, as its row says.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Place {
+pub struct JobLocation {
     /// The pool that the job is in.
     pub pool: u32,
     /// The transaction that wrote the row.
@@ -30,7 +30,7 @@
 pub enum Inserted {
     /// The row exists, written by this call or an earlier one. An earlier call may have chosen another pool than this one: the
     /// job belongs to the pool that the row names.
-    There(Place),
+    Present(JobLocation),
     /// The row does not exist, and this call will not create it.
     Refused,
     /// It is not known whether the row exists.
@@ -89,7 +89,7 @@
         };
         match answer {
             Ok(version) => {
-                return Inserted::There(Place {
+                return Inserted::Present(JobLocation {
                     pool,
                     version,
                     moved: false,
@@ -97,15 +97,15 @@
             }
             Err(StoreError::Conflict { rows }) => {
                 let found = rows.iter().find_map(|row| {
-                    let place = place_of(row.value.as_deref()?)?;
-                    Some(Place {
+                    let place = job_row_header(row.value.as_deref()?)?;
+                    Some(JobLocation {
                         pool: place.pool,
                         version: row.version,
                         moved: place.moved.is_some(),
                     })
                 });
                 if let Some(found) = found {
-                    return Inserted::There(found);
+                    return Inserted::Present(found);
                 }
                 // The row exists, but the answer doesn't show its pool; the next answer may.
                 may_exist = true;
@@ -118,7 +118,7 @@
                     Inserted::Refused
                 };
             }
-            Err(StoreError::Refused { .. } | StoreError::Gone) => {
+            Err(StoreError::Refused { .. } | StoreError::HistoryCompacted) => {
                 if !may_exist && calls.is_empty() {
                     return Inserted::Refused;
                 }
--- a/crates/host/src/outside.rs
+++ b/crates/host/src/interfaces.rs
@@ -52,10 +52,10 @@
     },
     /// The store no longer has the requested history.
     #[snafu(display("the store no longer has the requested history"))]
-    Gone,
+    HistoryCompacted,
 }
 
-/// Conditions and writes that take effect atomically, within one part, and in further parts if `also` names any.
+/// Conditions and writes that take effect atomically, within one part, and in further parts if `other_parts` names any.
 #[derive(Clone, Debug, Default)]
 pub struct Transaction {
     /// The part that all rows are in.
@@ -68,7 +68,7 @@
     pub deletes: Vec<(String, String)>,
     /// Conditions and writes in other parts. A store may refuse transactions over several parts, and takes twice as long for
     /// them.
-    pub also: Vec<Transaction>,
+    pub other_parts: Vec<Transaction>,
 }
 
 /// A consistent set of rows.
@@ -136,13 +136,13 @@
     /// Returns the changes of a table since the transaction `after`; waits up to `wait` for the first one.
     ///
     /// # Errors
-    /// [`StoreError::Gone`] if the store no longer has all of them; [`StoreError::Refused`] or [`StoreError::Lost`].
+    /// [`StoreError::HistoryCompacted`] if the store no longer has all of them; [`StoreError::Refused`] or [`StoreError::Lost`].
     async fn feed(&self, table: &str, after: u64, wait: Duration) -> Result<Feed, StoreError>;
 }
 
 /// Why a hold call failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum HoldFailure {
+pub enum PollFailure {
     /// The worker has seen an owner with a higher epoch.
     Fenced,
     /// Another worker answered at the address.
@@ -170,7 +170,7 @@
     ///
     /// # Errors
     /// Why there is no listing.
-    async fn hold(
+    async fn poll(
         &self,
         address: &str,
         worker: &WorkerId,
@@ -178,19 +178,23 @@
         lease: Option<Ms>,
         noted: u64,
         wait: Duration,
-    ) -> Result<Listing, HoldFailure>;
+    ) -> Result<Listing, PollFailure>;
 }
 
 /// Workers that may run a step, each with its ticket, and how long the tickets are valid.
-pub type Allowed = (Vec<(WorkerId, String)>, Ms);
+pub type Tickets = (Vec<(WorkerId, String)>, Ms);
 
 /// The advisor, which decides which workers may run a step.
 #[async_trait]
 pub trait Advisor: Send + Sync {
     /// Returns those of the workers that may run a step; `None` if the advisor didn't answer. `takes` is the expected duration
     /// of the query.
-    async fn ask(&self, stage: &StageKey, workers: &[WorkerId], takes: Duration)
-    -> Option<Allowed>;
+    async fn query(
+        &self,
+        stage: &StageKey,
+        workers: &[WorkerId],
+        takes: Duration,
+    ) -> Option<Tickets>;
 }
 
 /// Decodes rows that other systems write into the store.
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -5,57 +5,57 @@
 //! * [`Host`]: requests of callers ([`Host::submit`], [`Host::state`], [`Host::cancel`], [`Host::pending`]).
 //! * [`Owner`]: the owner of a pool, which takes it over, polls workers, starts tasks and stores progress.
 //! * [`Catalog`]: the configuration in force; [`packed`]: its compressed form.
-//! * [`Plan`]: assignment of workers to pools; [`route`]: choice of the pool for a job.
+//! * [`PoolMap`]: assignment of workers to pools; [`route`]: choice of the pool for a job.
 //! * [`insert`]: idempotent insertion of a job's row.
 //! * [`follow`]: following the changes of a table.
 //! * [`hedge`]: repeated calls for overdue answers.
-//! * [`helpers`]: choice of the host that queries the advisor.
+//! * [`advisor_proxies`]: choice of the host that queries the advisor.
 //! * [`wire`]: protocol between hosts; [`link`]: a host's connection to an owner.
 //! * [`verdict`]: whether an owner is lost.
 //! * [`post`]: suitability of a host as owner of a pool; [`turn`]: delay before a host takes a pool over.
-//! * [`unserved`]: handover of a pool by an owner that has lost the store; [`lag`]: detection of an overloaded host.
-//! * [`sample`]: sampling of the jobs that are logged in full.
+//! * [`store_outage`]: handover of a pool by an owner that has lost the store; [`lag`]: detection of an overloaded host.
+//! * [`log_sampling`]: sampling of the jobs that are logged in full.
 
+pub mod advisor_proxies;
 pub mod catalog;
+mod catalog_sync;
 mod claim;
 pub mod clock;
-mod current;
 mod election;
 pub mod follow;
 mod front;
 pub mod hedge;
-pub mod helpers;
 mod host;
 pub mod insert;
+mod interfaces;
 pub mod lag;
 pub mod link;
-mod outside;
+pub mod log_sampling;
 mod owner;
 mod owners;
 pub mod packed;
 mod peers;
-pub mod plan;
+pub mod pool_map;
 mod pool_state;
 pub mod post;
 pub mod route;
 mod rows;
-pub mod sample;
 mod session;
 mod settings;
+pub mod store_outage;
 mod timed_reader;
 mod transfer;
 pub mod turn;
-pub mod unserved;
 pub mod verdict;
 pub mod wire;
 mod writer;
 
 pub use catalog::{Catalog, Queue};
-pub use front::{Submitted, Taken};
+pub use front::{JobStatus, Submitted};
 pub use host::Host;
-pub use outside::{
-    Advisor, Allowed, Decode, Feed, HoldFailure, Page, Row, Store, StoreError, Transaction, Workers,
+pub use interfaces::{
+    Advisor, Decode, Feed, Page, PollFailure, Row, Store, StoreError, Tickets, Transaction, Workers,
 };
 pub use owner::Owner;
-pub use plan::Plan;
-pub use settings::{Places, Settings};
+pub use pool_map::PoolMap;
+pub use settings::{Settings, StoreTables};
--- a/crates/host/src/link.rs
+++ b/crates/host/src/link.rs
@@ -21,11 +21,11 @@
 /// let (to, mut from) = tokio::sync::mpsc::channel(8);
 /// let link = Link::new(to);
 /// let owner = async {
-///     if let Some(ToOwner::Ask(number, Call::Plan)) = from.recv().await {
+///     if let Some(ToOwner::Call(number, Call::PoolMap)) = from.recv().await {
 ///         assert!(link.answer(number, Reply::Unsure).is_none());
 ///     }
 /// };
-/// let (reply, ()) = tokio::join!(link.fetch(Call::Plan), owner);
+/// let (reply, ()) = tokio::join!(link.fetch(Call::PoolMap), owner);
 /// assert!(matches!(reply, Some(Reply::Unsure)));
 /// # });
 /// ```
@@ -85,7 +85,7 @@
         let number = self.number.fetch_add(1, Ordering::Relaxed);
         let (to, answer) = oneshot::channel();
         lock(&self.calls).insert(number, to);
-        if self.tell(ToOwner::Ask(number, call)) {
+        if self.tell(ToOwner::Call(number, call)) {
             return Some((number, answer));
         }
         lock(&self.calls).remove(&number);
--- a/crates/host/src/sample.rs
+++ b/crates/host/src/log_sampling.rs
@@ -12,10 +12,10 @@
 /// Whether each task of a job is logged. It depends on the id alone, so all hosts agree.
 ///
 /// ```
-/// let sampled = (0..1_600).filter(|id| host::sample::is_told_in_full(&format!("{id:016x}")));
+/// let sampled = (0..1_600).filter(|id| host::log_sampling::is_logged_in_full(&format!("{id:016x}")));
 /// assert!((50..150).contains(&sampled.count()));
 /// ```
 #[must_use]
-pub fn is_told_in_full(job: &str) -> bool {
+pub fn is_logged_in_full(job: &str) -> bool {
     xxh3_64(job.as_bytes()).is_multiple_of(SAMPLING_INTERVAL)
 }
--- a/crates/host/src/owner.rs
+++ b/crates/host/src/owner.rs
@@ -19,17 +19,17 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
+use crate::advisor_proxies::AdvisorProxy;
 use crate::claim::Claim;
 use crate::clock;
-use crate::follow::{Rhythm, follow};
-use crate::hedge::Lost;
-use crate::helpers::Helper;
+use crate::follow::{PollTiming, follow};
+use crate::hedge::LossRate;
 use crate::host::{Host, lock};
-use crate::outside::Page;
+use crate::interfaces::Page;
+use crate::log_sampling::is_logged_in_full;
 use crate::owners;
 use crate::rows::{JOBS, job_parts};
-use crate::sample::is_told_in_full;
-use crate::unserved::Unserved;
+use crate::store_outage::StoreOutage;
 use crate::writer;
 use advice::Question;
 use directory::Directory;
@@ -71,15 +71,15 @@
     numbers: AtomicU64,
     questions: Mutex<FxHashMap<u64, Question>>,
     /// How this host answers its own questions to the advisor.
-    helper: Mutex<Helper>,
+    helper: Mutex<AdvisorProxy>,
     /// Jobs are known: callers may be told what isn't there.
     loaded: AtomicBool,
     /// The transaction up to which they were read then.
     read_to: AtomicU64,
     /// Since when the store refuses or doesn't answer this owner's writes, if it does.
-    pub(crate) unserved: Mutex<Option<Unserved>>,
+    pub(crate) unserved: Mutex<Option<StoreOutage>>,
     /// How common lost answers of workers are.
-    pub(crate) lost_answers: Mutex<Lost>,
+    pub(crate) lost_answers: Mutex<LossRate>,
     /// Holds that may be asked for again.
     pub(crate) copies: Mutex<Budget>,
     sessions: Mutex<FxHashSet<WorkerId>>,
@@ -155,7 +155,7 @@
     /// The store did not take a write that was sent then; `refused` if it was surely not done.
     pub(crate) fn note_unserved(&self, asked: Ms, refused: bool) {
         let mut unserved = lock(&self.unserved);
-        *unserved = Some(Unserved::note(*unserved, asked, clock::now(), refused));
+        *unserved = Some(StoreOutage::note(*unserved, asked, clock::now(), refused));
     }
 
     pub(crate) fn is_over(&self) -> bool {
@@ -214,13 +214,13 @@
         let parts: Vec<String> = job_parts().collect();
         let common = [String::new()];
         let store = Arc::clone(&self.host.store);
-        let places = self.host.settings.places.clone();
+        let places = self.host.settings.store_tables.clone();
         let on_jobs = follow(
             store.as_ref(),
             JOBS,
             &parts,
             Some(version),
-            Rhythm::default().pause(JOBS_PACE),
+            PollTiming::default().pause(JOBS_PACE),
             |change| {
                 self.jobs_changed(change);
             },
@@ -230,7 +230,7 @@
             &places.workers,
             &common,
             Some(after),
-            Rhythm::default().pause(WORKERS_PACE),
+            PollTiming::default().pause(WORKERS_PACE),
             |change| {
                 self.workers_changed(change);
             },
@@ -347,7 +347,7 @@
                     metrics::counter!("lentilyoke_starts_total", "outcome" => answer.name())
                         .increment(1);
                     let key = &start.task;
-                    let in_full = start.crashes > 0 || is_told_in_full(&key.stage.job);
+                    let in_full = start.crashes > 0 || is_logged_in_full(&key.stage.job);
                     if answer != pool::Answer::Running || in_full {
                         info!(
                             job = &*key.stage.job, occurrence = key.stage.occurrence, step = key.stage.step,
--- a/crates/host/src/owner/advice.rs
+++ b/crates/host/src/owner/advice.rs
@@ -9,11 +9,11 @@
 
 use super::Owner;
 use super::members::QUIET;
+use crate::advisor_proxies::ExpectedAt;
 use crate::clock;
-use crate::helpers::Due;
 use crate::host::lock;
-use crate::outside::Allowed;
-use crate::sample::is_told_in_full;
+use crate::interfaces::Tickets;
+use crate::log_sampling::is_logged_in_full;
 use crate::wire::FromOwner;
 
 /// A question that another host asks the advisor.
@@ -22,7 +22,7 @@
     until: Ms,
     /// The host that asks, and when its answer is due.
     helper: String,
-    due: Due,
+    due: ExpectedAt,
 }
 
 impl Owner {
@@ -30,19 +30,19 @@
     pub(super) fn ask(self: &Arc<Self>, ask: Ask) {
         let now = clock::now();
         let helper = {
-            let own = lock(&self.helper).place(now, 0, ask.takes);
+            let own = lock(&self.helper).score(now, 0, ask.takes);
             let mut members = lock(&self.members);
             let best = members
                 .iter_mut()
                 .filter(|(_, member)| member.helps && now.saturating_sub(member.heard) < QUIET)
                 .map(|(name, member)| {
-                    let place = member.helper.place(now, member.away, ask.takes);
+                    let place = member.helper.score(now, member.away, ask.takes);
                     (place, name, member)
                 })
                 .min_by_key(|(place, ..)| *place);
             best.filter(|(place, ..)| *place < own)
                 .map(|(_, name, member)| {
-                    let due = member.helper.ask(now, ask.takes);
+                    let due = member.helper.assign(now, ask.takes);
                     (name.clone(), member.to.clone(), due)
                 })
         };
@@ -68,37 +68,37 @@
                 }
             }
             None => {
-                let due = lock(&self.helper).ask(now, ask.takes);
+                let due = lock(&self.helper).assign(now, ask.takes);
                 let owner = Arc::clone(self);
                 self.host.stop.spawn(async move {
                     let takes = Duration::from_millis(ask.takes);
                     let advisor = Arc::clone(&owner.host.advisor);
-                    let allowed = advisor.ask(&ask.stage, &ask.workers, takes).await;
-                    lock(&owner.helper).answered(clock::now(), due);
+                    let allowed = advisor.query(&ask.stage, &ask.workers, takes).await;
+                    lock(&owner.helper).complete(clock::now(), due);
                     owner.advised(&ask, allowed.as_ref());
                 });
             }
         }
     }
 
-    pub(super) fn told_advice(&self, number: u64, allowed: Option<&Allowed>) {
+    pub(super) fn told_advice(&self, number: u64, allowed: Option<&Tickets>) {
         let question = lock(&self.questions).remove(&number);
         if let Some(question) = question {
             if let Some(member) = lock(&self.members).get_mut(&question.helper) {
-                member.helper.answered(clock::now(), question.due);
+                member.helper.complete(clock::now(), question.due);
             }
             self.advised(&question.ask, allowed);
         }
     }
 
-    pub(super) fn advised(&self, ask: &Ask, allowed: Option<&Allowed>) {
+    pub(super) fn advised(&self, ask: &Ask, allowed: Option<&Tickets>) {
         let outcome = if allowed.is_some() {
             "answered"
         } else {
             "failed"
         };
         metrics::counter!("lentilyoke_advice_total", "outcome" => outcome).increment(1);
-        if allowed.is_none() || is_told_in_full(&ask.stage.job) {
+        if allowed.is_none() || is_logged_in_full(&ask.stage.job) {
             info!(
                 job = &*ask.stage.job, step = ask.stage.step, asked = ask.workers.len(), takes = ask.takes,
                 allowed = allowed.map_or(-1, |(rows, _)| rows.len() as i64);
--- a/crates/host/src/owner/calls.rs
+++ b/crates/host/src/owner/calls.rs
@@ -10,7 +10,7 @@
 use super::Owner;
 use crate::clock;
 use crate::host::lock;
-use crate::insert::{Inserted, Place, insert};
+use crate::insert::{Inserted, JobLocation, insert};
 use crate::wire::Reply;
 
 /// A caller that cancels waits this long for the note of it.
@@ -22,7 +22,7 @@
     /// A host may be paused between the two. Meanwhile the job may have gone to another pool, and this one to another owner:
     /// taken up without its progress it would run a second time. What was written before this owner read the jobs is known
     /// by that, and what is more than the job itself is told by the row.
-    pub(crate) fn accepted(&self, job: Job, place: Place) {
+    pub(crate) fn accepted(&self, job: Job, place: JobLocation) {
         let known = place.version <= self.read_to.load(Ordering::Relaxed);
         if !self.loaded.load(Ordering::Relaxed) || known || place.moved {
             return;
@@ -65,7 +65,7 @@
 
     /// Inserts a job's row for a host that the store doesn't serve.
     pub(crate) async fn insert(&self, pool: u32, job: Job) -> Reply {
-        if !self.host.served() {
+        if !self.host.store_available() {
             return Reply::Refused;
         }
         let until = Instant::now() + Duration::from_millis(1_000);
@@ -74,13 +74,13 @@
             pool,
             &job,
             until,
-            self.host.patience(),
+            self.host.store_retry_delay(),
             false,
         )
         .await
         {
-            Inserted::There(place) => {
-                self.host.tell_accepted(place, job);
+            Inserted::Present(place) => {
+                self.host.notify_accepted(place, job);
                 Reply::Inserted(place)
             }
             Inserted::Refused => Reply::Refused,
--- a/crates/host/src/owner/directory.rs
+++ b/crates/host/src/owner/directory.rs
@@ -11,9 +11,9 @@
 use super::Owner;
 use crate::clock;
 use crate::host::lock;
-use crate::outside::{Row, StoreError, Transaction};
-use crate::plan::{Plan, rack_of};
-use crate::rows::{COMMON, PLAN};
+use crate::interfaces::{Row, StoreError, Transaction};
+use crate::pool_map::{PoolMap, rack_of};
+use crate::rows::{COMMON, POOL_MAP};
 use crate::session;
 
 /// Racks are given to pools when no worker without one was seen first for this long: at a first start all workers appear
@@ -57,7 +57,7 @@
     /// The store lists a worker.
     pub(super) fn found(self: &Arc<Self>, now: Ms, id: WorkerId, news: News) {
         let rack = rack_of(&news.rack, &id);
-        let home = self.host.plan().pool_of(&rack);
+        let home = self.host.pool_map().pool_of(&rack);
         let mut directory = lock(&self.directory);
         if self.number == 0 {
             directory.racks.insert(Arc::clone(&id), rack);
@@ -128,7 +128,7 @@
 
     /// Takes up workers whose rack has got a pool.
     fn house(self: &Arc<Self>) {
-        let plan = self.host.plan();
+        let plan = self.host.pool_map();
         let housed: Vec<(WorkerId, News)> = {
             let mut directory = lock(&self.directory);
             if directory.homeless.is_empty() {
@@ -162,7 +162,7 @@
     /// was read is the condition.
     async fn extend_plan(&self) {
         let store = &self.host.store;
-        let (stored, version) = match store.get(PLAN, COMMON, PLAN).await {
+        let (stored, version) = match store.get(POOL_MAP, COMMON, POOL_MAP).await {
             Ok(row) => parse(row.as_ref()).unwrap_or_default(),
             Err(error) => {
                 warn!(error:% = error; "the plan of pools can't be read");
@@ -170,9 +170,9 @@
             }
         };
         let counts = lock(&self.directory).counts();
-        let per_pool = self.host.settings.pool_workers.min(self.largest_pool());
+        let per_pool = self.host.settings.workers_per_pool.min(self.largest_pool());
         let Some(next) = stored.extend(&counts, per_pool) else {
-            self.host.put_plan(stored);
+            self.host.update_pool_map(stored);
             return;
         };
         let Ok(value) = serde_json::to_vec(&next) else {
@@ -180,19 +180,19 @@
         };
         let transaction = Transaction {
             part: COMMON.to_owned(),
-            checks: vec![(PLAN.to_owned(), PLAN.to_owned(), version)],
-            puts: vec![(PLAN.to_owned(), PLAN.to_owned(), value)],
+            checks: vec![(POOL_MAP.to_owned(), POOL_MAP.to_owned(), version)],
+            puts: vec![(POOL_MAP.to_owned(), POOL_MAP.to_owned(), value)],
             ..Transaction::default()
         };
         match store.commit(&transaction).await {
             Ok(_) => {
-                info!(version = next.version, pools = next.pools(), racks = next.racks.len(), workers = counts.values().sum::<u32>(); "gave racks to pools");
-                self.host.put_plan(next);
+                info!(version = next.version, pools = next.pool_count(), racks = next.racks.len(), workers = counts.values().sum::<u32>(); "gave racks to pools");
+                self.host.update_pool_map(next);
             }
             Err(StoreError::Conflict { rows }) => {
-                let row = rows.iter().find(|row| row.table == PLAN);
+                let row = rows.iter().find(|row| row.table == POOL_MAP);
                 if let Some((found, _)) = parse(row) {
-                    self.host.put_plan(found);
+                    self.host.update_pool_map(found);
                 }
             }
             Err(error) => warn!(error:% = error; "the plan of pools is not written yet"),
@@ -200,7 +200,7 @@
     }
 }
 
-fn parse(row: Option<&Row>) -> Option<(Plan, u64)> {
+fn parse(row: Option<&Row>) -> Option<(PoolMap, u64)> {
     let row = row?;
     let plan = serde_json::from_slice(row.value.as_deref()?).ok()?;
     Some((plan, row.version))
--- a/crates/host/src/owner/members.rs
+++ b/crates/host/src/owner/members.rs
@@ -12,16 +12,16 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::Owner;
+use crate::advisor_proxies::AdvisorProxy;
 use crate::clock;
 use crate::election::NEAR_MS;
-use crate::helpers::Helper;
 use crate::host::lock;
 use crate::lag::Lag;
 use crate::peers::BEAT;
 use crate::post::Post;
-use crate::rows::Heir;
-use crate::unserved::Candidate;
-use crate::wire::{Beat, FromOwner, ToOwner};
+use crate::rows::Successor;
+use crate::store_outage::Candidate;
+use crate::wire::{FromOwner, Heartbeat, ToOwner};
 
 /// A better placed host gets a pool only if the store has served it for this long.
 const STEADY: Ms = 800;
@@ -65,7 +65,7 @@
     /// How many pools it owns.
     owns: u32,
     /// How it answers questions to the advisor.
-    pub(super) helper: Helper,
+    pub(super) helper: AdvisorProxy,
     /// It asks the advisor for this pool: the advisor serves one question at a time for each host, so hosts are divided
     /// over the pools.
     pub(super) helps: bool,
@@ -80,8 +80,8 @@
 
     fn candidate(&self) -> Candidate {
         Candidate {
-            served: self.served,
-            answered: self.answered,
+            available_since: self.served,
+            last_answer: self.answered,
         }
     }
 
@@ -129,15 +129,15 @@
     ) -> Option<String> {
         let unserved = lock(&self.unserved).filter(|unserved| {
             // A write that was sent just before the store came back is still unanswered when other calls are served again.
-            let all_fail = if unserved.refused {
-                self.host.failing_since().is_some()
+            let all_fail = if unserved.only_refusals {
+                self.host.store_failing_since().is_some()
             } else {
-                !self.host.served()
+                !self.host.store_available()
             };
             // It could write its row when it took the pool. That answers don't come now is a matter of a full line: the next owner
             // would read everything over one like it.
-            let settled = unserved.refused || now.saturating_sub(began) > SETTLED_UNANSWERED;
-            unserved.gives_up(now) && all_fail && settled
+            let settled = unserved.only_refusals || now.saturating_sub(began) > SETTLED_UNANSWERED;
+            unserved.warrants_handover(now) && all_fail && settled
         });
         let draining = self.host.stop.is_draining();
         // A new owner has much to do at first, and a pool that no host has time for must not go round.
@@ -145,9 +145,9 @@
         let leaving = unserved.is_some() || draining || overloaded;
         let workers = self.workers();
         let own = Post {
-            near: self.host.away() <= NEAR_MS,
+            near: self.host.store_rtt() <= NEAR_MS,
             processors: self.host.settings.processors,
-            line: self.host.settings.line,
+            line: self.host.settings.link_mbps,
             pools: self.host.owns_up_to(self.number),
         };
         // One that is too weak for the pool may never know the jobs.
@@ -160,7 +160,7 @@
             return None;
         }
         let takes = |member: &Member| match unserved {
-            Some(unserved) if !draining => unserved.takes(now, &member.candidate()),
+            Some(unserved) if !draining => unserved.can_take_over(now, &member.candidate()),
             None if !draining => member.is_served(now, STEADY),
             _ => true,
         };
@@ -178,7 +178,11 @@
                     .then_with(|| self.turn(a).cmp(&self.turn(b)))
             })?;
         info!(pool = self.number, heir = name.as_str(), epoch = self.epoch, unserved = unserved.is_some(), overloaded = overloaded, suits = own.suits(workers); "urges a host to take the pool");
-        drop(member.to.try_send(FromOwner::Take { epoch: self.epoch }));
+        drop(
+            member
+                .to
+                .try_send(FromOwner::TakeOver { epoch: self.epoch }),
+        );
         Some(name.clone())
     }
 
@@ -187,7 +191,7 @@
         let own = Post {
             near: true,
             processors: self.host.settings.processors,
-            line: self.host.settings.line,
+            line: self.host.settings.link_mbps,
             pools: 1,
         };
         let members = lock(&self.members);
@@ -204,7 +208,7 @@
     /// How many workers the pool has.
     fn workers(&self) -> u32 {
         let listed = lock(&self.pool).workers().filter(|it| it.listed).count() as u32;
-        listed.max(self.host.plan().size(self.number))
+        listed.max(self.host.pool_map().size(self.number))
     }
 
     /// Order of equally well placed hosts. It differs by pool, or all pools of a host would be handed to the same one, and
@@ -214,18 +218,18 @@
     }
 
     /// Hosts that should take the pool when this one is lost, the best placed first.
-    pub(crate) fn heirs(&self) -> Vec<Heir> {
+    pub(crate) fn heirs(&self) -> Vec<Successor> {
         if !self.host.has(Mechanism::Heirs) {
             return Vec::new();
         }
         let now = clock::now();
         let workers = self.workers();
         let members = lock(&self.members);
-        let mut heirs: Vec<(f64, Heir)> = members
+        let mut heirs: Vec<(f64, Successor)> = members
             .iter()
             .filter(|(_, member)| member.is_served(now, 0))
             .map(|(name, member)| {
-                let heir = Heir {
+                let heir = Successor {
                     host: name.clone(),
                     address: member.address,
                 };
@@ -249,18 +253,18 @@
             };
             let loaded = self.loaded.load(Ordering::Relaxed);
             self.show(&load, pending.values().sum());
-            let beat = Beat {
+            let beat = Heartbeat {
                 pool: self.number,
                 epoch: self.epoch,
                 catalog: self.host.catalog_version(),
                 catalog_as_of: 0,
                 catalog_age: Ms::MAX,
-                heard: 0,
-                served: self.host.served(),
-                failing: self.host.failing_since().is_some(),
-                plan: self.host.plan().version,
+                echoed_at: 0,
+                store_available: self.host.store_available(),
+                store_failing: self.host.store_failing_since().is_some(),
+                pool_map: self.host.pool_map().version,
                 pending: loaded.then_some(pending),
-                taken: load.taken,
+                load: load.taken,
                 labels: load.labels,
             };
             let mut alive = 1;
@@ -272,14 +276,14 @@
                     drop(
                         member
                             .to
-                            .try_send(FromOwner::Beat(self.beat_to(member, &beat))),
+                            .try_send(FromOwner::Heartbeat(self.beat_to(member, &beat))),
                     );
                     alive += usize::from(member.helps && now.saturating_sub(member.heard) < QUIET);
                 }
             }
             lock(&self.pool).set_askers(alive);
-            self.host.hear(beat);
-            let changed = self.host.current.changed.notified();
+            self.host.receive_heartbeat(beat);
+            let changed = self.host.catalog_sync.changed.notified();
             let store_changed = self.host.store_changed.notified();
             tokio::time::sleep(BEAT_LEAST).await;
             tokio::select! {
@@ -293,10 +297,10 @@
     }
 
     /// A beat as it is told to one host: what it says of the configuration was so when that host's last beat came.
-    fn beat_to(&self, member: &Member, beat: &Beat) -> Beat {
+    fn beat_to(&self, member: &Member, beat: &Heartbeat) -> Heartbeat {
         let (catalog_as_of, catalog_age) = (self.host.catalog_as_of(), self.host.catalog_age());
-        Beat {
-            heard: member.sent,
+        Heartbeat {
+            echoed_at: member.sent,
             catalog_as_of,
             catalog_age,
             // Read after these: a version that came between is only newer.
@@ -307,7 +311,7 @@
 
     /// Whether a host asks the advisor for this pool.
     fn is_helped_by(&self, name: &str) -> bool {
-        let pools = u64::from(self.host.plan().pools());
+        let pools = u64::from(self.host.pool_map().pool_count());
         xxh3_64(name.as_bytes()) % pools == u64::from(self.number)
     }
 
@@ -344,7 +348,7 @@
         to: mpsc::Sender<FromOwner>,
     ) -> u64 {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        drop(to.try_send(FromOwner::Beat(self.host.heard(self.number).beat)));
+        drop(to.try_send(FromOwner::Heartbeat(self.host.heard(self.number).beat)));
 
         lock(&self.members).insert(
             name.to_owned(),
@@ -361,7 +365,7 @@
                 away: u64::MAX,
                 owns: 0,
                 helps: self.is_helped_by(name),
-                helper: Helper::default(),
+                helper: AdvisorProxy::default(),
             },
         );
         info!(pool = self.number, host = name, epoch = self.epoch; "a host joined the owner");
@@ -388,22 +392,23 @@
         to: &mpsc::Sender<FromOwner>,
     ) {
         match message {
-            ToOwner::Beat {
-                served,
-                away,
-                owns,
+            ToOwner::Heartbeat {
+                store_available,
+                store_rtt,
+                owned_pools,
                 sent,
-                answered,
+                store_answer_age,
                 ..
             } => {
                 if let Some(member) = lock(&self.members).get_mut(name)
                     && member.number == number
                 {
                     member.heard = clock::now();
-                    member.served = served.then(|| member.served.unwrap_or(member.heard));
-                    member.answered = answered.map_or(0, |age| member.heard.saturating_sub(age));
-                    member.away = away;
-                    member.owns = owns;
+                    member.served = store_available.then(|| member.served.unwrap_or(member.heard));
+                    member.answered =
+                        store_answer_age.map_or(0, |age| member.heard.saturating_sub(age));
+                    member.away = store_rtt;
+                    member.owns = owned_pools;
                     member.sent = sent;
                 }
             }
@@ -417,14 +422,14 @@
                 });
                 self.told_advice(number, allowed.as_ref());
             }
-            ToOwner::Ask(number, call) => {
+            ToOwner::Call(number, call) => {
                 let (owner, to) = (Arc::clone(self), to.clone());
                 self.host.stop.spawn(async move {
                     let reply = owner.answer(call).await;
-                    drop(to.send(FromOwner::Told(number, reply)).await);
+                    drop(to.send(FromOwner::Reply(number, reply)).await);
                 });
             }
-            ToOwner::Hello { .. } | ToOwner::Hears(_) => {}
+            ToOwner::Hello { .. } | ToOwner::OwnerReachable(_) => {}
         }
     }
 }
--- a/crates/host/src/owner/news.rs
+++ b/crates/host/src/owner/news.rs
@@ -11,8 +11,8 @@
 use crate::clock;
 use crate::follow::{Change, read, read_each};
 use crate::host::lock;
-use crate::outside::{Page, Row};
-use crate::rows::{CANCEL, JOBS, JobRow, PROGRESS, RosterRow, job_parts, pool_part};
+use crate::interfaces::{Page, Row};
+use crate::rows::{CANCEL_PREFIX, JOBS, JobRow, PROGRESS, RosterRow, job_parts, pool_part};
 
 /// How far jobs have come, by id.
 pub(super) type Courses = FxHashMap<String, Progress>;
@@ -27,7 +27,7 @@
         let store = self.host.store.as_ref();
         let (progress, listed) = tokio::join!(
             read(store, PROGRESS, &own, taken),
-            read(store, &self.host.settings.places.workers, &common, 0),
+            read(store, &self.host.settings.store_tables.workers, &common, 0),
         );
         let courses = progress.rows.into_iter().filter_map(|row| {
             let course = serde_json::from_slice(row.value.as_deref()?).ok()?;
@@ -51,7 +51,7 @@
         let (now, unix) = (clock::now(), clock::unix());
         let mut pool = lock(&self.pool);
         for row in &page.rows {
-            if let Some(id) = row.key.strip_prefix(CANCEL) {
+            if let Some(id) = row.key.strip_prefix(CANCEL_PREFIX) {
                 pool.cancel(unix, id);
                 continue;
             }
@@ -69,7 +69,7 @@
     /// Takes up the workers, with what the former owner has stored of them. Jobs should be known as far as they can be: a
     /// worker that lists ends of unknown ones is asked again and again.
     pub(super) fn inherit(self: &Arc<Self>, listed: Page, owned: &RosterRow, former: &[String]) {
-        self.workers_changed(Change::All(listed));
+        self.workers_changed(Change::Snapshot(listed));
         let names =
             |ids: &[String]| -> Vec<WorkerId> { ids.iter().map(|id| id.as_str().into()).collect() };
         let mut pool = lock(&self.pool);
@@ -80,8 +80,8 @@
 
     pub(super) fn jobs_changed(&self, change: Change) {
         let rows = match change {
-            Change::All(page) => page.rows,
-            Change::Some(feed) => feed.rows,
+            Change::Snapshot(page) => page.rows,
+            Change::Update(feed) => feed.rows,
             Change::Failed(error) => {
                 warn!(error:% = error; "jobs are not followed for now");
                 return;
@@ -93,7 +93,7 @@
         let (now, unix) = (clock::now(), clock::unix());
         let mut pool = lock(&self.pool);
         for row in rows.iter().filter(|row| row.value.is_some()) {
-            if let Some(id) = row.key.strip_prefix(CANCEL) {
+            if let Some(id) = row.key.strip_prefix(CANCEL_PREFIX) {
                 pool.cancel(unix, id);
             } else if !pool.knows(&row.key)
                 && let Some((job, before)) = self.parse_job(row)
@@ -108,8 +108,8 @@
 
     pub(super) fn workers_changed(self: &Arc<Self>, change: Change) {
         let (rows, all) = match change {
-            Change::All(page) => (page.rows, true),
-            Change::Some(feed) => (feed.rows, false),
+            Change::Snapshot(page) => (page.rows, true),
+            Change::Update(feed) => (feed.rows, false),
             Change::Failed(error) => {
                 warn!(error:% = error; "workers are not followed for now");
                 return;
--- a/crates/host/src/owners.rs
+++ b/crates/host/src/owners.rs
@@ -14,7 +14,7 @@
 
 use crate::claim::parse;
 use crate::host::{Host, lock};
-use crate::outside::StoreError;
+use crate::interfaces::StoreError;
 use crate::rows::{OWNER, OwnerRow, pool_part};
 
 /// A question for changes waits this long; then owners without a link are looked for anew.
@@ -101,7 +101,7 @@
 /// Reads the rows of all pools' owners; tells up to which transaction.
 async fn read_all(host: &Host) -> Option<u64> {
     let mut version = u64::MAX;
-    for pool in 0..host.plan().pools() {
+    for pool in 0..host.pool_map().pool_count() {
         let (_, read) = read(host, pool).await?;
         version = version.min(read);
     }
@@ -113,18 +113,18 @@
     let mut after = None;
     let mut pools = 0;
     loop {
-        let unowned = host.unowned.notified();
+        let owner_missing = host.owner_missing.notified();
         if !host.misses_owner() {
             // All that changes until then is of no interest: the rows are read anew.
             after = None;
-            unowned.await;
+            owner_missing.await;
             continue;
         }
-        if pools != host.plan().pools() {
+        if pools != host.pool_map().pool_count() {
             after = None;
         }
         let Some(newest) = after else {
-            pools = host.plan().pools();
+            pools = host.pool_map().pool_count();
             after = read_all(host).await;
             if after.is_none() {
                 tokio::time::sleep(PAUSE).await;
@@ -144,7 +144,7 @@
                     }
                 }
             }
-            Err(StoreError::Gone) => after = None,
+            Err(StoreError::HistoryCompacted) => after = None,
             Err(error) => {
                 warn!(error:% = error; "owners are not followed for now");
                 // What was missed meanwhile may not be told any more.
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -101,25 +101,25 @@
         pool,
         epoch,
         processors: host.settings.processors,
-        line: host.settings.line,
+        link_mbps: host.settings.link_mbps,
     });
     let beats = async {
         loop {
             let catalog = host.catalog_version();
-            let beat = ToOwner::Beat {
+            let beat = ToOwner::Heartbeat {
                 catalog,
-                served: host.served(),
-                away: host.away(),
-                owns: host.owns(),
+                store_available: host.store_available(),
+                store_rtt: host.store_rtt(),
+                owned_pools: host.owns(),
                 sent: clock::now(),
-                answered: host.answered(),
+                store_answer_age: host.store_answer_age(),
             };
             if !link.tell(beat) {
                 return;
             }
             tokio::select! {
                 () = tokio::time::sleep(BEAT) => {}
-                () = host.probed.notified() => {}
+                () = host.probe_finished.notified() => {}
             }
         }
     };
@@ -133,16 +133,18 @@
                 Ok(None) | Err(_) => return LinkEnd::Lost(Loss::Broken),
             };
             match message {
-                FromOwner::Beat(beat) => {
-                    host.hear(beat);
+                FromOwner::Heartbeat(beat) => {
+                    host.receive_heartbeat(beat);
                     if host.link(pool).is_none() {
                         host.set_link(pool, Some(Arc::clone(&link)));
                         info!(pool = pool, owner:% = address, epoch = epoch; "joined the owner");
                     }
                 }
-                FromOwner::NotOwner { life } => return LinkEnd::NotOwner { life },
-                FromOwner::Take { epoch: of } if of == epoch => return LinkEnd::Take,
-                FromOwner::Told(number, reply) => {
+                FromOwner::NotOwner { incarnation } => {
+                    return LinkEnd::NotOwner { life: incarnation };
+                }
+                FromOwner::TakeOver { epoch: of } if of == epoch => return LinkEnd::Take,
+                FromOwner::Reply(number, reply) => {
                     if let Some(late) = link.answer(number, reply) {
                         warn!(pool = pool, owner:% = address, reply = late.name(); "an answer came too late");
                     }
@@ -164,7 +166,7 @@
                         let workers: Vec<pool::WorkerId> =
                             workers.iter().map(|id| id.as_str().into()).collect();
                         let takes = Duration::from_millis(takes);
-                        let allowed = host.advisor.ask(&stage, &workers, takes).await;
+                        let allowed = host.advisor.query(&stage, &workers, takes).await;
                         let allowed = allowed.map(|(rows, valid)| {
                             let rows = rows.into_iter().map(|(id, text)| (id.to_string(), text));
                             (rows.collect(), valid)
@@ -172,7 +174,7 @@
                         link.tell(ToOwner::Advised(number, allowed));
                     });
                 }
-                FromOwner::Take { .. } | FromOwner::Hears(_) => {}
+                FromOwner::TakeOver { .. } | FromOwner::OwnerReachable(_) => {}
             }
         }
     };
@@ -195,12 +197,14 @@
             Err(_) => return Answer::TimedOut,
         };
         let mut sender = Sender::<ToOwner>::new(half);
-        if sender.feed(&ToOwner::Hears(pool)).await.is_err() || sender.flush().await.is_err() {
+        if sender.feed(&ToOwner::OwnerReachable(pool)).await.is_err()
+            || sender.flush().await.is_err()
+        {
             return Answer::TimedOut;
         }
         match Receiver::<FromOwner>::new(read).next().await {
-            Ok(Some(FromOwner::Hears(true))) => Answer::Hears,
-            Ok(Some(FromOwner::Hears(false))) => Answer::DoesNotHear,
+            Ok(Some(FromOwner::OwnerReachable(true))) => Answer::Hears,
+            Ok(Some(FromOwner::OwnerReachable(false))) => Answer::DoesNotHear,
             _ => Answer::TimedOut,
         }
     };
@@ -254,20 +258,25 @@
                 pool,
                 epoch,
                 processors,
-                line,
+                link_mbps,
             })) => match host.owner(pool).filter(|owner| owner.epoch() == epoch) {
-                Some(owner) => (name, address, (processors, line), owner),
+                Some(owner) => (name, address, (processors, link_mbps), owner),
                 None => {
-                    drop(to.send(FromOwner::NotOwner { life: host.life }).await);
+                    drop(
+                        to.send(FromOwner::NotOwner {
+                            incarnation: host.incarnation,
+                        })
+                        .await,
+                    );
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     return;
                 }
             },
-            Ok(Some(ToOwner::Hears(pool))) => {
+            Ok(Some(ToOwner::OwnerReachable(pool))) => {
                 let state = host.pool_state(pool);
                 let recent = clock::now().saturating_sub(state.heard.at) < 900;
                 let hears = state.owner.is_some() || recent && state.link.is_some();
-                drop(to.send(FromOwner::Hears(hears)).await);
+                drop(to.send(FromOwner::OwnerReachable(hears)).await);
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 return;
             }
@@ -281,7 +290,12 @@
             };
             owner.told(&name, member, message, &to);
             if owner.is_over() {
-                drop(to.send(FromOwner::NotOwner { life: host.life }).await);
+                drop(
+                    to.send(FromOwner::NotOwner {
+                        incarnation: host.incarnation,
+                    })
+                    .await,
+                );
                 break;
             }
         }
@@ -308,7 +322,7 @@
                 }
                 None => Reply::Unsure,
             },
-            Call::Plan => Reply::Plan(Box::new((*self.host().plan()).clone())),
+            Call::PoolMap => Reply::PoolMap(Box::new((*self.host().pool_map()).clone())),
         }
     }
 }
--- a/crates/host/src/plan.rs
+++ b/crates/host/src/pool_map.rs
@@ -17,7 +17,7 @@
 
 /// The pool of each rack.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Plan {
+pub struct PoolMap {
     /// Increases with every change.
     pub version: u64,
     /// Number of workers that each pool's racks had when they were assigned to it.
@@ -26,7 +26,7 @@
     pub racks: BTreeMap<String, u32>,
 }
 
-impl Default for Plan {
+impl Default for PoolMap {
     /// A single pool without racks.
     fn default() -> Self {
         Self {
@@ -40,8 +40,8 @@
 /// The rack that decides the pool of a worker: its own, or a virtual one if it names none.
 ///
 /// ```
-/// assert_eq!(host::plan::rack_of("r1", "w7"), "r1");
-/// assert_eq!(host::plan::rack_of("", "w7"), host::plan::rack_of("", "w7"));
+/// assert_eq!(host::pool_map::rack_of("r1", "w7"), "r1");
+/// assert_eq!(host::pool_map::rack_of("", "w7"), host::pool_map::rack_of("", "w7"));
 /// ```
 #[must_use]
 pub fn rack_of(rack: &str, worker: &str) -> String {
@@ -52,10 +52,10 @@
     }
 }
 
-impl Plan {
+impl PoolMap {
     /// Number of pools.
     #[must_use]
-    pub fn pools(&self) -> u32 {
+    pub fn pool_count(&self) -> u32 {
         self.sizes.len().max(1) as u32
     }
 
--- a/crates/host/src/pool_state.rs
+++ b/crates/host/src/pool_state.rs
@@ -11,7 +11,7 @@
 use crate::link::Link;
 use crate::owner::Owner;
 use crate::route::Load;
-use crate::wire::Beat;
+use crate::wire::Heartbeat;
 
 /// An owner whose last beat is older than four of them may be gone.
 const RECENT: Ms = 1_000;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Heard {
     pub at: Ms,
-    pub beat: Beat,
+    pub beat: Heartbeat,
 }
 
 /// One pool, as a host that may own it sees it.
@@ -76,12 +76,12 @@
             self.knows_owner.store(true, Ordering::Relaxed);
         }
         self.change(pool, change);
-        self.unowned.notify_one();
+        self.owner_missing.notify_one();
     }
 
     /// Whether there is a pool whose owner this host doesn't know.
     pub(crate) fn misses_owner(&self) -> bool {
-        let pools = self.plan.load().pools() as usize;
+        let pools = self.pool_map.load().pool_count() as usize;
         let pool_states = lock(&self.pool_states);
         let known = pool_states.iter().take(pools);
         known
@@ -126,7 +126,7 @@
         let pool_states = lock(&self.pool_states);
         let served = pool_states.iter().find(|state| {
             state.link.is_some()
-                && state.heard.beat.served
+                && state.heard.beat.store_available
                 && now.saturating_sub(state.heard.at) < SERVED_NEWS
         });
         served.and_then(|state| state.link.clone())
@@ -140,9 +140,9 @@
     }
 
     /// Sums up what owners said within the last `age` milliseconds; `None` if one of them wasn't heard or didn't know.
-    pub(crate) fn sum(&self, age: Ms, part: impl Fn(&Beat) -> Option<u64>) -> Option<u64> {
+    pub(crate) fn sum(&self, age: Ms, part: impl Fn(&Heartbeat) -> Option<u64>) -> Option<u64> {
         let now = clock::now();
-        let pools = self.plan.load().pools() as usize;
+        let pools = self.pool_map.load().pool_count() as usize;
         let pool_states = lock(&self.pool_states);
         let told = (0..pools).map(|pool| {
             let state = pool_states.get(pool)?;
@@ -158,9 +158,9 @@
         let pool_states = lock(&self.pool_states);
         let loads = pool_states.iter().enumerate().map(|(pool, state)| {
             let load = Load {
-                heard: now.saturating_sub(state.heard.at) < RECENT
+                is_recent: now.saturating_sub(state.heard.at) < RECENT
                     && state.heard.beat.pending.is_some(),
-                taken: state.heard.beat.taken,
+                load: state.heard.beat.load,
                 labels: state.heard.beat.labels.clone(),
             };
             (pool as u32, load)
@@ -169,7 +169,7 @@
     }
 
     /// The way to an owner that was heard lately and knows something newer.
-    pub(crate) fn ahead(&self, newer: impl Fn(&Beat) -> bool) -> Option<Arc<Link>> {
+    pub(crate) fn ahead(&self, newer: impl Fn(&Heartbeat) -> bool) -> Option<Arc<Link>> {
         let now = clock::now();
         let pool_states = lock(&self.pool_states);
         let ahead = pool_states.iter().find(|state| {
--- a/crates/host/src/route.rs
+++ b/crates/host/src/route.rs
@@ -11,7 +11,7 @@
 use rustc_hash::FxHashMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::plan::Plan;
+use crate::pool_map::PoolMap;
 
 /// The second candidate is preferred if its load is lower by at least this share of its capacity. Loads are up to 250 ms old, so
 /// smaller differences would make the choice oscillate.
@@ -24,21 +24,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct Load {
     /// A recent heartbeat of the owner is known.
-    pub heard: bool,
+    pub is_recent: bool,
     /// Running and waiting work, as a share of the pool's capacity.
-    pub taken: f64,
+    pub load: f64,
     /// Labels of the pool's workers.
     pub labels: Vec<String>,
 }
 
 /// The candidate pools of a new job with this id, the more likely one first.
 #[must_use]
-pub fn candidates(plan: &Plan, id: &str) -> Vec<u32> {
+pub fn candidates(plan: &PoolMap, id: &str) -> Vec<u32> {
     ranked(plan, id).into_iter().take(2).collect()
 }
 
 /// All pools, ordered by the weighted rendezvous hash of this id.
-fn ranked(plan: &Plan, id: &str) -> Vec<u32> {
+fn ranked(plan: &PoolMap, id: &str) -> Vec<u32> {
     let mut pools: Vec<(f64, u32)> = plan
         .sizes
         .iter()
@@ -56,9 +56,16 @@
 
 /// The next pool for a job that the pools in `tried` could not serve; `None` if it was in all of them.
 #[must_use]
-pub fn next(plan: &Plan, job: &Job, tried: &[u32], loads: &FxHashMap<u32, Load>) -> Option<u32> {
-    let first = choose(plan, job, loads);
-    let others = ranked(plan, &job.id).into_iter().chain(0..plan.pools());
+pub fn next_pool(
+    plan: &PoolMap,
+    job: &Job,
+    tried: &[u32],
+    loads: &FxHashMap<u32, Load>,
+) -> Option<u32> {
+    let first = choose_pool(plan, job, loads);
+    let others = ranked(plan, &job.id)
+        .into_iter()
+        .chain(0..plan.pool_count());
     std::iter::once(first)
         .chain(others)
         .find(|pool| !tried.contains(pool))
@@ -66,8 +73,8 @@
 
 /// The pool for a new job.
 #[must_use]
-pub fn choose(plan: &Plan, job: &Job, loads: &FxHashMap<u32, Load>) -> u32 {
-    if plan.pools() == 1 {
+pub fn choose_pool(plan: &PoolMap, job: &Job, loads: &FxHashMap<u32, Load>) -> u32 {
+    if plan.pool_count() == 1 {
         return 0;
     }
     // The label of a step may be the name of a rack.
@@ -85,20 +92,20 @@
         .find(|label| !label.is_empty());
     let may_have_label = |pool: &u32| {
         label.is_none_or(|label| {
-            let load = loads.get(pool).filter(|load| load.heard);
+            let load = loads.get(pool).filter(|load| load.is_recent);
             load.is_none_or(|load| load.labels.iter().any(|has| has == label))
         })
     };
     let mut pools = candidates(plan, &job.id);
     if !pools.iter().any(may_have_label) {
-        pools = (0..plan.pools()).collect();
+        pools = (0..plan.pool_count()).collect();
     }
     pools.retain(may_have_label);
     let known_load = |pool: u32| {
         loads
             .get(&pool)
-            .filter(|load| load.heard)
-            .map_or(f64::NAN, |load| load.taken)
+            .filter(|load| load.is_recent)
+            .map_or(f64::NAN, |load| load.load)
     };
     let mut best = pools.first().copied().unwrap_or(0);
     for &pool in pools.iter().skip(1) {
--- a/crates/host/src/rows.rs
+++ b/crates/host/src/rows.rs
@@ -11,7 +11,7 @@
 //! | `progress` | the pool's | id | in batches, by the owner | [`pool::Progress`] |
 //! | `owner` | the pool's | `owner` | when the owner or its successors change | [`OwnerRow`] |
 //! | `roster` | the pool's | `roster` | when the owner or its workers change, and after a write without an answer | [`RosterRow`] |
-//! | `plan` | `common` | `plan` | by the owner of pool 0, when a rack is seen for the first time | [`crate::Plan`] |
+//! | `plan` | `common` | `plan` | by the owner of pool 0, when a rack is seen for the first time | [`crate::PoolMap`] |
 //!
 //! The part of a pool is `pool-` and its number.
 
@@ -42,13 +42,13 @@
 /// Progress of jobs.
 pub(crate) const PROGRESS: &str = "progress";
 /// Prefix of the keys of cancellations, followed by the job's id. They share the table of jobs so that one feed delivers both.
-pub(crate) const CANCEL: &str = "!";
+pub(crate) const CANCEL_PREFIX: &str = "!";
 /// The workers that a pool's owner may use.
 pub(crate) const ROSTER: &str = "roster";
 /// The owner of a pool.
 pub(crate) const OWNER: &str = "owner";
 /// The pool map.
-pub(crate) const PLAN: &str = "plan";
+pub(crate) const POOL_MAP: &str = "plan";
 /// The part of rows that belong to no pool.
 pub(crate) const COMMON: &str = "common";
 
@@ -81,7 +81,7 @@
 
 /// The fields of a job's row that say which pool it is in, without the job itself.
 #[derive(Clone, Debug, Deserialize)]
-pub(crate) struct JobPlace {
+pub(crate) struct JobRowHeader {
     /// The pool that the job is in.
     pub pool: u32,
     /// Set if the job was transferred from another pool.
@@ -90,7 +90,7 @@
 }
 
 /// Parses the pool of a job from the value of its row.
-pub(crate) fn place_of(value: &[u8]) -> Option<JobPlace> {
+pub(crate) fn job_row_header(value: &[u8]) -> Option<JobRowHeader> {
     serde_json::from_slice(value).ok()
 }
 
@@ -104,14 +104,16 @@
     /// Increases with every change of owner; the fencing token of the owner's commands.
     pub epoch: u64,
     /// Start time of the host process in Unix milliseconds, which distinguishes it from earlier ones of the same name.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Hosts that should take the pool over when the owner is lost, the most suitable first.
-    pub heirs: Vec<Heir>,
+    #[serde(rename = "heirs")]
+    pub successors: Vec<Successor>,
 }
 
 /// A host that may take over a pool.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub(crate) struct Heir {
+pub(crate) struct Successor {
     /// Name of the host.
     pub host: String,
     /// Address for connections of other hosts.
--- a/crates/host/src/session.rs
+++ b/crates/host/src/session.rs
@@ -12,11 +12,11 @@
 use pool::{How, Listing, Mechanism, Ms, WorkerId};
 
 use crate::clock;
-use crate::hedge::{Call, Hedge, Outcome};
+use crate::hedge::{Attempt, Hedge, Outcome};
 use crate::host::lock;
-use crate::outside::HoldFailure;
+use crate::interfaces::PollFailure;
+use crate::log_sampling::is_logged_in_full;
 use crate::owner::Owner;
-use crate::sample::is_told_in_full;
 
 /// A hold waits this long for an end. A worker counts as silent after 1.6 s, so one lost hold is borne.
 const WAIT: Duration = Duration::from_millis(600);
@@ -51,7 +51,7 @@
     asked: Ms,
     /// Life, applied and noted number of ends as they were known then.
     ends: (u64, u64, u64),
-    outcome: Result<Listing, HoldFailure>,
+    outcome: Result<Listing, PollFailure>,
 }
 
 async fn hold(owner: &Arc<Owner>, id: &WorkerId) {
@@ -92,7 +92,7 @@
         };
         let all_noted = ends.1 <= ends.2;
         let wait = match lease {
-            Some(_) if all_noted && lock(&owner.lost_answers).is_common() => WAIT_LOSSY,
+            Some(_) if all_noted && lock(&owner.lost_answers).is_high() => WAIT_LOSSY,
             Some(_) if all_noted => WAIT,
             None if all_noted && responsive => UNPROVED,
             _ => Duration::ZERO,
@@ -126,7 +126,7 @@
                     }
                 }
             }
-            Err(HoldFailure::Fenced) => {
+            Err(PollFailure::Fenced) => {
                 warn!(worker = &**id, epoch = owner.epoch(); "a worker obeys a newer owner");
                 owner.over.cancel();
                 return;
@@ -172,7 +172,7 @@
         let (address, ends) = (self.address.clone(), self.ends);
         let (lease, noted) = (self.lease, self.noted);
         Box::pin(async move {
-            let outcome = workers.hold(&address, &id, epoch, lease, noted, wait).await;
+            let outcome = workers.poll(&address, &id, epoch, lease, noted, wait).await;
             Held {
                 asked,
                 ends,
@@ -190,7 +190,7 @@
     asked: Ms,
     wait: Duration,
     holds: &mut Hedge<Held>,
-) -> Result<(), HoldFailure> {
+) -> Result<(), PollFailure> {
     let overdue = lock(&owner.pool)
         .worker(id)
         .map_or(ANSWER_TIMEOUT, |worker| {
@@ -214,12 +214,12 @@
             take(owner, id, held.ends, held.asked, listing);
             Ok(())
         }
-        (Err(HoldFailure::Fenced), _) => Err(HoldFailure::Fenced),
-        (Err(_), Call::Earlier) => Ok(()),
-        (Err(failure), Call::Present) => Err(failure),
+        (Err(PollFailure::Fenced), _) => Err(PollFailure::Fenced),
+        (Err(_), Attempt::Earlier) => Ok(()),
+        (Err(failure), Attempt::Current) => Err(failure),
     };
     let due = wait + ANSWER_TIMEOUT;
-    let outcome = holds.ask(first, again, wait + overdue, due, take).await?;
+    let outcome = holds.call(first, again, wait + overdue, due, take).await?;
     lock(&owner.lost_answers).note(outcome == Outcome::Lost);
     let answered = || {
         let pool = lock(&owner.pool);
@@ -229,7 +229,7 @@
     if matches!(outcome, Outcome::InTime | Outcome::Lost) || answered() {
         Ok(())
     } else {
-        Err(HoldFailure::Lost)
+        Err(PollFailure::Lost)
     }
 }
 
@@ -265,7 +265,7 @@
 fn tell_end(id: &WorkerId, end: &pool::End) {
     metrics::counter!("lentilyoke_ends_total", "how" => end.how.name()).increment(1);
     let key = &end.task;
-    if end.how != How::Done || is_told_in_full(&key.stage.job) {
+    if end.how != How::Done || is_logged_in_full(&key.stage.job) {
         info!(
             job = &*key.stage.job, occurrence = key.stage.occurrence, step = key.stage.step,
             task = key.index, run = end.run, worker = &**id, how = end.how.name();
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -5,7 +5,7 @@
 
 /// Locations of the rows that other systems write into the store.
 #[derive(Clone, Debug)]
-pub struct Places {
+pub struct StoreTables {
     /// Table and key of the configuration.
     pub catalog: (String, String),
     /// Table of the workers.
@@ -26,17 +26,17 @@
     /// Its share of a processor.
     pub processors: f64,
     /// Bandwidth of its network link, in Mbit/s.
-    pub line: f64,
+    pub link_mbps: f64,
     /// Locations of the rows that other systems write into the store.
-    pub places: Places,
+    pub store_tables: StoreTables,
     /// Options of the pools that it owns.
     pub pool: pool::Options,
     /// Target number of workers in a pool; a larger deployment is divided into several pools.
-    pub pool_workers: u32,
+    pub workers_per_pool: u32,
     /// Maximum size of a row's value in the store, in bytes.
-    pub row_bytes: usize,
+    pub max_row_bytes: usize,
     /// Time between SIGTERM and the kill of the process.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Time within which an accepted configuration must be in force on all hosts.
-    pub catalog_within: Duration,
+    pub catalog_deadline: Duration,
 }
--- a/crates/host/src/unserved.rs
+++ b/crates/host/src/store_outage.rs
@@ -19,41 +19,41 @@
 
 /// An outage of the store, as one host sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Unserved {
+pub struct StoreOutage {
     /// Time of the first call that failed.
     pub since: Ms,
     /// All calls since then were refused, rather than left without an answer.
-    pub refused: bool,
+    pub only_refusals: bool,
 }
 
 /// Availability of the store to another host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Candidate {
     /// Time since which the store is available to it; `None` if it is not.
-    pub served: Option<Ms>,
+    pub available_since: Option<Ms>,
     /// Time of the store's last answer to it.
-    pub answered: Ms,
+    pub last_answer: Ms,
 }
 
-impl Unserved {
+impl StoreOutage {
     /// Records the failure of a call made at `asked`, in an outage that began before if `outage` is given. `refused` is set if the
     /// call certainly had no effect.
     pub fn note(outage: Option<Self>, asked: Ms, now: Ms, refused: bool) -> Self {
         let refused = refused && now.saturating_sub(asked) <= MAX_REFUSAL_LATENCY;
         let outage = outage.unwrap_or(Self {
             since: asked,
-            refused: true,
+            only_refusals: true,
         });
         Self {
-            refused: outage.refused && refused,
+            only_refusals: outage.only_refusals && refused,
             ..outage
         }
     }
 
     /// Whether the outage has lasted long enough to hand the pool over.
     #[must_use]
-    pub fn gives_up(&self, now: Ms) -> bool {
-        let limit = if self.refused {
+    pub fn warrants_handover(&self, now: Ms) -> bool {
+        let limit = if self.only_refusals {
             REFUSED_LIMIT
         } else {
             UNANSWERED_LIMIT
@@ -64,11 +64,11 @@
     /// Whether the pool may be handed over to this host. At the end of an outage for all, some host notices first. It must not
     /// get the pool for that, so the store has to have been available to it for as long as the owner is given to notice, too.
     #[must_use]
-    pub fn takes(&self, now: Ms, other: &Candidate) -> bool {
-        let Some(available_since) = other.served else {
+    pub fn can_take_over(&self, now: Ms, other: &Candidate) -> bool {
+        let Some(available_since) = other.available_since else {
             return false;
         };
         let steady = now.saturating_sub(available_since) >= UNANSWERED_LIMIT;
-        steady && (!self.refused || other.answered > self.since + MIN_ANSWER_AFTER_START)
+        steady && (!self.only_refusals || other.last_answer > self.since + MIN_ANSWER_AFTER_START)
     }
 }
--- a/crates/host/src/transfer.rs
+++ b/crates/host/src/transfer.rs
@@ -15,14 +15,16 @@
 
 use crate::claim::Version;
 use crate::host::lock;
-use crate::outside::{StoreError, Transaction};
+use crate::interfaces::{StoreError, Transaction};
 use crate::owner::Owner;
 use crate::route;
-use crate::rows::{CANCEL, JOBS, JobRow, Moved, PROGRESS, job_part, place_of, pool_part};
+use crate::rows::{
+    CANCEL_PREFIX, JOBS, JobRow, Moved, PROGRESS, job_part, job_row_header, pool_part,
+};
 
-/// Outcome of the transfer of several jobs.
+/// TransferOutcome of the transfer of several jobs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Outcome {
+pub(crate) enum TransferOutcome {
     /// No transaction is in flight.
     Settled,
     /// The answer to a transaction was lost, and it may still take effect.
@@ -30,26 +32,26 @@
 }
 
 /// Transfers jobs that the pool can't serve to other pools, each to one that it has not been in.
-pub(crate) async fn run(owner: &Owner, version: Version, jobs: &[JobId]) -> Outcome {
+pub(crate) async fn run(owner: &Owner, version: Version, jobs: &[JobId]) -> TransferOutcome {
     for id in jobs {
         match transfer(owner, version, id).await {
             Ok(()) => {}
-            Err(StoreError::Lost { .. }) => return Outcome::Unsure,
+            Err(StoreError::Lost { .. }) => return TransferOutcome::Unsure,
             Err(error) => warn!(job = &**id, error:% = error; "job transfer failed"),
         }
     }
-    Outcome::Settled
+    TransferOutcome::Settled
 }
 
 async fn transfer(owner: &Owner, version: Version, id: &JobId) -> Result<(), StoreError> {
     let host = owner.host();
     let part = job_part(id);
-    let row = host.present(JOBS, &part, id).await;
+    let row = host.read_current(JOBS, &part, id).await;
     let Ok(Some(row)) = row else {
         // The store didn't answer, or the row was deleted; the next pass tries again.
         return Ok(());
     };
-    let Some(header) = row.value.as_deref().and_then(place_of) else {
+    let Some(header) = row.value.as_deref().and_then(job_row_header) else {
         lock(&owner.pool).keep(id);
         return Ok(());
     };
@@ -65,7 +67,7 @@
         lock(&owner.pool).keep(id);
         return Ok(());
     };
-    let Some(to) = route::next(&host.plan(), &job, &from, &host.loads()) else {
+    let Some(to) = route::next_pool(&host.pool_map(), &job, &from, &host.loads()) else {
         lock(&owner.pool).keep(id);
         return Ok(());
     };
@@ -85,11 +87,11 @@
         part: pool_part(owner.number()),
         checks: version.checks(),
         deletes: vec![(PROGRESS.to_owned(), id.to_string())],
-        also: vec![Transaction {
+        other_parts: vec![Transaction {
             part,
             checks: vec![
                 (JOBS.to_owned(), id.to_string(), row.version),
-                (JOBS.to_owned(), format!("{CANCEL}{id}"), 0),
+                (JOBS.to_owned(), format!("{CANCEL_PREFIX}{id}"), 0),
             ],
             puts: vec![(JOBS.to_owned(), id.to_string(), value)],
             ..Transaction::default()
--- a/crates/host/src/wire.rs
+++ b/crates/host/src/wire.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, timeout_at};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-use crate::insert::Place;
+use crate::insert::JobLocation;
 use crate::packed::Packed;
 use crate::timed_reader::TimedReader;
 
@@ -40,34 +40,41 @@
         /// The host's share of a processor.
         processors: f64,
         /// Bandwidth of the host's network link, in Mbit/s.
-        line: f64,
+        #[serde(rename = "line")]
+        link_mbps: f64,
     },
     /// Sent periodically by every connected host.
-    Beat {
+    #[serde(rename = "Beat")]
+    Heartbeat {
         /// Version of the configuration in force at the host.
         catalog: u64,
         /// Whether the store is available to the host.
-        served: bool,
+        #[serde(rename = "served")]
+        store_available: bool,
         /// Shortest round trip from the host to the store, in milliseconds.
-        away: u64,
+        #[serde(rename = "away")]
+        store_rtt: u64,
         /// Number of pools that the host owns.
-        owns: u32,
+        #[serde(rename = "owns")]
+        owned_pools: u32,
         /// Time of sending, on the host's clock.
         #[serde(default)]
         sent: Ms,
         /// Time since the store last answered the host, in milliseconds; `None` if it never did.
-        #[serde(default)]
-        answered: Option<Ms>,
+        #[serde(default, rename = "answered")]
+        store_answer_age: Option<Ms>,
     },
     /// The host has accepted a job and written its row, which is at this place.
-    Accepted(Box<Job>, Place),
-    /// A call with its number, answered with [`FromOwner::Told`].
-    Ask(u64, Call),
+    Accepted(Box<Job>, JobLocation),
+    /// A call with its number, answered with [`FromOwner::Reply`].
+    #[serde(rename = "Ask")]
+    Call(u64, Call),
     /// Answer to [`FromOwner::Advise`] with its number: tickets by worker and their validity in milliseconds; `None` if the
     /// advisor didn't answer.
     Advised(u64, Option<(Vec<(String, String)>, u64)>),
-    /// Asks any host whether it reaches the owner of this pool or is it; answered with [`FromOwner::Hears`].
-    Hears(u32),
+    /// Asks any host whether it reaches the owner of this pool or is it; answered with [`FromOwner::OwnerReachable`].
+    #[serde(rename = "Hears")]
+    OwnerReachable(u32),
 }
 
 /// Call of a host to the owner of a pool.
@@ -82,7 +89,8 @@
     /// Returns the configuration in force at the owner.
     Catalog,
     /// Returns the pool map in force at the owner.
-    Plan,
+    #[serde(rename = "Plan")]
+    PoolMap,
 }
 
 /// Owner's reply to a [`Call`].
@@ -95,7 +103,7 @@
     /// The job is cancelled, and the cancellation is stored.
     Cancelled,
     /// The job's row exists, at this place.
-    Inserted(Place),
+    Inserted(JobLocation),
     /// The job's row was not written and will not be.
     Refused,
     /// The owner doesn't know the outcome, or has no answer.
@@ -103,7 +111,8 @@
     /// The configuration in force.
     Catalog(Packed),
     /// The pool map in force.
-    Plan(Box<crate::Plan>),
+    #[serde(rename = "Plan")]
+    PoolMap(Box<crate::PoolMap>),
 }
 
 impl Reply {
@@ -118,7 +127,7 @@
             Self::Refused => "refused",
             Self::Unsure => "unsure",
             Self::Catalog(_) => "configuration",
-            Self::Plan(_) => "plan",
+            Self::PoolMap(_) => "plan",
         }
     }
 }
@@ -127,15 +136,18 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum FromOwner {
     /// Sent periodically by the owner.
-    Beat(Beat),
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
     /// The answering host is not, or no longer, the owner.
     NotOwner {
         /// Start time of the answering process in Unix milliseconds. If the owner's row names another one, that process has
         /// ended.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
     },
-    /// Reply to the [`ToOwner::Ask`] with this number.
-    Told(u64, Reply),
+    /// Reply to the [`ToOwner::Call`] with this number.
+    #[serde(rename = "Told")]
+    Reply(u64, Reply),
     /// Requests that the host queries the advisor about a step, for the owner.
     Advise {
         /// Number of the request.
@@ -148,17 +160,19 @@
         takes: u64,
     },
     /// Requests that the host takes the pool over: the owner is leaving, has lost the store, or is less suitable.
-    Take {
+    #[serde(rename = "Take")]
+    TakeOver {
         /// The owner's epoch.
         epoch: u64,
     },
     /// Whether the answering host reaches the owner, or is it.
-    Hears(bool),
+    #[serde(rename = "Hears")]
+    OwnerReachable(bool),
 }
 
 /// State that the owner of a pool sends to all connected hosts periodically.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The pool.
     pub pool: u32,
     /// The owner's epoch.
@@ -173,33 +187,36 @@
     pub catalog_age: Ms,
     /// Time at which the receiving host sent the last heartbeat that the owner has received, on that host's clock; 0 if there
     /// was none.
-    #[serde(default)]
-    pub heard: Ms,
+    #[serde(default, rename = "heard")]
+    pub echoed_at: Ms,
     /// Whether the store is available to the owner.
-    pub served: bool,
+    #[serde(rename = "served")]
+    pub store_available: bool,
     /// Whether the owner's last call to the store failed.
-    #[serde(default)]
-    pub failing: bool,
+    #[serde(default, rename = "failing")]
+    pub store_failing: bool,
     /// Version of the pool map in force at the owner.
-    pub plan: u64,
+    #[serde(rename = "plan")]
+    pub pool_map: u64,
     /// Number of jobs of which nothing has started, by queue; `None` until the owner has loaded the jobs.
     pub pending: Option<FxHashMap<String, u64>>,
     /// Running and waiting work, as a share of the pool's capacity.
-    pub taken: f64,
+    #[serde(rename = "taken")]
+    pub load: f64,
     /// Labels of the pool's workers.
     pub labels: Vec<String>,
 }
 
-impl Beat {
+impl Heartbeat {
     /// Latest time at which a configuration of this version is certain to have been the newest, on the receiving host's clock;
     /// `None` if the heartbeat doesn't confirm it.
     ///
     /// A heartbeat may have been in transit for long. Its content was true once the owner had received the host's own heartbeat
     /// that it echoes, so the time of sending that one is a safe lower bound.
     #[must_use]
-    pub fn confirms(&self, version: u64) -> Option<Ms> {
+    pub fn confirmed_at(&self, version: u64) -> Option<Ms> {
         let same = version > 0 && self.catalog == version;
-        (same && self.heard > 0).then(|| self.heard.saturating_sub(self.catalog_age))
+        (same && self.echoed_at > 0).then(|| self.echoed_at.saturating_sub(self.catalog_age))
     }
 }
 
--- a/crates/host/src/writer.rs
+++ b/crates/host/src/writer.rs
@@ -14,10 +14,10 @@
 use crate::claim::{Claim, Version};
 use crate::clock;
 use crate::host::lock;
-use crate::outside::{Row, StoreError, Transaction};
+use crate::interfaces::{Row, StoreError, Transaction};
 use crate::owner::Owner;
-use crate::rows::{CANCEL, JOBS, PROGRESS, RosterRow, job_part, pool_part};
-use crate::transfer::{self, Outcome};
+use crate::rows::{CANCEL_PREFIX, JOBS, PROGRESS, RosterRow, job_part, pool_part};
+use crate::transfer::{self, TransferOutcome};
 
 /// Heirs are stored with whatever else changes, or after this: hosts come and go together.
 const HEIRS_PACE: Duration = Duration::from_millis(1_500);
@@ -56,9 +56,9 @@
             old = lock(&owner.pool).sweep(clock::unix());
             old = forget(owner, &old).await;
         }
-        if !unsure && owner.host().plan().pools() > 1 {
+        if !unsure && owner.host().pool_map().pool_count() > 1 {
             let misfits = lock(&owner.pool).misfits(clock::now());
-            if transfer::run(owner, version, &misfits).await == Outcome::Unsure {
+            if transfer::run(owner, version, &misfits).await == TransferOutcome::Unsure {
                 unsure = true;
                 continue;
             }
@@ -79,12 +79,12 @@
             claim.roster.serial + 1,
             roster.iter().map(ToString::to_string),
             silent,
-            owner.host().settings.row_bytes,
+            owner.host().settings.max_row_bytes,
         );
         let same_roster = next_roster.roster == claim.roster.roster;
         let same_silent = next_roster.silent == claim.roster.silent;
         let heirs = owner.heirs();
-        let new_heirs = heirs != claim.owner.heirs && renamed.elapsed() > HEIRS_PACE;
+        let new_heirs = heirs != claim.owner.successors && renamed.elapsed() > HEIRS_PACE;
         let roster_changed = !same_roster || !same_silent || new_heirs;
         if batch.rows.is_empty() && !roster_changed && !unsure && old.is_empty() {
             rows_most = rows_most.max(1);
@@ -100,7 +100,7 @@
         let mut next = claim.clone();
         next.roster = next_roster;
         if new_heirs {
-            next.owner.heirs = heirs;
+            next.owner.successors = heirs;
         }
         let rewrite = roster_changed || unsure;
         let deletes = if batch.rows.is_empty() {
@@ -190,7 +190,7 @@
         for ids in ids.chunks(SWEEP_MOST) {
             let rows = ids
                 .iter()
-                .flat_map(|id| [id.to_string(), format!("{CANCEL}{id}")]);
+                .flat_map(|id| [id.to_string(), format!("{CANCEL_PREFIX}{id}")]);
             let transaction = Transaction {
                 part: part.clone(),
                 deletes: rows.map(|key| (JOBS.to_owned(), key)).collect(),
@@ -265,6 +265,8 @@
 fn own_claim(rows: &[Row], mine: &Claim) -> Option<(Claim, Version)> {
     let (found, version) = Claim::find(rows)?;
     let (other, mine) = (&found.owner, &mine.owner);
-    let same = other.host == mine.host && other.epoch == mine.epoch && other.life == mine.life;
+    let same = other.host == mine.host
+        && other.epoch == mine.epoch
+        && other.incarnation == mine.incarnation;
     same.then_some((found, version))
 }
--- a/crates/host/tests/helpers.rs
+++ b/crates/host/tests/advisor_proxies.rs
@@ -1,11 +1,11 @@
 //! Which host asks the advisor: short questions, and half of the hosts in another region.
 
-use host::helpers::{Due, Helper};
+use host::advisor_proxies::{AdvisorProxy, ExpectedAt};
 
 /// Twenty hosts, ten of them far: the platform answers those in 45 ms.
 struct Play {
-    helpers: Vec<Helper>,
-    pending: Vec<(usize, Due, u64)>,
+    helpers: Vec<AdvisorProxy>,
+    pending: Vec<(usize, ExpectedAt, u64)>,
 }
 
 fn away(at: usize) -> u64 {
@@ -15,7 +15,7 @@
 impl Play {
     fn new() -> Self {
         Self {
-            helpers: vec![Helper::default(); 20],
+            helpers: vec![AdvisorProxy::default(); 20],
             pending: Vec::new(),
         }
     }
@@ -25,13 +25,13 @@
         let helpers = &mut self.helpers;
         self.pending.retain(|&(at, due, back)| {
             if back <= now {
-                helpers[at].answered(back, due);
+                helpers[at].complete(back, due);
             }
             back > now
         });
-        let place = |at: &usize| helpers[*at].place(now, away(*at), takes);
+        let place = |at: &usize| helpers[*at].score(now, away(*at), takes);
         let best = (0..20).min_by_key(place).expect("there are some");
-        let due = helpers[best].ask(now, takes);
+        let due = helpers[best].assign(now, takes);
         let back = due.0 + 2 * away(best);
         self.pending.push((best, due, back));
         (best, back - now)
@@ -75,15 +75,15 @@
 /// Guards against a host that is set aside for good because its way was full once.
 #[test]
 fn a_host_that_was_late_is_asked_again() {
-    let mut late = Helper::default();
-    let due = late.ask(0, 40);
-    late.answered(5_000, due);
-    let sound = Helper::default();
-    assert!(late.place(6_000, 1, 40) > sound.place(6_000, 45, 40));
+    let mut late = AdvisorProxy::default();
+    let due = late.assign(0, 40);
+    late.complete(5_000, due);
+    let sound = AdvisorProxy::default();
+    assert!(late.score(6_000, 1, 40) > sound.score(6_000, 45, 40));
     for at in 1..12 {
         let now = 6_000 + at * 100;
-        let due = late.ask(now, 40);
-        late.answered(due.0 + 2, due);
+        let due = late.assign(now, 40);
+        late.complete(due.0 + 2, due);
     }
-    assert!(late.place(8_000, 1, 40) < sound.place(8_000, 45, 40));
+    assert!(late.score(8_000, 1, 40) < sound.score(8_000, 45, 40));
 }
--- a/crates/host/tests/beat.rs
+++ b/crates/host/tests/beat.rs
@@ -1,30 +1,30 @@
 //! What a host may conclude from an owner's beat.
 
-use host::wire::Beat;
+use host::wire::Heartbeat;
 
-fn beat(catalog: u64, heard: u64, catalog_age: u64) -> Beat {
-    Beat {
+fn beat(catalog: u64, echoed_at: u64, catalog_age: u64) -> Heartbeat {
+    Heartbeat {
         catalog,
-        heard,
+        echoed_at,
         catalog_age,
-        served: true,
-        ..Beat::default()
+        store_available: true,
+        ..Heartbeat::default()
     }
 }
 
 /// Guards against a late beat that makes an old configuration look current.
 #[test]
 fn a_beat_says_what_was_so_when_the_owner_heard_the_host() {
-    assert_eq!(beat(7, 10_000, 400).confirms(7), Some(9_600));
-    assert_eq!(beat(7, 200, 400).confirms(7), Some(0));
+    assert_eq!(beat(7, 10_000, 400).confirmed_at(7), Some(9_600));
+    assert_eq!(beat(7, 200, 400).confirmed_at(7), Some(0));
 }
 
 /// Guards against owners that are served and have another version, or don't know whether theirs is the newest.
 #[test]
 fn only_an_owner_that_knows_confirms() {
-    assert_eq!(beat(8, 10_000, 0).confirms(7), None);
-    assert_eq!(beat(6, 10_000, 0).confirms(7), None);
-    assert_eq!(beat(0, 10_000, 0).confirms(0), None);
-    assert_eq!(beat(7, 0, 0).confirms(7), None);
-    assert_eq!(beat(7, 10_000, u64::MAX).confirms(7), Some(0));
+    assert_eq!(beat(8, 10_000, 0).confirmed_at(7), None);
+    assert_eq!(beat(6, 10_000, 0).confirmed_at(7), None);
+    assert_eq!(beat(0, 10_000, 0).confirmed_at(0), None);
+    assert_eq!(beat(7, 0, 0).confirmed_at(7), None);
+    assert_eq!(beat(7, 10_000, u64::MAX).confirmed_at(7), Some(0));
 }
--- a/crates/host/tests/follow.rs
+++ b/crates/host/tests/follow.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use host::follow::{Change, Rhythm, follow, read};
+use host::follow::{Change, PollTiming, follow, read};
 use host::{Feed, Page, Row, Store, StoreError, Transaction};
 use tokio::time::{Instant, sleep, timeout};
 
@@ -78,9 +78,9 @@
         "workers",
         &parts,
         Some(0),
-        Rhythm::default().pause(pace),
+        PollTiming::default().pause(pace),
         |change| {
-            if let Change::Some(feed) = change {
+            if let Change::Update(feed) = change {
                 most = most.max(feed.rows.len());
             }
         },
@@ -262,11 +262,18 @@
         let store = Away { back };
         let parts = [String::new()];
         let mut answered = None;
-        let following = follow(&store, "op", &parts, Some(0), Rhythm::default(), |change| {
-            if let Change::Some(_) = change {
-                answered.get_or_insert(Instant::now());
-            }
-        });
+        let following = follow(
+            &store,
+            "op",
+            &parts,
+            Some(0),
+            PollTiming::default(),
+            |change| {
+                if let Change::Update(_) = change {
+                    answered.get_or_insert(Instant::now());
+                }
+            },
+        );
         drop(timeout(Duration::from_secs(8), following).await);
         let late = answered.expect("it is back") - back;
         assert!(late < Duration::from_millis(600), "{late:?}");
@@ -324,11 +331,18 @@
         let store = Distant { back, row };
         let parts = [String::new()];
         let mut ages = Vec::new();
-        let following = follow(&store, "op", &parts, Some(0), Rhythm::default(), |change| {
-            if let Change::Some(feed) = change {
-                ages.push(host::clock::now().saturating_sub(feed.at));
-            }
-        });
+        let following = follow(
+            &store,
+            "op",
+            &parts,
+            Some(0),
+            PollTiming::default(),
+            |change| {
+                if let Change::Update(feed) = change {
+                    ages.push(host::clock::now().saturating_sub(feed.at));
+                }
+            },
+        );
         drop(timeout(back * 4, following).await);
         assert!(!ages.is_empty());
         let least = back.as_millis() as u64 - 1;
@@ -370,7 +384,7 @@
     }
 }
 
-async fn questions(refuses: bool, rhythm: Rhythm) -> u32 {
+async fn questions(refuses: bool, rhythm: PollTiming) -> u32 {
     let store = Counted {
         asked: Mutex::default(),
         refuses,
@@ -386,7 +400,7 @@
 /// down: half of all calls of a quiet day were such questions.
 #[tokio::test(start_paused = true)]
 async fn a_table_that_hardly_changes_is_asked_about_seldom() {
-    let seldom = Rhythm::default()
+    let seldom = PollTiming::default()
         .wait(Duration::from_secs(2))
         .retry(Duration::from_millis(400));
     assert!(questions(false, seldom).await <= 32);
--- a/crates/host/tests/hedge.rs
+++ b/crates/host/tests/hedge.rs
@@ -5,7 +5,7 @@
 
 use futures::FutureExt as _;
 use futures::future::BoxFuture;
-use host::hedge::{Call, Hedge, Lost, Outcome};
+use host::hedge::{Attempt, Hedge, LossRate, Outcome};
 use tokio::time::{Instant, sleep};
 
 const OVERDUE: Duration = Duration::from_millis(700);
@@ -24,7 +24,7 @@
 }
 
 /// What was taken, and when, in milliseconds.
-type Taken = Vec<(u128, &'static str, Call)>;
+type Taken = Vec<(u128, &'static str, Attempt)>;
 
 async fn ask(
     holds: &mut Hedge<&'static str>,
@@ -34,7 +34,7 @@
     let began = Instant::now();
     let mut taken = Taken::new();
     let answered = holds
-        .ask(
+        .call(
             first,
             || again,
             OVERDUE,
@@ -60,7 +60,7 @@
     )
     .await;
     assert_eq!(outcome, Outcome::Lost);
-    assert_eq!(taken, [(745, "again", Call::Present)]);
+    assert_eq!(taken, [(745, "again", Attempt::Current)]);
 }
 
 /// Guards against an answer that is dropped because another one was asked for: it may tell of ends.
@@ -73,7 +73,7 @@
         Some(call("again", Some(100))),
     )
     .await;
-    assert_eq!(taken, [(720, "first", Call::Earlier)]);
+    assert_eq!(taken, [(720, "first", Attempt::Earlier)]);
     assert_eq!(outcome, Outcome::Late, "it is not lost");
     let (_, taken) = ask(
         &mut holds,
@@ -81,7 +81,10 @@
         Some(call("none", None)),
     )
     .await;
-    let rest = [(80, "again", Call::Earlier), (600, "next", Call::Present)];
+    let rest = [
+        (80, "again", Attempt::Earlier),
+        (600, "next", Attempt::Current),
+    ];
     assert_eq!(taken, rest);
 }
 
@@ -98,7 +101,10 @@
     .await;
     let (outcome, taken) = ask(&mut holds, call("first", Some(1_100)), None).await;
     assert_eq!(outcome, Outcome::Late);
-    let both = [(750, "old", Call::Earlier), (1_100, "first", Call::Earlier)];
+    let both = [
+        (750, "old", Attempt::Earlier),
+        (1_100, "first", Attempt::Earlier),
+    ];
     assert_eq!(taken, both);
 }
 
@@ -108,7 +114,7 @@
     let mut holds = Hedge::default();
     let (outcome, taken) = ask(&mut holds, call("first", Some(1_000)), None).await;
     assert_eq!(outcome, Outcome::Late);
-    assert_eq!(taken, [(1_000, "first", Call::Earlier)]);
+    assert_eq!(taken, [(1_000, "first", Attempt::Earlier)]);
 }
 
 /// Guards against a worker that never answers and is not told from one that does, and against calls that pile up there.
@@ -131,7 +137,7 @@
     let mut holds = Hedge::default();
     let began = Instant::now();
     let answered = holds
-        .ask(
+        .call(
             call("first", Some(640)),
             || panic!("it is asked again"),
             OVERDUE,
@@ -147,10 +153,10 @@
 /// of them are down or a few answers come late.
 #[test]
 fn lost_answers_are_common_only_while_many_are_lost() {
-    let mut lost = Lost::default();
+    let mut lost = LossRate::default();
     let mut play = |every: usize| {
         (1..=600).for_each(|call| lost.note(call % every == 0));
-        lost.is_common()
+        lost.is_high()
     };
     assert!(!play(70), "eight of 540 workers are down");
     assert!(play(15));
--- a/crates/host/tests/insert.rs
+++ b/crates/host/tests/insert.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use host::insert::{Inserted, Place, insert};
+use host::insert::{Inserted, JobLocation, insert};
 use host::{Feed, Page, Row, Store, StoreError, Transaction};
 use pool::Job;
 use tokio::time::{Instant, sleep};
@@ -14,7 +14,7 @@
 
 /// The row is there for a job that has always been in this pool, written by the fake's only transaction.
 const fn there(pool: u32) -> Inserted {
-    Inserted::There(Place {
+    Inserted::Present(JobLocation {
         pool,
         version: 1,
         moved: false,
--- a/crates/host/tests/links.rs
+++ b/crates/host/tests/links.rs
@@ -5,7 +5,7 @@
 
 use host::link::Link;
 use host::packed::Packed;
-use host::wire::{Beat, Call, FromOwner, Receiver, Reply, Sender, ToOwner};
+use host::wire::{Call, FromOwner, Heartbeat, Receiver, Reply, Sender, ToOwner};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _, DuplexStream, duplex};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
@@ -20,9 +20,9 @@
 const BUFFER: usize = 8 << 20;
 
 fn beat(labels: usize) -> FromOwner {
-    FromOwner::Beat(Beat {
+    FromOwner::Heartbeat(Heartbeat {
         labels: vec!["a label that makes the frame long".to_owned(); labels],
-        ..Beat::default()
+        ..Heartbeat::default()
     })
 }
 
@@ -33,7 +33,7 @@
 
 fn labels(message: Option<FromOwner>) -> usize {
     match message {
-        Some(FromOwner::Beat(beat)) => beat.labels.len(),
+        Some(FromOwner::Heartbeat(beat)) => beat.labels.len(),
         other => panic!("not a beat: {other:?}"),
     }
 }
@@ -134,10 +134,10 @@
     mut sender: Sender<FromOwner, DuplexStream>,
 ) -> u32 {
     let mut asked = 0;
-    while let Some(ToOwner::Ask(number, Call::Catalog)) = calls.recv().await {
+    while let Some(ToOwner::Call(number, Call::Catalog)) = calls.recv().await {
         asked += 1;
         let reply = Reply::Catalog(catalog());
-        send(&mut sender, &FromOwner::Told(number, reply)).await;
+        send(&mut sender, &FromOwner::Reply(number, reply)).await;
     }
     asked
 }
@@ -145,7 +145,7 @@
 /// Passes answers to the link.
 async fn read_answers(link: &Link, mut receiver: Receiver<FromOwner, DuplexStream>) {
     while let Ok(Some(message)) = receiver.next_within(SILENCE).await {
-        if let FromOwner::Told(number, reply) = message {
+        if let FromOwner::Reply(number, reply) = message {
             assert!(
                 link.answer(number, reply).is_none(),
                 "the call was given up"
--- a/crates/host/tests/route.rs
+++ b/crates/host/tests/route.rs
@@ -1,15 +1,15 @@
 //! Jobs are spread over pools by load, and found again by their ids.
 
-use host::Plan;
-use host::route::{Load, candidates, choose};
+use host::PoolMap;
+use host::route::{Load, candidates, choose_pool};
 use pool::{Job, Step};
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 
-fn plan(sizes: &[u32]) -> Plan {
+fn plan(sizes: &[u32]) -> PoolMap {
     let racks = sizes.iter().enumerate();
-    Plan {
+    PoolMap {
         version: 1,
         sizes: sizes.to_vec(),
         racks: racks
@@ -28,8 +28,8 @@
 fn loads(taken: &[f64]) -> FxHashMap<u32, Load> {
     let load = |(pool, &taken): (usize, &f64)| {
         let load = Load {
-            heard: true,
-            taken,
+            is_recent: true,
+            load: taken,
             labels: vec!["a".to_owned()],
         };
         (pool as u32, load)
@@ -59,7 +59,7 @@
         let size = if random.random_bool(0.1) { 0.03 } else { 0.001 };
         let job = job(random.random());
         let pool = if by_load {
-            choose(&plan, &job, &told)
+            choose_pool(&plan, &job, &told)
         } else {
             candidates(&plan, &job.id)[0]
         } as usize;
@@ -89,7 +89,7 @@
     let mut counts = [0_u32; 4];
     for id in 0..2_000 {
         let job = job(id);
-        let pool = choose(&plan, &job, &told);
+        let pool = choose_pool(&plan, &job, &told);
         assert!(candidates(&plan, &job.id).contains(&pool));
         counts[candidates(&plan, &job.id)[0] as usize] += 1;
     }
@@ -114,7 +114,7 @@
             ..Step::default()
         };
         assert_eq!(
-            choose(
+            choose_pool(
                 &plan,
                 &Job {
                     steps: vec![near],
@@ -129,7 +129,7 @@
             ..Step::default()
         };
         assert_eq!(
-            choose(
+            choose_pool(
                 &plan,
                 &Job {
                     steps: vec![label],
@@ -149,9 +149,9 @@
     for id in 0..50 {
         let first = candidates(&plan, &job(id).id)[0];
         let mut told = loads(&[0.9, 0.9]);
-        told.get_mut(&first).expect("it is there").heard = false;
-        assert_eq!(choose(&plan, &job(id), &told), 1 - first);
-        told.get_mut(&(1 - first)).expect("it is there").taken = 1.9;
-        assert_eq!(choose(&plan, &job(id), &told), first);
+        told.get_mut(&first).expect("it is there").is_recent = false;
+        assert_eq!(choose_pool(&plan, &job(id), &told), 1 - first);
+        told.get_mut(&(1 - first)).expect("it is there").load = 1.9;
+        assert_eq!(choose_pool(&plan, &job(id), &told), first);
     }
 }
