--- /dev/null
+++ b/crates/host/src/interfaces.rs
@@ -0,0 +1,207 @@
+//! External interfaces of a host: store, workers, advisor and decoding of foreign rows.
+
+use std::time::Duration;
+
+use async_trait::async_trait;
+use pool::{Answer, Listing, Ms, News, Pace, StageKey, Start, Stop, StopAnswer, WorkerId};
+use snafu::Snafu;
+
+use crate::catalog::Catalog;
+
+/// A row of the store.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Row {
+    /// The table that it is in.
+    pub table: String,
+    /// The part of the table that it is in.
+    pub part: String,
+    /// Key, unique within its part of the table.
+    pub key: String,
+    /// Content; `None` if the row doesn't exist or was deleted.
+    pub value: Option<Vec<u8>>,
+    /// The transaction that wrote the row last; 0 if it never existed.
+    pub version: u64,
+}
+
+/// Why a call to the store failed.
+#[derive(Debug, Snafu)]
+pub enum StoreError {
+    /// The call had no effect, and may be repeated.
+    #[snafu(display("the store refused the call: {why}"))]
+    Refused {
+        /// Reason given by the store.
+        why: String,
+    },
+    /// The call had no effect, and will be rejected whenever it is repeated: it is invalid or too large.
+    #[snafu(display("the store rejected the call: {why}"))]
+    Rejected {
+        /// Reason given by the store.
+        why: String,
+    },
+    /// The call may have taken effect, or may still do so.
+    #[snafu(display("no answer from the store: {why}"))]
+    Lost {
+        /// What was seen instead of an answer.
+        why: String,
+    },
+    /// A condition of the transaction did not hold.
+    #[snafu(display("a condition of the transaction did not hold"))]
+    Conflict {
+        /// Present versions of the rows of the conditions.
+        rows: Vec<Row>,
+    },
+    /// The store no longer has the requested history.
+    #[snafu(display("the store no longer has the requested history"))]
+    HistoryCompacted,
+}
+
+/// Conditions and writes that take effect atomically, within one part, and in further parts if `other_parts` names any.
+#[derive(Clone, Debug, Default)]
+pub struct Transaction {
+    /// The part that all rows are in.
+    pub part: String,
+    /// Conditions: table, key and the version that the row must have, or 0 if it must not exist.
+    pub checks: Vec<(String, String, u64)>,
+    /// Writes: table, key and new value.
+    pub puts: Vec<(String, String, Vec<u8>)>,
+    /// Deletions: table and key.
+    pub deletes: Vec<(String, String)>,
+    /// Conditions and writes in other parts. A store may refuse transactions over several parts, and takes twice as long for
+    /// them.
+    pub other_parts: Vec<Transaction>,
+}
+
+/// A consistent set of rows.
+#[derive(Clone, Debug, Default)]
+pub struct Page {
+    /// The rows; in a feed, the newest last.
+    pub rows: Vec<Row>,
+    /// The newest transaction that the rows reflect.
+    pub version: u64,
+    /// Key at which the next page begins; `None` on the last page.
+    pub next: Option<String>,
+    /// Latest time, by [`crate::clock::now`], at which the page is certain to have been up to date. Readers set it, since an
+    /// answer may have been in transit for long.
+    pub at: Ms,
+}
+
+impl Page {
+    /// Appends a further page. The result has the version and time of the older of the two.
+    pub fn add(&mut self, page: Self) {
+        self.version = self.version.min(page.version);
+        self.at = self.at.min(page.at);
+        self.rows.extend(page.rows);
+        self.next = page.next;
+    }
+}
+
+/// Changed rows.
+pub type Feed = Page;
+
+/// The platform's table service.
+#[async_trait]
+pub trait Store: Send + Sync {
+    /// Commits a transaction and returns its version.
+    ///
+    /// # Errors
+    /// What is known of its effect; see [`StoreError`].
+    async fn commit(&self, transaction: &Transaction) -> Result<u64, StoreError>;
+
+    /// Reads one page of the rows of a part of a table, starting at the key `from`.
+    ///
+    /// # Errors
+    /// [`StoreError::Refused`] or [`StoreError::Lost`].
+    async fn page(&self, table: &str, part: &str, from: &str) -> Result<Page, StoreError>;
+
+    /// Reads all rows of a part of a table, or fails with the first page that does. The result has the version of its oldest
+    /// page; a feed from that version on delivers the changes since.
+    ///
+    /// # Errors
+    /// [`StoreError::Refused`] or [`StoreError::Lost`].
+    async fn list(&self, table: &str, part: &str) -> Result<Page, StoreError> {
+        let mut all = self.page(table, part, "").await?;
+        while let Some(from) = all.next.take() {
+            let page = self.page(table, part, &from).await?;
+            all.add(page);
+        }
+        Ok(all)
+    }
+
+    /// Reads one row.
+    ///
+    /// # Errors
+    /// [`StoreError::Refused`] or [`StoreError::Lost`].
+    async fn get(&self, table: &str, part: &str, key: &str) -> Result<Option<Row>, StoreError>;
+
+    /// Returns the changes of a table since the transaction `after`; waits up to `wait` for the first one.
+    ///
+    /// # Errors
+    /// [`StoreError::HistoryCompacted`] if the store no longer has all of them; [`StoreError::Refused`] or [`StoreError::Lost`].
+    async fn feed(&self, table: &str, after: u64, wait: Duration) -> Result<Feed, StoreError>;
+}
+
+/// Why a hold call failed.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum PollFailure {
+    /// The worker has seen an owner with a higher epoch.
+    Fenced,
+    /// Another worker answered at the address.
+    Other,
+    /// The address could not be reached.
+    Away,
+    /// The call was sent but not answered.
+    Lost,
+}
+
+/// Calls to workers.
+#[async_trait]
+pub trait Workers: Send + Sync {
+    /// Starts a task.
+    async fn start(&self, address: &str, epoch: u64, start: &Start) -> Answer;
+
+    /// Stops a run.
+    async fn stop(&self, address: &str, epoch: u64, stop: &Stop) -> StopAnswer;
+
+    /// Changes the pace of a run; `true` if the worker confirmed it.
+    async fn pace(&self, address: &str, epoch: u64, pace: &Pace) -> bool;
+
+    /// Long poll of a worker: renews its lease (until `lease` on the worker's clock, if given), lets it discard the ends of runs
+    /// up to the number `noted`, and returns its runs; waits up to `wait` for the end of a run.
+    ///
+    /// # Errors
+    /// Why there is no listing.
+    async fn poll(
+        &self,
+        address: &str,
+        worker: &WorkerId,
+        epoch: u64,
+        lease: Option<Ms>,
+        noted: u64,
+        wait: Duration,
+    ) -> Result<Listing, PollFailure>;
+}
+
+/// Workers that may run a step, each with its ticket, and how long the tickets are valid.
+pub type Tickets = (Vec<(WorkerId, String)>, Ms);
+
+/// The advisor, which decides which workers may run a step.
+#[async_trait]
+pub trait Advisor: Send + Sync {
+    /// Returns those of the workers that may run a step; `None` if the advisor didn't answer. `takes` is the expected duration
+    /// of the query.
+    async fn query(
+        &self,
+        stage: &StageKey,
+        workers: &[WorkerId],
+        takes: Duration,
+    ) -> Option<Tickets>;
+}
+
+/// Decodes rows that other systems write into the store.
+pub trait Decode: Send + Sync {
+    /// Decodes the configuration; `None` if it can't be parsed.
+    fn catalog(&self, value: &[u8]) -> Option<Catalog>;
+
+    /// Decodes the row of a worker; `None` if the row doesn't describe one.
+    fn worker(&self, key: &str, value: &[u8]) -> Option<News>;
+}
--- a/crates/host/src/pool_state.rs
+++ b/crates/host/src/pool_state.rs
@@ -11,7 +11,7 @@
 use crate::link::Link;
 use crate::owner::Owner;
 use crate::route::Load;
-use crate::wire::Beat;
+use crate::wire::Heartbeat;
 
 /// An owner whose last beat is older than four of them may be gone.
 const RECENT: Ms = 1_000;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LastHeartbeat {
     pub received_at: Ms,
-    pub heartbeat: Beat,
+    pub heartbeat: Heartbeat,
 }
 
 /// One pool, as a host that may own it sees it.
@@ -76,12 +76,12 @@
             self.knows_owner.store(true, Ordering::Relaxed);
         }
         self.update_pool_state(pool, change);
-        self.unowned.notify_one();
+        self.owner_missing.notify_one();
     }
 
     /// Whether there is a pool whose owner this host doesn't know.
     pub(crate) fn has_unknown_owner(&self) -> bool {
-        let pools = self.plan.load().pools() as usize;
+        let pools = self.pool_map.load().pool_count() as usize;
         let pool_states = lock(&self.pool_states);
         let known = pool_states.iter().take(pools);
         known
@@ -126,7 +126,7 @@
         let pool_states = lock(&self.pool_states);
         let served = pool_states.iter().find(|state| {
             state.link.is_some()
-                && state.last_heartbeat.heartbeat.served
+                && state.last_heartbeat.heartbeat.store_available
                 && now.saturating_sub(state.last_heartbeat.received_at) < SERVED_NEWS
         });
         served.and_then(|state| state.link.clone())
@@ -143,10 +143,10 @@
     pub(crate) fn sum_over_pools(
         &self,
         max_age: Ms,
-        part: impl Fn(&Beat) -> Option<u64>,
+        part: impl Fn(&Heartbeat) -> Option<u64>,
     ) -> Option<u64> {
         let now = clock::now();
-        let pools = self.plan.load().pools() as usize;
+        let pools = self.pool_map.load().pool_count() as usize;
         let pool_states = lock(&self.pool_states);
         let told = (0..pools).map(|pool| {
             let state = pool_states.get(pool)?;
@@ -164,9 +164,9 @@
         let pool_states = lock(&self.pool_states);
         let loads = pool_states.iter().enumerate().map(|(pool, state)| {
             let load = Load {
-                heard: now.saturating_sub(state.last_heartbeat.received_at) < RECENT
+                is_recent: now.saturating_sub(state.last_heartbeat.received_at) < RECENT
                     && state.last_heartbeat.heartbeat.pending.is_some(),
-                taken: state.last_heartbeat.heartbeat.taken,
+                load: state.last_heartbeat.heartbeat.load,
                 labels: state.last_heartbeat.heartbeat.labels.clone(),
             };
             (pool as u32, load)
@@ -175,7 +175,10 @@
     }
 
     /// The way to an owner that was heard lately and knows something newer.
-    pub(crate) fn link_to_owner_where(&self, newer: impl Fn(&Beat) -> bool) -> Option<Arc<Link>> {
+    pub(crate) fn link_to_owner_where(
+        &self,
+        newer: impl Fn(&Heartbeat) -> bool,
+    ) -> Option<Arc<Link>> {
         let now = clock::now();
         let pool_states = lock(&self.pool_states);
         let ahead = pool_states.iter().find(|state| {
