--- a/crates/pool/src/advice.rs
+++ b/crates/pool/src/advice.rs
@@ -1,9 +1,10 @@
-//! Which workers to ask the advisor about.
+//! Which workers an advisor query names.
 //!
-//! Answers the load in which the advisor is scarce: a question costs a fixed time and a further time for each worker
-//! named. Naming too few means a second question with its fixed time; naming all costs the further time for nothing.
-//! So as many are named as give room for what waits with the share of yes that was seen, and a third more; and always as
-//! many as add little to the fixed time. Answers about a step never change, so what was asked too early is of use later.
+//! The advisor's time is scarce: a query takes a fixed time and an additional time for each worker it names. Naming too few
+//! workers leads to a second query with its fixed time; naming all of them wastes the additional time. So a query names as
+//! many workers as give enough capacity to the waiting tasks at the observed approval rate, and a third more; and in any
+//! case as many as add little to the fixed time. Answers about a step never change, so those about workers that aren't
+//! needed yet are used later.
 
 use std::cmp::Reverse;
 use std::hash::BuildHasher as _;
@@ -13,24 +14,25 @@
 use crate::job::Advice;
 use crate::task::{Ms, WorkerId};
 
-/// A worker that could be asked about.
+/// A worker that a query may name.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// The worker.
     pub worker: WorkerId,
-    /// How many of the waiting tasks it has room for now.
+    /// How many of the waiting tasks fit into its free capacity.
     pub fits: u32,
-    /// It was allowed before, and only its ticket ran out.
+    /// It was allowed before, and only its ticket has expired.
     pub known: bool,
 }
 
-/// Spare beyond what the observed share of yes demands. The share varies from step to step by about a third.
+/// Factor by which a query exceeds what the observed approval rate demands. The rate varies from step to step by about a
+/// third.
 const SPARE: f64 = 1.35;
 
-/// Share of the fixed time of a question that further workers may add to it without need.
+/// Workers beyond those needed may add up to this share of a query's fixed time.
 const CHEAP: f64 = 0.25;
 
-/// How many workers may be named in any case: together they add little to the fixed time of a question.
+/// Number of workers that a query may name in any case: together they add little to its fixed time.
 #[must_use]
 pub fn cheap(advice: &Advice) -> usize {
     if advice.each > 0.0 {
@@ -40,29 +42,29 @@
     }
 }
 
-/// Time that a question about this many workers takes.
+/// Time that a query about this many workers takes.
 #[must_use]
 pub fn takes(advice: &Advice, workers: usize) -> Ms {
     (advice.base + advice.each * workers as f64) as Ms
 }
 
-/// What a question is for.
+/// Requirements of a query.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted {
-    /// How many tasks wait.
+    /// Number of waiting tasks.
     pub need: u32,
-    /// Share of workers that are allowed, as seen so far.
+    /// Observed share of workers that the advisor allows.
     pub yes: f64,
-    /// Most workers in the question.
+    /// Maximum number of workers in the query.
     pub most: usize,
-    /// Least workers in the question, if there are so many.
+    /// Minimum number of workers in the query, if there are so many.
     pub cheap: usize,
-    /// Differs from step to step: of workers that are as good, each step asks about others.
+    /// Seed of the order among equal workers. It differs from step to step, so that queries name different workers.
     pub seed: u64,
 }
 
 impl Wanted {
-    /// For how many tasks a worker should have room, so that the least question is enough.
+    /// Number of tasks that should fit on each worker, so that the smallest query is enough.
     fn each(&self) -> u32 {
         let allowed = (self.cheap as f64 * self.yes).max(1.0);
         let each = f64::from(self.need) * SPARE / allowed;
@@ -74,9 +76,10 @@
     }
 }
 
-/// Chooses whom to ask about: those that were allowed before and have room first, then those with room for as many tasks as
-/// each should take; among equals by chance. Steps are asked about at the same time, and if all named the workers with most
-/// room, they would get the same answers, and all but the first would find that room taken.
+/// Chooses the workers of a query: first those that were allowed before and have free capacity, then those on which as many
+/// tasks fit as each should take; pseudo-randomly among equals. Several steps are queried at the same time: if all of them
+/// named the workers with the most free capacity, they would get the same workers, and all but the first step would find the
+/// capacity taken.
 ///
 /// ```
 /// use pool::advice::{Choice, Wanted, choose};
--- a/crates/pool/src/ask.rs
+++ b/crates/pool/src/ask.rs
@@ -1,4 +1,4 @@
-//! When the advisor is asked about a step.
+//! When the advisor is queried about a step.
 
 use std::hash::BuildHasher as _;
 use std::sync::Arc;
@@ -15,21 +15,22 @@
 use crate::rank::Rank;
 use crate::task::{Ms, StageKey, WorkerId};
 
-/// Share of the questions that may be under way at once which questions ahead of need leave to others.
+/// Queries ahead of need may take only one in this many of the queries that may be in flight at once.
 const LEFT_TO_OTHERS: usize = 2;
-/// A step that was not asked about for this long may be asked about out of turn, in milliseconds.
+/// A step that has waited this long for a query may be queried out of rank order.
 const OVERDUE_MS: Ms = 1_000;
-/// One in this many questions may be asked out of turn.
+/// One in this many queries may be sent out of rank order.
 const OVERDUE_SHARE: usize = 4;
-/// A plan looks at this many steps at most for a question out of turn, of those that last and of the others. Where there is no
-/// room, looks are in vain, and thousands of steps may wait.
+/// Maximum number of steps that a scheduling pass considers for a query out of rank order, of long-running and of other
+/// jobs each. Without free capacity no query results, and thousands of steps may be waiting.
 const OVERDUE_LOOKS: usize = 32;
 
 impl Pool {
-    /// Asks about steps out of turn that have long waited for it: those that last first, then those that waited longest.
+    /// Queries the advisor, out of rank order, about steps that have waited too long for a query: those of long-running
+    /// jobs first, then those that have waited longest.
     ///
-    /// Answers the load in which work that goes first takes all of the advisor's time while most of the room is free. Asked by
-    /// rank alone, other work waited as long as that went on.
+    /// Highly ranked work can take all of the advisor's time while most of the capacity is free. If queries followed the
+    /// ranks alone, other work would wait for as long as that lasts.
     pub(crate) fn ask_overdue(&mut self, now: Ms, order: &[(Rank, StageKey)]) {
         if !self.may_ask_out_of_turn() {
             return;
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Since when a step waits to be asked about; `None` if it doesn't: it has an advisor's ticket, or needs none.
+    /// Since when a step has been waiting for a query; `None` if it isn't waiting, as it has a valid ticket, has a query in
+    /// flight, or needs no ticket.
     fn unasked_since(&self, now: Ms, key: &StageKey) -> Option<Ms> {
         self.jobs.get(&key.job)?.job.policy.advice?;
         let stage = self.stage(key)?;
@@ -90,7 +92,7 @@
         stage.opened.max(stage.advised.asked)
     }
 
-    /// Asks the advisor about workers with room for tasks that could not be placed.
+    /// Queries the advisor about workers with free capacity for tasks that could not be placed.
     pub(crate) fn ask(&mut self, now: Ms, key: &StageKey, job: &Job, step: &Step, need: u32) {
         let Some(advice) = job.policy.advice else {
             return;
@@ -119,8 +121,9 @@
         self.send_question(now, key, advice, workers);
     }
 
-    /// Asks about a step for which no worker has room yet, if the advisor has time: with the answer and a ticket at hand, the
-    /// next room that is free is used at once. Without that it stood idle for as long as a question takes.
+    /// Queries the advisor about a step before any worker has free capacity for it, if the advisor has time. With the answer
+    /// and a ticket at hand, capacity is used as soon as it becomes free; otherwise it would stay idle for as long as a query
+    /// takes.
     pub(crate) fn ask_ahead(&mut self, now: Ms, key: &StageKey, job: &Job, step: &Step) {
         let Some(advice) = job.policy.advice else {
             return;
@@ -151,7 +154,7 @@
         self.send_question(now, key, advice, workers);
     }
 
-    /// How many workers a question names in any case.
+    /// Number of workers that a query names in any case.
     fn cheap(&self, advice: &Advice) -> usize {
         if self.has(Mechanism::AdviceCheap) {
             advice::cheap(advice)
@@ -160,13 +163,14 @@
         }
     }
 
-    /// Whether no question about the step can be asked now.
+    /// Whether a query about the step is in flight, or must not be sent yet after one that failed.
     fn asks_not(&self, now: Ms, key: &StageKey) -> bool {
         self.stage(key)
             .is_none_or(|stage| stage.advised.asking.is_some() || stage.advised.rest > now)
     }
 
-    /// Workers that may be asked about.
+    /// Workers that may be named in a query: those that are allowed for the step, that the advisor has not denied, and for
+    /// which there is no valid ticket.
     fn choices(&self, now: Ms, key: &StageKey, job: &Job, step: &Step, need: u32) -> Vec<Choice> {
         let Some(stage) = self.stage(key) else {
             return Vec::new();
@@ -224,7 +228,8 @@
     }
 }
 
-/// As many of these as a plan looks at; if there are more, each has its turn in one of the next plans.
+/// The part of the list that one scheduling pass considers. If the list is longer, its start rotates from pass to pass, so
+/// that each element is considered in one of them.
 fn in_turn<T>(mut list: Vec<T>, turn: usize) -> impl Iterator<Item = T> {
     if list.len() > OVERDUE_LOOKS {
         let from = turn % list.len();
--- a/crates/pool/src/evacuate.rs
+++ b/crates/pool/src/evacuate.rs
@@ -1,9 +1,9 @@
-//! What runs on a worker that is about to leave.
+//! Evacuation of workers that are about to leave.
 //!
-//! Answers the loss of work when workers are taken away. A worker that leaves ends all that runs there. Tasks that last are
-//! moved as soon as another worker has room, since they could never end in time. Tasks that save their progress are
-//! stopped just before the worker leaves, so that nothing is lost but the stop itself. Other tasks go on: the worker often
-//! stays longer than it says, and a stop would lose their work for certain.
+//! A worker that leaves ends all its runs. Long-running tasks are stopped as soon as another worker has capacity for them,
+//! since they could never end in time. Tasks with checkpoints are stopped just before the worker leaves, so that only the
+//! time of the stop is lost. Other tasks go on: the worker often stays longer than it announced, and a stop would certainly
+//! lose their work.
 
 use std::sync::Arc;
 
@@ -12,11 +12,11 @@
 use crate::pool::Pool;
 use crate::task::{Ms, Phase, TaskKey, WorkerId};
 
-/// Time for a stop to arrive and be carried out, beside the grace that the worker gives.
-const SLACK: Ms = 700;
+/// Time for a stop to arrive and be carried out, in addition to the grace period that the worker gives a run.
+const STOP_MARGIN: Ms = 700;
 
 impl Pool {
-    /// Stops what has to leave workers that are about to leave.
+    /// Stops the runs that have to be moved away from workers that are about to leave.
     pub(crate) fn evacuate(&mut self, now: Ms) {
         if !self.has(Mechanism::Evacuation) {
             return;
@@ -27,14 +27,14 @@
             .filter_map(|worker| Some((Arc::clone(&worker.id), worker.leaves?)))
             .collect();
         for (id, leaves) in leaving {
-            let last_call = now + self.options.stop_grace + SLACK >= leaves;
+            let leaves_soon = now + self.options.stop_grace + STOP_MARGIN >= leaves;
             let Some(worker) = self.workers.get(&id) else {
                 continue;
             };
             let keys: Vec<TaskKey> = worker
                 .runs
                 .keys()
-                .filter(|key| self.must_leave(now, key, last_call))
+                .filter(|key| self.must_move(now, key, leaves_soon))
                 .cloned()
                 .collect();
             for key in keys {
@@ -43,28 +43,28 @@
         }
     }
 
-    fn must_leave(&self, now: Ms, key: &TaskKey, last_call: bool) -> bool {
+    fn must_move(&self, now: Ms, key: &TaskKey, leaves_soon: bool) -> bool {
         let Some(live) = self.jobs.get(&key.stage.job) else {
             return false;
         };
         let Some(step) = live.job.steps.get(usize::from(key.stage.step)) else {
             return false;
         };
-        let runs = self
+        let is_running = self
             .stage(&key.stage)
             .and_then(|stage| stage.tasks.get(key.index as usize)?.run.as_ref())
             .is_some_and(|run| run.phase == Phase::Running);
-        if !runs || step.gang {
+        if !is_running || step.gang {
             return false;
         }
         if step.lasting {
-            let room = |worker: &&crate::Worker| {
+            let has_capacity = |worker: &&crate::Worker| {
                 fit::allowed(worker, &live.job.service, step)
                     && worker.takes(now)
                     && step.room().fits(worker.free())
             };
-            return last_call || self.workers.values().any(|worker| room(&worker));
+            return leaves_soon || self.workers.values().any(|worker| has_capacity(&worker));
         }
-        step.checkpoints && last_call
+        step.checkpoints && leaves_soon
     }
 }
--- a/crates/pool/src/fit.rs
+++ b/crates/pool/src/fit.rs
@@ -1,4 +1,4 @@
-//! On which worker a task starts.
+//! Which workers may run a task, and the cost of starting it on each.
 
 use resource::Size;
 
@@ -8,36 +8,36 @@
 use crate::task::Ms;
 use crate::worker::Worker;
 
-/// Evidence at which a worker counts as one that fails what it starts: three failures in a row, or more among others.
-/// A sound worker with a tenth of failures reaches it about once in a thousand tasks.
+/// Failure score at which a worker is taken for faulty: three failures in a row, or more between successes. A healthy
+/// worker on which a tenth of the tasks fail reaches it about once in a thousand tasks.
 pub const SUSPECT: f64 = 3.0;
-/// Cost of a worker with another task that may crash it, for one that may as well.
-const SUSPECTS_APART: f64 = 4.0;
-/// Cost of a worker of which it isn't sure that it lives, or that is new, for such a task.
-const UNPROVEN: f64 = 2.0;
+/// Cost, for a suspect, of a worker that runs another suspect, per crash of the latter.
+const SUSPECT_COLOCATION_COST: f64 = 4.0;
+/// Cost, for a suspect, of a worker that has not answered since the suspect's last crash, or that started recently.
+const UNPROVEN_WORKER_COST: f64 = 2.0;
 
-/// What the choice depends on besides worker and step.
+/// What the cost depends on besides worker and step.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Context {
-    /// Now.
+    /// The current time.
     pub now: Ms,
-    /// How much slower the task is away from the rack of its data.
+    /// Factor by which the task is slower on another rack than that of its data.
     pub far_factor: f64,
-    /// Tasks of the step that run on the worker already.
+    /// Number of tasks of the step that run on the worker.
     pub same: u32,
-    /// Tasks that this plan has put there already.
+    /// Number of tasks of the step that this scheduling pass has assigned to the worker.
     pub placed: u32,
-    /// Tasks there that have a response time to keep.
+    /// Number of latency-sensitive tasks on the worker.
     pub serving: u32,
-    /// Tasks there that fill.
+    /// Number of best-effort tasks on the worker.
     pub filling: u32,
-    /// What is held against the task.
+    /// The suspicion that the task crashes its workers.
     pub suspicion: Suspicion,
-    /// The most crashes of any suspect there that may yet crash the worker; 0 if there is none.
+    /// Highest number of crashes of any suspect on the worker that may still crash it; 0 if there is none.
     pub trial: usize,
-    /// What is scarce among the service's workers.
+    /// Capacity of the service's workers and its use, which tell what is scarce.
     pub scarce: Scarce,
-    /// All workers that have room cost the same, so the first one is taken.
+    /// All workers with enough free capacity cost the same, so the first one by id is chosen.
     pub first_fit: bool,
 }
 
@@ -48,7 +48,8 @@
         && (step.label.is_empty() || worker.news.labels.contains(&step.label))
 }
 
-/// What it costs to start the task there, where `free` is left; the smallest is chosen. `None` if it can't be.
+/// Cost of starting the task on a worker with the capacity `free` left; the worker with the lowest cost is chosen.
+/// `None` if the task can't start there.
 #[must_use]
 pub fn cost(worker: &Worker, step: &Step, free: Size, context: &Context) -> Option<f64> {
     let size: Size = step.room();
@@ -62,9 +63,9 @@
         return None;
     }
     let suspicion = context.suspicion;
-    // It may have been lost in the same event as the worker that the task ran on.
-    let doubtful = worker.last_hold <= suspicion.since;
-    if suspicion.crashes >= CRASHES_ALONE && (context.trial > 0 || doubtful) {
+    // The worker may have been lost in the same event as the one that the task ran on.
+    let unproven = worker.last_hold <= suspicion.since;
+    if suspicion.crashes >= CRASHES_ALONE && (context.trial > 0 || unproven) {
         return None;
     }
     if worker.doubt >= SUSPECT && (context.placed > 0 || !worker.runs.is_empty()) {
@@ -81,11 +82,11 @@
         cost *= context.far_factor.max(1.0);
     }
     if step.fills {
-        // What fills lives on what is left, and disturbs those that serve.
+        // Best-effort tasks use only processors that others leave free, and slow down latency-sensitive ones.
         cost += 2.0 * f64::from(context.serving);
         cost += 1.0 - free.millicores as f64 / worker.news.room.millicores.max(1) as f64;
     } else {
-        // Best fit keeps large rooms whole for wide tasks.
+        // Best fit keeps large blocks of free capacity for large tasks.
         let left = free.minus(size).unwrap_or_default();
         cost += 0.2 * context.scarce.left(left, worker.news.room);
     }
@@ -93,10 +94,10 @@
         cost += 1.0 * f64::from(context.filling) + 0.1 * f64::from(context.serving);
     }
     if suspicion.crashes > 0 {
-        // Apart from other suspects, on a worker that is likely to last, and where a further crash costs least.
-        cost += SUSPECTS_APART * context.trial as f64;
+        // Prefers workers without other suspects, that are likely to stay up, and where another crash loses least.
+        cost += SUSPECT_COLOCATION_COST * context.trial as f64;
         let new = context.now.saturating_sub(worker.life_since) < STABLE_AFTER;
-        cost += UNPROVEN * (f64::from(u8::from(doubtful)) + f64::from(u8::from(new)));
+        cost += UNPROVEN_WORKER_COST * (f64::from(u8::from(unproven)) + f64::from(u8::from(new)));
         cost += 1.0 - free.millicores as f64 / worker.news.room.millicores.max(1) as f64;
     }
     if step.lasting {
@@ -105,7 +106,7 @@
     Some(cost)
 }
 
-/// How many times `size` goes into `room`.
+/// How many tasks of this size fit into a capacity.
 pub(crate) fn times(size: Size, room: Size) -> u32 {
     let part = |size: u64, room: u64| room.checked_div(size).unwrap_or(u64::MAX);
     part(size.millicores, room.millicores)
--- a/crates/pool/src/load.rs
+++ b/crates/pool/src/load.rs
@@ -1,4 +1,4 @@
-//! How loaded a pool is.
+//! Load of a pool, for metrics, logs and other hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,23 +6,23 @@
 use crate::scarce::Scarce;
 use crate::task::StageKey;
 
-/// How loaded a pool is.
+/// Load of a pool.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// Share of its processors that is taken.
+    /// Share of its processors that is used.
     pub used: f64,
-    /// The same with what the waiting tasks of open steps would take.
+    /// The same share with the demand of the waiting tasks of open steps added; may exceed 1.
     pub taken: f64,
-    /// Open steps.
+    /// Number of open steps.
     pub steps: usize,
-    /// Labels of its workers other than their racks.
+    /// Labels of its workers, without their racks.
     pub labels: Vec<String>,
-    /// Room of each service's workers, and what of it is taken.
+    /// Total and used capacity of the workers of each service.
     pub services: BTreeMap<String, Scarce>,
 }
 
 impl Pool {
-    /// How loaded the pool is.
+    /// The current load of the pool.
     #[must_use]
     pub fn load(&self) -> Load {
         let (mut used, mut room) = (0, 0);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Millicores that the tasks of a step which have no run would take.
+    /// Millicores that the tasks of a step that have neither a run nor ended would take.
     fn waiting(&self, key: &StageKey) -> u64 {
         let (Some(stage), Some(size)) = (self.stage(key), self.size(key)) else {
             return 0;
--- a/crates/pool/src/mechanism.rs
+++ b/crates/pool/src/mechanism.rs
@@ -1,61 +1,61 @@
-//! Switches for the mechanisms that decisions consist of, to measure what each is worth.
+//! Mechanisms of the scheduler that can be disabled one by one, to measure what each contributes.
 //!
-//! All are on unless an operator says otherwise. What must always hold depends on none of them.
+//! All are enabled unless an operator disables them. No safety property depends on any of them.
 
 use std::collections::BTreeSet;
 use std::fmt;
 use std::str::FromStr;
 
-/// A mechanism that can be switched off.
+/// A mechanism that can be disabled.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Mechanism {
-    /// Waiting work goes by rank; off: in the order of arrival.
+    /// Waiting work is served by rank; disabled: in the order of arrival.
     Order,
-    /// Work that can't earn any more goes last.
+    /// Work that can no longer have any value goes last.
     OrderHopeless,
-    /// Queues have priorities.
+    /// The priorities of queues count.
     OrderPriority,
-    /// Work within its objective goes before late work.
+    /// Work that can meet its objective goes before late work.
     OrderLate,
-    /// Less work goes before more.
+    /// Less remaining work goes before more.
     OrderWork,
-    /// Tasks go to the worker on which they cost least; off: to the first by name that has room.
+    /// A task starts on the worker with the lowest cost; disabled: on the first by id that has capacity.
     BestFit,
-    /// Work and room are measured in what is scarce; off: in processors.
+    /// Work and free capacity are measured in the scarce dimensions; disabled: in processors.
     Scarcity,
-    /// Questions name as many workers as the share of yes demands; off: all that have room.
+    /// Advisor queries name as many workers as the observed approval rate demands; disabled: all that have capacity.
     AdviceShare,
-    /// Questions name more workers where that adds little time.
+    /// Advisor queries name more workers than needed where that adds little time.
     AdviceCheap,
-    /// The advisor is asked before there is room.
+    /// The advisor is queried before there is free capacity.
     AdviceAhead,
-    /// Workers that fail what they start get one task at a time.
+    /// Workers with a high failure score get one task at a time.
     Doubt,
-    /// Tasks that stand still are stopped and started elsewhere.
+    /// Stalled tasks are stopped and started elsewhere.
     Standstill,
-    /// Tasks that fill are slowed down beside tasks that serve.
+    /// Best-effort tasks are slowed down while they disturb latency-sensitive ones.
     Pace,
-    /// Tasks leave workers that are about to leave.
+    /// Tasks are moved away from workers that are about to leave.
     Evacuation,
-    /// An order without an answer is sent once more.
+    /// Start commands without an answer are sent again.
     RepeatOrders,
-    /// Further ends are awaited before a worker is looked at again.
+    /// The next poll of a worker that listed ends is delayed, so that it lists several ends at once.
     GatherEnds,
-    /// Looks at workers pause while their ends can't be stored.
+    /// Polls of workers pause while their ends can't be stored.
     HoldPause,
-    /// Owners name heirs.
+    /// Owners name successors.
     Heirs,
-    /// A host asks others whether they hear an owner that it has lost.
+    /// A host that has lost contact with an owner asks other hosts whether they receive its heartbeats.
     Witnesses,
-    /// The host that a pool's row names in an earlier life takes the pool at once.
+    /// The host that a pool's row names as owner takes the pool at once after its own restart.
     Restart,
-    /// A job's row is written by the owner too when the store is slow to answer.
+    /// The owner writes a job's row as well if the store is slow to answer the host that accepted the job.
     JointInserts,
-    /// A host that neither the store nor an owner serves refuses at once.
+    /// A host that reaches neither the store nor an owner refuses jobs at once.
     EarlyRefusal,
-    /// Rows of jobs name the epoch of the owner that they were accepted for.
+    /// A job's row names the epoch of the owner for which the job was accepted.
     JobEpochs,
-    /// A new owner begins with the jobs that it could read.
+    /// A new owner starts with the jobs that it could read.
     PartialJobs,
 }
 
@@ -66,7 +66,7 @@
 };
 
 impl Mechanism {
-    /// All of them, with the names that operators use.
+    /// All mechanisms, with the names that operators use.
     pub const ALL: [(Self, &str); 24] = [
         (Order, "order"),
         (OrderHopeless, "order-hopeless"),
@@ -102,7 +102,7 @@
     }
 }
 
-/// A name that no mechanism has.
+/// The error for a name that no mechanism has.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Unknown(pub String);
 
@@ -111,7 +111,7 @@
         let names = Mechanism::ALL.map(|(_, name)| name);
         write!(
             to,
-            "no mechanism is called {}; there are {}",
+            "unknown mechanism `{}`; expected one of: {}",
             self.0,
             names.join(", ")
         )
@@ -137,24 +137,24 @@
     }
 }
 
-/// The mechanisms that are switched off.
+/// Which mechanisms are disabled.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Switches {
-    off: BTreeSet<Mechanism>,
+    disabled: BTreeSet<Mechanism>,
 }
 
 impl Switches {
-    /// All on but these.
+    /// Enables all mechanisms except these.
     #[must_use]
-    pub fn without(off: impl IntoIterator<Item = Mechanism>) -> Self {
+    pub fn without(disabled: impl IntoIterator<Item = Mechanism>) -> Self {
         Self {
-            off: off.into_iter().collect(),
+            disabled: disabled.into_iter().collect(),
         }
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is enabled.
     #[must_use]
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        !self.off.contains(&mechanism)
+        !self.disabled.contains(&mechanism)
     }
 }
--- a/crates/pool/src/misfit.rs
+++ b/crates/pool/src/misfit.rs
@@ -1,9 +1,9 @@
-//! Jobs that the pool can't serve any more.
+//! Unservable jobs: jobs that the pool can no longer run with the workers it has.
 //!
-//! Answers the loss of workers in a pool that is small for what its jobs ask: a gang of eight for which seven workers are
-//! left, a label that no worker has any more. In its pool the job would wait for good, while another pool has the workers.
-//! So a job of which nothing runs, and a step of which the pool's workers could not take even if they were empty, goes
-//! to another pool.
+//! A pool that loses workers may become too small for some of its jobs: a gang of eight with seven workers left, or a label
+//! that no worker has any more. Such a job would wait forever in its pool, while another pool has the workers. So a job is
+//! transferred to another pool if none of its tasks runs and the pool's workers could not run one of its steps even if
+//! they were empty.
 
 use std::sync::Arc;
 
@@ -14,23 +14,23 @@
 use crate::task::{JobId, Ms};
 use crate::worker::Worker;
 
-/// A job has to be out of the pool's reach for this long: workers that crash are back after some seconds, and after an
-/// outage of the store it takes two seconds until all are listed.
-const PATIENCE: Ms = 3_000;
-/// Time between two looks at all jobs.
-const LOOK: Ms = 500;
+/// Time for which a job has to be unservable before it is transferred: workers that crash are back after a few seconds,
+/// and after an outage of the store it takes two seconds until all workers are listed.
+const UNSERVABLE_DELAY: Ms = 3_000;
+/// Minimum time between two scans of all jobs.
+const SCAN_INTERVAL: Ms = 500;
 
 impl Pool {
-    /// Jobs that should go to another pool. From now on nothing of them is started here, until [`Pool::keep`] or
-    /// [`Pool::transferred`] says what became of them.
+    /// Jobs that should be transferred to another pool. None of their tasks is started here until [`Pool::keep`] or
+    /// [`Pool::transferred`] reports what became of the transfer.
     pub fn misfits(&mut self, now: Ms) -> Vec<JobId> {
-        if now < self.sought + LOOK || !self.proved(now) || !self.unseen.is_empty() {
+        if now < self.sought + SCAN_INTERVAL || !self.proved(now) || !self.unseen.is_empty() {
             return Vec::new();
         }
         self.sought = now;
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
-            let out = self.jobs.get(&id).is_some_and(|live| {
+            let unservable = self.jobs.get(&id).is_some_and(|live| {
                 !live.state.is_final() && live.awaits == 0 && live.is_idle() && {
                     let job = &live.job;
                     let left = live.steps_left();
@@ -39,15 +39,15 @@
             });
             if let Some(live) = self.jobs.get_mut(&id) {
                 let since = live.misfit.unwrap_or(now);
-                live.misfit = out.then_some(since);
-                live.leaves |= out && now.saturating_sub(since) >= PATIENCE;
+                live.misfit = unservable.then_some(since);
+                live.leaves |= unservable && now.saturating_sub(since) >= UNSERVABLE_DELAY;
             }
         }
         let leaving = self.jobs.iter().filter(|(_, live)| live.leaves);
         leaving.map(|(id, _)| Arc::clone(id)).collect()
     }
 
-    /// Whether the pool's workers could take a step if nothing else ran there.
+    /// Whether the pool's workers could run a step if they were empty.
     fn could_serve(&self, job: &Job, step: usize) -> bool {
         let Some(step) = job.steps.get(step) else {
             return true;
@@ -56,9 +56,9 @@
         let need = if together { step.count } else { 1 };
         let mut room = 0;
         for worker in self.workers.values() {
-            let there = worker.listed || worker.fenced && !worker.unresponsive;
-            if there && worker.leaves.is_none() && fit::allowed(worker, &job.service, step) {
-                room += takes(worker, step);
+            let present = worker.listed || worker.fenced && !worker.unresponsive;
+            if present && worker.leaves.is_none() && fit::allowed(worker, &job.service, step) {
+                room += count_fitting(worker, step);
                 if room >= need {
                     return true;
                 }
@@ -67,7 +67,7 @@
         false
     }
 
-    /// A job's course, if it still should go and nothing of it runs here.
+    /// A job and its progress, if it is still to be transferred and none of its tasks runs here.
     #[must_use]
     pub fn transferable(&self, id: &str) -> Option<(Arc<Job>, Progress)> {
         let live = self.jobs.get(id)?;
@@ -75,7 +75,7 @@
         ready.then(|| (Arc::clone(&live.job), live.progress()))
     }
 
-    /// The job stays: its caller took it back, or no other pool is left for it.
+    /// Keeps a job in this pool after all: its caller has cancelled it, or no other pool can take it.
     pub fn keep(&mut self, id: &str) {
         if let Some(live) = self.jobs.get_mut(id) {
             live.leaves = false;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The job is in another pool now. What is told of it later is older than that.
+    /// Removes a job that is now in another pool. Information about it that arrives later is outdated and ignored.
     pub fn transferred(&mut self, id: &JobId) {
         self.jobs.remove(id);
         self.open.retain(|key| key.job != *id);
@@ -95,8 +95,8 @@
     }
 }
 
-/// How many tasks of a step the empty worker would take.
-fn takes(worker: &Worker, step: &Step) -> u32 {
+/// How many tasks of a step the worker could run if it were empty.
+fn count_fitting(worker: &Worker, step: &Step) -> u32 {
     let fits = fit::times(step.room(), worker.news.room);
     if step.per_worker > 0 {
         fits.min(step.per_worker)
--- a/crates/pool/src/order.rs
+++ b/crates/pool/src/order.rs
@@ -1,77 +1,77 @@
-//! What the pool wants done.
+//! Commands that the pool gives to workers, and queries to the advisor.
 
 use std::sync::Arc;
 
 use crate::job::Job;
 use crate::task::{Ms, StageKey, TaskKey, WorkerId};
 
-/// Start a task.
+/// Starts a task.
 #[derive(Clone, Debug)]
 pub struct Start {
     /// The task.
     pub task: TaskKey,
     /// The run.
     pub run: u32,
-    /// Where.
+    /// The worker to start it on.
     pub worker: WorkerId,
     /// The job, for its payload.
     pub job: Arc<Job>,
-    /// Last moment at which it may begin, on the worker's clock.
+    /// Time after which the run must not begin, on the worker's clock.
     pub latest: Ms,
-    /// The checkpoint to go on from; empty if none.
+    /// The checkpoint to resume from; empty if there is none.
     pub saved: String,
     /// The advisor's ticket; empty if none is needed.
     pub ticket: String,
-    /// How many workers the task may have crashed.
+    /// Number of workers that the task may have crashed.
     pub crashes: usize,
 }
 
-/// Stop a run.
+/// Stops a run.
 #[derive(Clone, Debug)]
 pub struct Stop {
     /// The task.
     pub task: TaskKey,
     /// The run.
     pub run: u32,
-    /// Where.
+    /// The worker it is on.
     pub worker: WorkerId,
-    /// Why, for the log.
+    /// The reason, for the log.
     pub why: &'static str,
 }
 
-/// Let a run work at a share of its speed.
+/// Sets the pace of a run.
 #[derive(Clone, Debug)]
 pub struct Pace {
     /// The task.
     pub task: TaskKey,
     /// The run.
     pub run: u32,
-    /// Where.
+    /// The worker it is on.
     pub worker: WorkerId,
-    /// The share, in percent.
+    /// Share of its full speed, in percent.
     pub percent: u32,
 }
 
-/// Ask the advisor where a step may run.
+/// Asks the advisor on which workers a step may run.
 #[derive(Clone, Debug)]
 pub struct Ask {
     /// The step.
     pub stage: StageKey,
-    /// The workers asked about.
+    /// The workers that the query names.
     pub workers: Vec<WorkerId>,
-    /// Time the question will take, in milliseconds.
+    /// Expected duration of the query, in milliseconds.
     pub takes: Ms,
 }
 
-/// What the pool wants done.
+/// A command to a worker, or a query to the advisor.
 #[derive(Clone, Debug)]
 pub enum Order {
-    /// Start a task.
+    /// Starts a task.
     Start(Start),
-    /// Stop a run.
+    /// Stops a run.
     Stop(Stop),
-    /// Slow a run down or let it go on.
+    /// Slows a run down, pauses it, or speeds it up again.
     Pace(Pace),
-    /// Ask the advisor.
+    /// Queries the advisor.
     Ask(Ask),
 }
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -1,4 +1,4 @@
-//! Which waiting tasks start, and on which workers.
+//! Placement: which waiting tasks start, and on which workers.
 
 use std::sync::Arc;
 
@@ -16,18 +16,18 @@
 use crate::scarce::Scarce;
 use crate::task::{Ms, Run, StageKey, TaskKey, WorkerId};
 
-/// Starts in one plan: more would keep answers waiting while they are written.
-const STARTS_MOST: usize = 64;
-/// Work is ranked in whole numbers: a millionth of all room for a millisecond.
+/// Maximum number of starts in one scheduling pass. With more, answers would wait while the starts are written.
+const MAX_STARTS: usize = 64;
+/// Resolution of [`Rank::work`], which is an integer: one unit is a millionth of the total capacity for a millisecond.
 const WORK_UNIT: f64 = 1e6;
-/// A ticket that runs out sooner than this is not used: the order needs time to arrive.
+/// A ticket that expires sooner than this is not used: the start command needs time to arrive.
 pub(crate) const TICKET_SLACK: Ms = 120;
 
-/// Tasks that serve and tasks that fill, on one worker.
-type Mix = FxHashMap<WorkerId, (u32, u32)>;
+/// Number of latency-sensitive and of best-effort tasks on each worker.
+type TaskMix = FxHashMap<WorkerId, (u32, u32)>;
 
 impl Pool {
-    /// Starts what there is room for, in the order of ranks.
+    /// Starts waiting tasks in the order of their ranks, as far as there is free capacity.
     pub(crate) fn place(&mut self, now: Ms) {
         let scarce = self.scarce();
         self.find_trials();
@@ -49,10 +49,10 @@
         }
         order.sort();
         self.ask_overdue(now, &order);
-        let mut mix: Option<Mix> = None;
+        let mut mix: Option<TaskMix> = None;
         let mut starts = 0;
         for (_, key) in &order {
-            if starts >= STARTS_MOST {
+            if starts >= MAX_STARTS {
                 break;
             }
             let Some(live) = self.jobs.get(&key.job) else {
@@ -65,7 +65,7 @@
             if step.fills || step.target > 0 {
                 mix.get_or_insert_with(|| self.mix());
             }
-            let empty = Mix::default();
+            let empty = TaskMix::default();
             let scarce = scarce.get(&job.service).copied().unwrap_or_default();
             let mix = mix.as_ref().unwrap_or(&empty);
             starts += self.place_stage(now, key, &job, step, mix, &scarce);
@@ -119,7 +119,7 @@
         rank.without(&self.options.switches)
     }
 
-    /// Time in which a job should be completed, by what its tasks have taken against their estimates.
+    /// Time in which a job should be completed, with its estimates corrected by the observed durations of its queue.
     pub(crate) fn objective(&self, live: &Live) -> Ms {
         let policy = &live.job.policy;
         let longest = live.chains.iter().max().copied().unwrap_or(0);
@@ -127,9 +127,9 @@
         (scaled as f64 * policy.stretch) as Ms + policy.objective
     }
 
-    /// Counts tasks that serve and tasks that fill on each worker.
-    pub(crate) fn mix(&self) -> Mix {
-        let mut mix = Mix::default();
+    /// Counts the latency-sensitive and the best-effort tasks on each worker.
+    pub(crate) fn mix(&self) -> TaskMix {
+        let mut mix = TaskMix::default();
         for worker in self.workers.values() {
             let mut counts = (0, 0);
             for key in worker.runs.keys() {
@@ -149,14 +149,14 @@
         mix
     }
 
-    /// Starts the waiting tasks of a step as far as there is room; tells how many.
+    /// Starts the waiting tasks of a step as far as there is free capacity, and returns how many.
     fn place_stage(
         &mut self,
         now: Ms,
         key: &StageKey,
         job: &Arc<Job>,
         step: &Step,
-        mix: &Mix,
+        mix: &TaskMix,
         scarce: &Scarce,
     ) -> usize {
         let Some(stage) = self.stage(key) else {
@@ -169,30 +169,30 @@
             .filter(|(_, task)| task.waits(now))
             .map(|(at, _)| at as u32)
             .collect();
-        // Suspects last: a worker that one of them has to itself takes no others.
+        // Suspects last: a worker that gets a suspect which has to run alone takes no other task.
         let suspicion = |index: &u32| stage.tasks[*index as usize].suspicion();
         waiting.sort_by_key(|index| suspicion(index).crashes);
         let suspicions: Vec<Suspicion> = waiting.iter().map(suspicion).collect();
         if step.gang && waiting.len() != stage.tasks.len() {
-            // The members start together, so all must be back first.
+            // The members start together, so all of them have to be waiting.
             return 0;
         }
         let same = stage.spread();
         let places = self.assign(now, key, job, step, &suspicions, &same, mix, scarce);
-        let enough = if step.gang {
+        let all_placed = if step.gang {
             places.len() == waiting.len()
         } else {
             true
         };
         let mut started = 0;
-        if enough {
+        if all_placed {
             let number = if step.gang {
-                stage_top(self, key) + 1
+                highest_run(self, key) + 1
             } else {
                 0
             };
             let saved = if step.gang {
-                self.gang_saved(key)
+                self.gang_checkpoint(key)
             } else {
                 None
             };
@@ -208,14 +208,14 @@
         started
     }
 
-    /// The checkpoint that all members of a gang go on from.
-    fn gang_saved(&self, key: &StageKey) -> Option<String> {
+    /// The checkpoint from which all members of a gang resume.
+    fn gang_checkpoint(&self, key: &StageKey) -> Option<String> {
         let stage = self.stage(key)?;
         let saved = stage.tasks.iter().map(|task| &task.saved).max()?;
         Some(saved.clone())
     }
 
-    /// Finds a worker for each task in turn, given what is held against it, until there is none.
+    /// Finds a worker for each task in turn, given the suspicion against it, until there is none.
     #[expect(clippy::too_many_arguments, reason = "one call, all of it read only")]
     fn assign(
         &self,
@@ -225,7 +225,7 @@
         step: &Step,
         suspicions: &[Suspicion],
         same: &FxHashMap<WorkerId, u32>,
-        mix: &Mix,
+        mix: &TaskMix,
         scarce: &Scarce,
     ) -> Vec<WorkerId> {
         let Some(stage) = self.stage(key) else {
@@ -282,7 +282,7 @@
         fill(&mut choices, step, suspicions)
     }
 
-    /// Orders a start.
+    /// Records a run of a task and queues the command that starts it.
     fn start(
         &mut self,
         now: Ms,
@@ -299,7 +299,8 @@
             return;
         };
         let latest = host.clock(now) + life;
-        // The order itself is a lease of that length, and the clock may be 2% slow.
+        // A start acts as a lease until its deadline, and the worker's clock may be 2% slow. 400 ms cover the network,
+        // timers and rounding, as for any lease.
         host.lapses = host.lapses.max(now + life + life / 33 + 400);
         let ticket = self
             .stage(&key.stage)
@@ -317,7 +318,7 @@
         let crashes = task.crashes();
         let noted = task.note_trial(number, inherited);
         task.run = Some(Run {
-            // Such a task starts only on a worker that has answered since the last crash.
+            // A task with so many crashes starts only on a worker that has answered since the last of them.
             proven: crashes >= CRASHES_ALONE,
             ..Run::new(number, Arc::clone(worker), now, latest)
         });
@@ -346,11 +347,11 @@
     }
 }
 
-fn stage_top(pool: &Pool, key: &StageKey) -> u32 {
+fn highest_run(pool: &Pool, key: &StageKey) -> u32 {
     pool.stage(key).map_or(0, crate::live::Stage::top)
 }
 
-/// Takes the cheapest worker for each task, until none has room.
+/// Assigns each task to the worker with the lowest cost, until none has capacity.
 fn fill(
     choices: &mut [(&crate::worker::Worker, Size, Context)],
     step: &Step,
--- a/crates/pool/src/plan.rs
+++ b/crates/pool/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is to be done next.
+//! The scheduling pass: expires leases, resends commands and starts tasks.
 
 use std::sync::Arc;
 
@@ -10,15 +10,15 @@
 use crate::repeat;
 use crate::task::{Ms, Phase, TaskKey, WorkerId};
 
-/// A stop that was not confirmed is sent again after this time.
-const STOP_AGAIN: Ms = 400;
-/// A copy of an order is sent only if it can arrive this long before the last moment of the order.
-const REPEAT_SLACK: Ms = 100;
-/// A stop that was confirmed, but whose end was not listed, is sent again after this time.
-const CONFIRMED_AGAIN: Ms = 1_500;
+/// Time after which an unconfirmed stop is sent again.
+const STOP_RETRY_DELAY: Ms = 400;
+/// A start is resent only if at least this much time is left until its deadline.
+const RESEND_MARGIN: Ms = 100;
+/// Time after which a confirmed stop is sent again if the worker has not listed the end of the run.
+const CONFIRMED_STOP_RETRY_DELAY: Ms = 1_500;
 
 impl Pool {
-    /// Says what is to be done now.
+    /// Runs one scheduling pass and returns the commands to send.
     pub fn plan(&mut self, now: Ms, unix: u64) -> Vec<Order> {
         let due: Vec<_> = self
             .timed
@@ -51,7 +51,7 @@
         self.timed.iter().filter_map(due).min()
     }
 
-    /// Runs on workers whose lease has surely lapsed are over.
+    /// Ends the runs on workers whose lease has certainly expired, and drops workers that are no longer needed.
     fn lapse(&mut self, now: Ms, unix: u64) {
         let lapsed: Vec<(WorkerId, Vec<TaskKey>)> = self
             .workers
@@ -100,10 +100,10 @@
         });
     }
 
-    /// Sends again what was not answered, and stops what is to be stopped.
+    /// Resends unanswered starts and sends stops for runs that are to be stopped.
     fn chase(&mut self, now: Ms) {
         let keys: Vec<TaskKey> = self.loose.iter().cloned().collect();
-        let repeats = self.has(Mechanism::RepeatOrders);
+        let resend_enabled = self.has(Mechanism::RepeatOrders);
         for key in keys {
             let Some(live) = self.jobs.get(&key.stage.job) else {
                 self.loose.remove(&key);
@@ -128,12 +128,12 @@
             let answers = self.workers.get(&run.worker).map_or(0, |it| it.answers);
             let order = match run.phase {
                 Phase::Stopping => {
-                    let again = if run.stop_confirmed > 0 {
-                        CONFIRMED_AGAIN
+                    let retry_delay = if run.stop_confirmed > 0 {
+                        CONFIRMED_STOP_RETRY_DELAY
                     } else {
-                        STOP_AGAIN
+                        STOP_RETRY_DELAY
                     };
-                    (run.stop_sent == 0 || since >= again).then(|| {
+                    (run.stop_sent == 0 || since >= retry_delay).then(|| {
                         Order::Stop(Stop {
                             task: key.clone(),
                             run: run.number,
@@ -143,10 +143,10 @@
                     })
                 }
                 Phase::Ordered | Phase::Unsure
-                    if repeats
+                    if resend_enabled
                         && task.crashes() == 0
                         && now.saturating_sub(run.sent) >= repeat::delay(answers, run.copies)
-                        && clock(&run.worker) + REPEAT_SLACK < run.latest
+                        && clock(&run.worker) + RESEND_MARGIN < run.latest
                         && self.copies.spend() =>
                 {
                     Some(Order::Start(Start {
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -1,4 +1,4 @@
-//! The live state of one pool.
+//! In-memory state of one pool, kept by its owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,29 +21,29 @@
 use crate::timeline::{JobTimes, StepTimes};
 use crate::worker::{News, Silent, Worker};
 
-/// What the pool's decisions depend on besides jobs and workers.
+/// Configuration of a pool's decisions.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The owner's epoch; 0 if owners have none.
+    /// The owner's epoch; 0 if ownership is not tracked.
     pub epoch: u64,
-    /// Which mechanisms are on.
+    /// Which mechanisms are enabled.
     pub switches: Switches,
-    /// How long an order to start may still be carried out after it was sent, in milliseconds. Longer than any answer
-    /// takes on a sound way; shorter means that room in doubt is free again sooner.
+    /// Time after which a worker must no longer carry out a start command, in milliseconds. It exceeds every response
+    /// time on a healthy network; a smaller value frees capacity of starts with unknown outcome sooner.
     pub order_life: Ms,
-    /// Longest lease on a worker, in milliseconds.
+    /// Maximum length of a worker's lease, in milliseconds.
     pub lease_most: Ms,
-    /// How long an owner acts after a majority of its workers has confirmed it, in milliseconds.
+    /// Time for which an owner may act after a majority of its workers last confirmed it, in milliseconds.
     pub proof: Ms,
-    /// How many questions to the advisor may be under way at once.
+    /// Maximum number of concurrent advisor queries.
     pub askers: usize,
-    /// Most workers in one question.
+    /// Maximum number of workers in one advisor query.
     pub ask_most: usize,
-    /// How much slower a task is on another rack than that of its data.
+    /// Factor by which a task is slower on another rack than that of its data.
     pub far_factor: f64,
-    /// Longest time that a stop takes, in milliseconds.
+    /// Maximum time that a worker takes to stop a run, in milliseconds.
     pub stop_grace: Ms,
-    /// How long final jobs are remembered, in milliseconds.
+    /// Time for which jobs in a final state are kept, in milliseconds.
     pub remember: Ms,
 }
 
@@ -64,72 +64,72 @@
     }
 }
 
-/// The live state of one pool: its jobs, its workers, and what is under way between them.
+/// State of one pool: its jobs, its workers, and the commands and queries in flight.
 #[derive(Debug, Default)]
 pub struct Pool {
     pub(crate) options: Options,
     pub(crate) jobs: FxHashMap<JobId, Live>,
     pub(crate) workers: FxHashMap<WorkerId, Worker>,
-    /// Steps whose turn has come and that are not complete.
+    /// Steps whose dependencies are complete and that are not complete themselves.
     pub(crate) open: BTreeSet<StageKey>,
-    /// Jobs that wait until a worker is heard again: it has listed ends of theirs when they weren't known.
+    /// Jobs blocked until the worker's next listing: it listed ends of their runs before the jobs were known here.
     pub(crate) awaiting: BTreeMap<WorkerId, Vec<JobId>>,
-    /// Runs whose orders are not answered or that are to be stopped.
+    /// Tasks whose start command is unanswered or whose run is to be stopped.
     pub(crate) loose: FxHashSet<TaskKey>,
-    /// Copies of orders that may be sent.
+    /// Budget for resending unanswered commands.
     pub(crate) copies: Budget,
-    /// Jobs with occurrences still to come.
+    /// Jobs with future occurrences.
     pub(crate) timed: BTreeSet<JobId>,
-    /// Jobs whose progress is to be stored.
+    /// Jobs whose progress has unsaved changes.
     pub(crate) dirty: FxHashSet<JobId>,
-    /// Workers of the former owner that have not answered this one.
+    /// Workers of the former owner that have not answered this owner.
     pub(crate) unseen: BTreeSet<WorkerId>,
-    /// When a majority of the workers had confirmed this owner first.
+    /// When a majority of the workers first confirmed this owner.
     pub(crate) proved_at: Option<Ms>,
-    /// Steps about which the advisor is being asked.
+    /// Steps with an advisor query in flight.
     pub(crate) asking: BTreeSet<StageKey>,
-    /// Those among them that were asked about out of turn.
+    /// Those of them whose query was sent out of rank order.
     pub(crate) overdue: BTreeSet<StageKey>,
-    /// How many steps plans have looked at for questions out of turn.
+    /// Number of steps that scheduling passes have considered for queries out of rank order.
     pub(crate) overdue_looks: usize,
-    /// How many questions were sent.
+    /// Number of advisor queries sent.
     pub(crate) questions: usize,
-    /// Observed durations against estimates.
+    /// Observed durations and advisor answers, per queue.
     pub(crate) learned: Learned,
-    /// Paces of tasks that fill.
+    /// Paces of best-effort tasks.
     pub(crate) tempo: Tempo,
-    /// When workers and paces were looked at last.
+    /// When stalled tasks and paces were last checked.
     pub(crate) looked: Ms,
-    /// Not all jobs are known yet that were accepted before this owner came.
+    /// Some jobs that were accepted before this owner took over have not been read yet.
     pub(crate) partial: bool,
-    /// Cancelled jobs that aren't known yet.
+    /// Jobs that were cancelled before they became known.
     pub(crate) cancels: FxHashSet<JobId>,
-    /// What may run on workers that the former owner could not reach.
+    /// Runs that may exist on workers that the former owner could not reach.
     pub(crate) silent: Vec<Silent>,
-    /// Jobs that went to other pools.
+    /// Jobs that were transferred to other pools.
     pub(crate) given: FxHashSet<JobId>,
-    /// When jobs that don't fit were looked for last.
+    /// When the jobs were last scanned for unservable ones.
     pub(crate) sought: Ms,
-    /// Courses of steps that were completed, for the log.
+    /// Timelines of completed steps, to be logged.
     pub(crate) steps_done: Vec<StepTimes>,
-    /// Courses of jobs whose final states were stored, for the log.
+    /// Timelines of jobs whose final states were stored, to be logged.
     pub(crate) jobs_done: Vec<JobTimes>,
-    /// Tasks with crashes noted against them; may hold some that have none any more.
+    /// Tasks suspected of crashing workers; may contain some whose suspicion has been cleared.
     pub(crate) suspects: BTreeSet<TaskKey>,
-    /// Workers that one of them may yet crash, as of the present plan.
+    /// Workers that a run of a suspect may still crash, as of the current scheduling pass.
     pub(crate) trials: Trials,
-    /// Tasks that were given up, for the log.
+    /// Tasks that were abandoned, to be logged.
     pub(crate) given_up: Vec<GivenUp>,
-    /// Runs that workers have lost, for the log.
+    /// Runs that workers have lost, to be logged.
     pub(crate) lost_runs: Vec<LostRun>,
-    /// Orders that came out of news, for the next plan.
+    /// Commands collected since the last scheduling pass; the next one returns them.
     pub(crate) orders: Vec<Order>,
-    /// Another owner has a higher epoch.
+    /// An owner with a higher epoch exists.
     pub(crate) deposed: bool,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(options: Options) -> Self {
         Self {
@@ -138,18 +138,18 @@
         }
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is enabled.
     #[must_use]
     pub fn has(&self, mechanism: Mechanism) -> bool {
         self.options.switches.has(mechanism)
     }
 
-    /// Changes how many questions may be under way at once.
+    /// Sets the maximum number of concurrent advisor queries.
     pub fn set_askers(&mut self, askers: usize) {
         self.options.askers = askers.max(1);
     }
 
-    /// Takes up a job. A job that is known already stays as it is, and one that went to another pool stays there.
+    /// Adds a job. Does nothing if the job is known already or was transferred to another pool.
     pub fn adopt(
         &mut self,
         now: Ms,
@@ -163,13 +163,13 @@
             return;
         }
         if job.epoch > self.options.epoch && self.options.epoch > 0 {
-            // The host that accepted it knows a newer owner.
+            // The host that accepted the job knows a newer owner.
             self.deposed = true;
             return;
         }
         let ours = job.epoch == self.options.epoch && job.epoch > 0;
         let mut live = Live::new(job, progress, now, unix);
-        // The former owner may have been told of a job that this one learns of only now.
+        // The former owner may have known, and started, a job that this owner learns of only now.
         let former = self.former_orders_end().is_none_or(|end| now < end);
         live.inherited = !ours && (inherited || former && !self.unseen.is_empty());
         self.jobs.insert(Arc::clone(&id), live);
@@ -177,14 +177,14 @@
         self.advance(&id, now, unix);
         self.hold_back(now, &id);
         self.adopt_observed_runs(now, &id);
-        // A former owner may have stored the last end and not the state that follows from it.
+        // A former owner may have stored the last end without the state that follows from it.
         self.complete_or_advance(now, unix, &id);
         if self.cancels.remove(&id) {
             self.cancel(unix, &id);
         }
     }
 
-    /// Lets a job's occurrences and steps begin whose turn has come.
+    /// Opens the occurrences that are due and the steps whose dependencies are complete.
     pub(crate) fn advance(&mut self, id: &JobId, now: Ms, unix: u64) {
         let Some(live) = self.jobs.get_mut(id) else {
             return;
@@ -203,10 +203,10 @@
         self.jobs.contains_key(id)
     }
 
-    /// The state of a job that its caller may be told: what is final is told only when it is stored.
+    /// The state of a job as reported to its caller. A final state is reported only once it is stored.
     ///
-    /// Until then the ends lie with the workers, and a worker may leave or crash before a new owner asks it: a job that
-    /// was told as completed would run again.
+    /// Until then only the workers hold the ends, and a worker may leave or crash before a new owner polls it: a job
+    /// that was reported as completed would then run again.
     #[must_use]
     pub fn state(&self, id: &str) -> Option<State> {
         self.jobs
@@ -218,7 +218,7 @@
             })
     }
 
-    /// Cancels a job; the state it has then, or `None` if it isn't known.
+    /// Cancels a job and returns its resulting state, or `None` if the job isn't known.
     pub fn cancel(&mut self, unix: u64, id: &str) -> Option<State> {
         let Some(live) = self.jobs.get(id) else {
             if self.partial {
@@ -233,7 +233,7 @@
         self.jobs.get(&id).map(|live| live.state)
     }
 
-    /// Makes a job's state final and stops what it has running.
+    /// Gives a job a final state and stops its runs.
     pub(crate) fn close(&mut self, unix: u64, id: &JobId, state: State) {
         let Some(live) = self.jobs.get_mut(id) else {
             return;
@@ -263,7 +263,7 @@
         self.mark(id);
     }
 
-    /// A job's progress has to be stored.
+    /// Marks a job's progress as changed, so that it gets stored.
     pub(crate) fn mark(&mut self, id: &JobId) {
         if let Some(live) = self.jobs.get_mut(id) {
             live.dirty = true;
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Jobs of each queue of which nothing has started.
+    /// Number of jobs in each queue of which no task has started.
     #[must_use]
     pub fn pending(&self) -> FxHashMap<String, u64> {
         let mut counts: FxHashMap<String, u64> = FxHashMap::default();
@@ -283,7 +283,7 @@
         counts
     }
 
-    /// The directory lists a worker.
+    /// Adds a worker that the directory lists, or updates what is known of it.
     pub fn listed(&mut self, now: Ms, id: &WorkerId, news: News) {
         let worker = self.workers.entry(Arc::clone(id)).or_default();
         if worker.id.is_empty() {
@@ -299,14 +299,14 @@
         worker.news = news;
     }
 
-    /// The directory doesn't list a worker any more. What runs there stays in doubt until its lease has lapsed.
+    /// The directory no longer lists a worker. The outcome of its runs is unknown until its lease has lapsed.
     pub fn unlisted(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.listed = false;
         }
     }
 
-    /// Workers that may be given something: those that the next owner must hear from.
+    /// Workers that may be given tasks. The next owner has to get an answer from each of them.
     #[must_use]
     pub fn roster(&self, now: Ms) -> Vec<WorkerId> {
         let mut ids: Vec<WorkerId> = self
@@ -321,8 +321,8 @@
         ids
     }
 
-    /// Workers that can't be reached, with what may run there. From now on nothing is started there until a roster with
-    /// them is stored: what is written down must not become too little while it is on its way.
+    /// Workers that are unreachable or about to leave, with the runs that may be there. Nothing is started on them
+    /// until a roster that names them is stored: a run started in between would be missing from the stored list.
     #[must_use]
     pub fn silent(&mut self, now: Ms) -> Vec<Silent> {
         for worker in self.workers.values_mut() {
@@ -348,7 +348,8 @@
         silent
     }
 
-    /// The stored roster names these workers and no others. Tells whether one may be given something that might not before.
+    /// Records the workers of the stored roster, sorted by id. Returns whether a worker may be given tasks that might
+    /// not before.
     pub fn enroll(&mut self, ids: &[WorkerId]) -> bool {
         let mut more = false;
         for (id, worker) in &mut self.workers {
@@ -359,7 +360,7 @@
         more
     }
 
-    /// A worker.
+    /// The worker with this id, if it is known.
     #[must_use]
     pub fn worker(&self, id: &str) -> Option<&Worker> {
         self.workers.get(id)
@@ -370,16 +371,16 @@
         self.workers.values()
     }
 
-    /// Whether another owner with a higher epoch was met.
+    /// Whether an owner with a higher epoch exists.
     #[must_use]
     pub fn deposed(&self) -> bool {
         self.deposed
     }
 
-    /// Whether a majority of the workers has confirmed this owner recently enough for it to give orders.
+    /// Whether a majority of the workers has confirmed this owner recently enough for it to send commands.
     ///
     /// A new owner has to reach a majority before it acts, so an owner without one may have been replaced. An owner
-    /// that was paused fails this when it wakes, before it sends anything.
+    /// that was paused fails this check when it resumes, before it sends anything.
     #[must_use]
     pub fn proved(&self, now: Ms) -> bool {
         let mut known = 0;
@@ -393,7 +394,7 @@
         answered * 2 > known
     }
 
-    /// What a task of this step takes on a worker.
+    /// Capacity that a task of this step takes on a worker.
     pub(crate) fn size(&self, key: &StageKey) -> Option<Size> {
         let step = self
             .jobs
--- a/crates/pool/src/rank.rs
+++ b/crates/pool/src/rank.rs
@@ -1,35 +1,37 @@
-//! Who goes first.
+//! The order in which waiting work is served.
 //!
-//! Answers the load in which more is wanted than there is room for. A job earns fully until its objective, little up
-//! to three times that, nothing later. So work that can still earn goes before work that can't, whatever its queue;
-//! then the queue's priority counts; then whether it is still within its objective; then the smaller rest of work,
-//! which earns most for the room it takes. Work that can't earn any more goes last and is never dropped.
+//! It matters when demand exceeds capacity. A job has its full value until its objective, little value up to three
+//! times the objective, and none after that. So work that can still have value goes before work that can't, whatever
+//! its queue; then the queue's priority decides; then whether the work can still meet its objective; then the smaller
+//! remaining work, which has the most value for the capacity it takes. Work without value goes last and is never
+//! dropped.
 
 use rustc_hash::FxHashMap;
 
 use crate::mechanism::{Mechanism, Switches};
 use crate::task::Ms;
 
-/// A job earns nothing when it takes longer than this many times its objective.
+/// A job has no value if it takes longer than this many times its objective.
 pub const LATE_MOST: u64 = 3;
-/// Weight of the newest observation in running means: some ten observations decide.
-const NEWEST: f64 = 0.1;
+/// Weight of the newest observation in exponential moving averages: about the last ten observations count.
+const EMA_WEIGHT: f64 = 0.1;
 
-/// Place in the order; the smaller goes first.
+/// Rank of waiting work; the smallest goes first.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Rank {
-    /// It can't earn any more.
+    /// It can no longer have any value, as it will exceed [`LATE_MOST`] times its objective.
     pub hopeless: bool,
     /// The queue's priority, 0 first.
     pub priority: u32,
-    /// It can't meet its objective any more.
+    /// It can no longer meet its objective.
     pub late: bool,
-    /// Work that is left: room that it takes, in the dimension in which it takes most, times time.
+    /// Remaining work: the capacity that it takes, in the dimension in which it takes the largest share, times its
+    /// duration.
     pub work: u64,
 }
 
 impl Rank {
-    /// The same without the parts that are switched off.
+    /// The same rank without the components whose mechanisms are disabled.
     #[must_use]
     pub(crate) fn without(self, switches: &Switches) -> Self {
         let mut rank = Self::default();
@@ -49,24 +51,24 @@
     }
 }
 
-/// What the order depends on.
+/// The inputs of [`rank`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Claim {
     /// The queue's priority, 0 first.
     pub priority: u32,
-    /// Time since it was accepted or due.
+    /// Time since the job was accepted or its occurrence was due.
     pub age: Ms,
-    /// Its objective.
+    /// Time in which the job should be completed.
     pub objective: Ms,
-    /// Longest chain of work that is left.
+    /// Expected time until the job is completed: the longest chain of steps from here on.
     pub chain: Ms,
-    /// Work that is left, as in [`Rank::work`].
+    /// Remaining work, as in [`Rank::work`].
     pub work: u64,
-    /// It runs until it is cancelled.
+    /// The job runs until it is cancelled, so it has no deadline.
     pub lasting: bool,
 }
 
-/// Ranks a claim.
+/// Ranks waiting work.
 ///
 /// ```
 /// use pool::rank::{Claim, rank};
@@ -86,7 +88,7 @@
     }
 }
 
-/// Observed durations and answers, per queue.
+/// Observed task durations and advisor answers, per queue.
 #[derive(Clone, Debug, Default)]
 pub struct Learned {
     scale: FxHashMap<String, f64>,
@@ -94,27 +96,27 @@
 }
 
 impl Learned {
-    /// A task of a queue took this long against its estimate.
+    /// Records how long a task of a queue took, and its estimate.
     pub fn took(&mut self, queue: &str, took: Ms, estimate: Ms) {
         let ratio = (took as f64 / estimate.max(1) as f64).clamp(0.1, 10.0);
         let mean = self.scale.entry(queue.to_owned()).or_insert(1.0);
-        *mean += NEWEST * 0.2 * (ratio - *mean);
+        *mean += EMA_WEIGHT * 0.2 * (ratio - *mean);
     }
 
-    /// Observed duration against the estimate.
+    /// Average ratio of observed to estimated duration of a queue's tasks.
     #[must_use]
     pub fn scale(&self, queue: &str) -> f64 {
         self.scale.get(queue).copied().unwrap_or(1.0)
     }
 
-    /// Of this many workers asked about, this many were allowed.
+    /// Records an advisor answer: how many workers were in the query, and how many of them it allowed.
     pub fn advised(&mut self, queue: &str, asked: usize, allowed: usize) {
         let share = allowed as f64 / asked.max(1) as f64;
         let mean = self.yes.entry(queue.to_owned()).or_insert(share);
-        *mean += NEWEST * (share - *mean);
+        *mean += EMA_WEIGHT * (share - *mean);
     }
 
-    /// Share of workers that the advisor allows for a step of this queue.
+    /// Average share of workers that the advisor allows for a step of this queue.
     #[must_use]
     pub fn yes(&self, queue: &str) -> f64 {
         self.yes.get(queue).copied().unwrap_or(0.5).max(0.05)
--- a/crates/pool/src/scarce.rs
+++ b/crates/pool/src/scarce.rs
@@ -1,8 +1,8 @@
-//! What is scarce among the workers of a service.
+//! Capacity of the workers of each service, and which of its dimensions is scarce.
 //!
-//! Answers the load in which workers have accelerators and most of those are taken while processors are left: by processors
-//! alone, work that needs eight accelerators looks as small as work that needs two, and tasks with one accelerator are put
-//! on workers that are still whole. Which dimension is scarce is read off what is taken, not laid down.
+//! Where workers have accelerators, most of those may be taken while processors are free. Measured in processors alone,
+//! work that needs eight accelerators looks as small as work that needs two, and tasks with one accelerator are placed on
+//! workers whose accelerators are all free. Which dimension is scarce follows from the present use, not from a setting.
 
 use resource::Size;
 use rustc_hash::FxHashMap;
@@ -10,30 +10,30 @@
 use crate::mechanism::Mechanism;
 use crate::pool::Pool;
 
-/// Weight of a dimension of which nothing is taken, against one that is full.
-const IDLE: f64 = 0.05;
+/// Weight of a dimension of which nothing is used, relative to one that is full.
+const IDLE_WEIGHT: f64 = 0.05;
 
-/// Room of the workers of one service, and what of it is taken.
+/// Total and used capacity of the workers of one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Scarce {
-    /// All there is.
+    /// Capacity of all workers.
     pub room: Size,
-    /// What is taken.
+    /// The part of it that is used.
     pub used: Size,
 }
 
-/// Parts of an amount: processors, memory, accelerators.
-fn parts(size: Size) -> [f64; 3] {
+/// The dimensions of an amount: processors, memory, accelerators.
+fn dimensions(size: Size) -> [f64; 3] {
     [size.millicores, size.memory_mib, size.accelerators].map(|part| part as f64)
 }
 
-/// Share of a whole; nothing of nothing is nothing.
-fn share(part: f64, whole: f64) -> f64 {
+/// Ratio of a part to the whole; 0 if the whole is 0.
+fn ratio(part: f64, whole: f64) -> f64 {
     if whole > 0.0 { part / whole } else { 0.0 }
 }
 
 impl Scarce {
-    /// How much of all room an amount takes in the dimension in which it takes most.
+    /// Dominant share of an amount: its share of the total capacity in the dimension in which that is largest.
     ///
     /// ```
     /// use pool::scarce::Scarce;
@@ -45,33 +45,33 @@
     /// ```
     #[must_use]
     pub fn share(&self, size: Size) -> f64 {
-        let room = parts(self.room);
-        let shares = parts(size)
+        let room = dimensions(self.room);
+        let shares = dimensions(size)
             .into_iter()
             .zip(room)
-            .map(|(part, all)| share(part, all));
+            .map(|(part, all)| ratio(part, all));
         shares.fold(0.0, f64::max)
     }
 
-    /// How much of a worker's room is left, each dimension by how much of it is taken on all workers; between 0 and 1.
+    /// Free share of a worker's capacity, between 0 and 1. Each dimension is weighted by its used share on all workers.
     #[must_use]
     pub fn left(&self, free: Size, room: Size) -> f64 {
-        let (all, used) = (parts(self.room), parts(self.used));
-        let (free, room) = (parts(free), parts(room));
-        let (mut sum, mut weighed) = (0.0, 0.0);
+        let (all, used) = (dimensions(self.room), dimensions(self.used));
+        let (free, room) = (dimensions(free), dimensions(room));
+        let (mut sum, mut weighted) = (0.0, 0.0);
         for at in 0..all.len() {
             if all[at] > 0.0 && room[at] > 0.0 {
-                let weight = share(used[at], all[at]) + IDLE;
+                let weight = ratio(used[at], all[at]) + IDLE_WEIGHT;
                 sum += weight;
-                weighed += weight * free[at] / room[at];
+                weighted += weight * free[at] / room[at];
             }
         }
-        share(weighed, sum)
+        ratio(weighted, sum)
     }
 }
 
 impl Pool {
-    /// What is scarce, by service.
+    /// Total and used capacity of the listed workers, by service.
     pub(crate) fn scarce(&self) -> FxHashMap<String, Scarce> {
         let mut services: FxHashMap<String, Scarce> = FxHashMap::default();
         let all = self.has(Mechanism::Scarcity);
--- a/crates/pool/src/watch.rs
+++ b/crates/pool/src/watch.rs
@@ -1,4 +1,4 @@
-//! Evidence about workers, tasks that stand still, and the pace of tasks that fill.
+//! Periodic checks of runs: stalled tasks and the pace of best-effort tasks; and how ends affect a worker's failure score.
 
 use std::sync::Arc;
 
@@ -9,29 +9,29 @@
 use crate::pool::Pool;
 use crate::task::{Ms, Phase, Run, TaskKey, WorkerId};
 
-/// Time between two looks: listings are no newer than this on most workers.
-const LOOK: Ms = 200;
-/// A task whose progress hasn't moved for this long stands still. Listings come at least every 0.7 s, and a task of 15 s
-/// moves by a percent in 0.15 s.
-const STILL: Ms = 2_500;
-/// A worker that failed as often as a suspect gets nothing for this long, then one task at a time.
-const REST_SUSPECT: Ms = 2_000;
-/// Further ends are awaited for this part of the shortest task's time.
-const GATHER_SHARE: Ms = 10;
-/// But no longer than this.
-const GATHER_MOST: Ms = 200;
-/// Evidence of a first failure of a task.
-const FIRST: f64 = 1.0;
-/// Evidence of the failure of a task that failed elsewhere too: the task is the likelier cause.
-const FURTHER: f64 = 0.25;
-/// Evidence against a doubt, of a task that ended well.
-const WELL: f64 = 0.6;
+/// Minimum time between two checks: on most workers, listings don't arrive more often.
+const CHECK_INTERVAL: Ms = 200;
+/// A task whose progress hasn't changed for this long is stalled. Listings arrive at least every 0.7 s, and a task of 15 s
+/// advances by one percent in 0.15 s.
+const STALL_TIMEOUT: Ms = 2_500;
+/// A worker whose failure score reaches [`SUSPECT`] gets no tasks for this long, then one at a time.
+const SUSPECT_PAUSE: Ms = 2_000;
+/// The next poll waits for further ends for the estimate of the shortest task on the worker, divided by this.
+const POLL_DELAY_DIVISOR: Ms = 10;
+/// Maximum time that the next poll waits for further ends.
+const MAX_POLL_DELAY: Ms = 200;
+/// Added to a worker's failure score by the first failure of a task.
+const FIRST_FAILURE_SCORE: f64 = 1.0;
+/// Added by a failure of a task that has failed before: the task itself is the likelier cause.
+const REPEATED_FAILURE_SCORE: f64 = 0.25;
+/// Subtracted by a task that succeeds.
+const SUCCESS_CREDIT: f64 = 0.6;
 
 impl Pool {
-    /// How long to leave a worker alone after it has listed ends, so that further ones come with the next look.
+    /// How long to wait with the next poll of a worker that has listed ends, so that it lists several ends at once.
     ///
-    /// A worker whose tasks end one by one was looked at once for each of them. Callers don't notice an end that is told later
-    /// by a tenth of what the shortest task there takes.
+    /// Without the wait, a worker whose tasks end one after the other is polled once for each of them. Callers don't notice
+    /// an end that is reported later by a tenth of the duration of the shortest task.
     #[must_use]
     pub fn gather(&self, id: &str) -> Ms {
         let Some(worker) = self.workers.get(id) else {
@@ -44,12 +44,12 @@
             let live = self.jobs.get(&key.stage.job)?;
             live.job.steps.get(usize::from(key.stage.step))
         });
-        let passing = steps.filter(|step| !step.lasting);
-        let shortest = passing.map(|step| step.estimate).min();
-        (shortest.unwrap_or(0) / GATHER_SHARE).min(GATHER_MOST)
+        let finite = steps.filter(|step| !step.lasting);
+        let shortest = finite.map(|step| step.estimate).min();
+        (shortest.unwrap_or(0) / POLL_DELAY_DIVISOR).min(MAX_POLL_DELAY)
     }
 
-    /// Draws conclusions about a worker from the end of a run.
+    /// Updates a worker's failure score and slowness, and the durations of the queue, after the end of a run.
     pub(crate) fn judge(
         &mut self,
         now: Ms,
@@ -78,43 +78,47 @@
             self.learned.took(&job.queue, took, step.estimate);
         }
         let expected = step.estimate as f64 * self.learned.scale(&job.queue);
-        let doubts = self.has(Mechanism::Doubt);
+        let scoring = self.has(Mechanism::Doubt);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         match how {
             How::Done => {
-                worker.doubt = (worker.doubt - WELL).max(0.0);
+                worker.doubt = (worker.doubt - SUCCESS_CREDIT).max(0.0);
                 if plain && !lasting {
                     let ratio = (took as f64 / expected.max(1.0)).clamp(0.2, 8.0);
                     worker.slowness += 0.1 * (ratio - worker.slowness);
                 }
             }
-            How::Failed if lasting || !doubts => {}
+            How::Failed if lasting || !scoring => {}
             How::Failed => {
-                worker.doubt += if before > 0 { FURTHER } else { FIRST };
+                worker.doubt += if before > 0 {
+                    REPEATED_FAILURE_SCORE
+                } else {
+                    FIRST_FAILURE_SCORE
+                };
                 if worker.doubt >= SUSPECT {
-                    worker.rest = worker.rest.max(now + REST_SUSPECT);
+                    worker.rest = worker.rest.max(now + SUSPECT_PAUSE);
                 }
             }
             _ => {}
         }
     }
 
-    /// Looks for tasks that stand still, and paces tasks that fill.
+    /// Stops stalled tasks, paces best-effort tasks, and moves tasks away from workers that are about to leave.
     pub(crate) fn watch(&mut self, now: Ms) {
-        if now < self.looked + LOOK {
+        if now < self.looked + CHECK_INTERVAL {
             return;
         }
         self.looked = now;
         self.evacuate(now);
-        let mut still = Vec::new();
+        let mut stalled = Vec::new();
         let mut paces = Vec::new();
         for worker in self.workers.values() {
             if now.saturating_sub(worker.last_hold) > 1_500 {
                 continue;
             }
-            let mut worst = 0.0_f64;
+            let mut max_ratio = 0.0_f64;
             let mut fills = Vec::new();
             for key in worker.runs.keys() {
                 let Some(live) = self.jobs.get(&key.stage.job) else {
@@ -134,39 +138,39 @@
                     continue;
                 }
                 if step.target > 0 {
-                    worst = worst.max(f64::from(run.load) / step.target as f64);
+                    max_ratio = max_ratio.max(f64::from(run.load) / step.target as f64);
                 }
                 if step.fills {
                     fills.push((key.clone(), run.number, run.pace));
                 } else if !step.lasting {
-                    // One percent of a long task may take longer than that.
-                    let patience = STILL.max(step.estimate / 10);
-                    if now.saturating_sub(run.moved) > patience {
-                        still.push((key.clone(), Arc::clone(&worker.id)));
+                    // One percent of a long task may take longer than the fixed limit.
+                    let timeout = STALL_TIMEOUT.max(step.estimate / 10);
+                    if now.saturating_sub(run.moved) > timeout {
+                        stalled.push((key.clone(), Arc::clone(&worker.id)));
                     }
                 }
             }
             if !fills.is_empty() {
-                paces.push((Arc::clone(&worker.id), worst, fills));
+                paces.push((Arc::clone(&worker.id), max_ratio, fills));
             }
         }
         if !self.has(Mechanism::Standstill) {
-            still.clear();
+            stalled.clear();
         }
         if !self.has(Mechanism::Pace) {
             paces.clear();
         }
-        for (key, id) in still {
+        for (key, id) in stalled {
             self.stop_run(&key);
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.doubt += 1.5;
                 if worker.doubt >= SUSPECT {
-                    worker.rest = worker.rest.max(now + REST_SUSPECT);
+                    worker.rest = worker.rest.max(now + SUSPECT_PAUSE);
                 }
             }
         }
-        for (id, worst, fills) in paces {
-            let percent = self.tempo.share(now, &id, worst);
+        for (id, max_ratio, fills) in paces {
+            let percent = self.tempo.share(now, &id, max_ratio);
             for (task, run, pace) in fills {
                 if pace == percent {
                     continue;
@@ -184,7 +188,7 @@
         }
     }
 
-    /// A change of pace was not confirmed: it is sent again with the next look.
+    /// A change of pace was not confirmed: the next check sends it again.
     pub fn pace_lost(&mut self, pace: &Pace) {
         if let Some(run) = self.task_mut(&pace.task).and_then(|task| task.run.as_mut())
             && run.number == pace.run
--- a/crates/pool/tests/advice.rs
+++ b/crates/pool/tests/advice.rs
@@ -1,4 +1,4 @@
-//! When the advisor is asked, and about which workers.
+//! When the advisor is queried, and about which workers.
 
 #[allow(dead_code, reason = "other test files use the rest")]
 mod case;
@@ -9,8 +9,8 @@
 use pool::{Advice, Answer, How, Job, Options, Order, Pool, Start};
 use world::{UNIX, job};
 
-/// A pool whose two workers are full, and which may ask the advisor four questions at once.
-fn full() -> (Pool, Vec<Start>) {
+/// A pool whose two workers are full, and which may have four advisor queries in flight.
+fn full_pool() -> (Pool, Vec<Start>) {
     let mut pool = Pool::new(Options {
         askers: 4,
         ..Options::default()
@@ -21,13 +21,13 @@
         1_000,
         job("00000000000000f1", &[(2, 4_000, 5_000)]),
     );
-    let full = run(&mut pool, 1_001);
-    assert_eq!(full.len(), 2);
-    (pool, full)
+    let running = run(&mut pool, 1_001);
+    assert_eq!(running.len(), 2);
+    (pool, running)
 }
 
-/// A job of one task, about which a question takes half a second.
-fn slowly_advised(id: &str, millicores: u64) -> Job {
+/// A job of one task for which an advisor query takes half a second.
+fn job_with_slow_advice(id: &str, millicores: u64) -> Job {
     let mut advised = job(id, &[(1, millicores, 500)]);
     advised.policy.advice = Some(Advice {
         base: 490.0,
@@ -37,7 +37,8 @@
     advised
 }
 
-/// Steps of a queue with an advisor start only with a ticket that holds; an answer is kept, and only its ticket renewed.
+/// Steps of a queue with an advisor start only with a valid ticket. A ticket that the worker rejects is renewed, and the
+/// answer itself is kept.
 #[test]
 fn advised_steps_need_a_ticket() {
     let mut pool = pool(3);
@@ -50,9 +51,12 @@
     adopt(&mut pool, 1_000, advised);
     let orders = pool.plan(1_001, UNIX);
     let [Order::Ask(ask)] = orders.as_slice() else {
-        panic!("a question is asked first: {orders:?}");
+        panic!("expected one advisor query, got {orders:?}");
     };
-    assert!(pool.plan(1_010, UNIX).is_empty(), "and only once");
+    assert!(
+        pool.plan(1_010, UNIX).is_empty(),
+        "the query is sent only once"
+    );
     let rows = vec![(ask.workers[0].clone(), "t1".to_owned())];
     pool.advised(1_050, ask, Some((&rows, 2_000)));
     let orders = pool.plan(1_051, UNIX);
@@ -81,24 +85,32 @@
     );
 }
 
-/// All workers are full, and a question takes half a second. Asked only when room was free, the room stood idle for as long;
-/// with the answer and a ticket at hand, the step starts the moment there is room.
+/// All workers are full, and an advisor query takes half a second. If it were sent only once capacity is free, the capacity
+/// would stay idle for as long; with a ticket at hand, the step starts as soon as there is capacity.
 #[test]
-fn the_advisor_is_asked_before_there_is_room() {
-    let (mut pool, full) = full();
-    adopt(&mut pool, 1_010, slowly_advised("00000000000000a3", 4_000));
+fn the_advisor_is_queried_before_there_is_capacity() {
+    let (mut pool, running) = full_pool();
+    adopt(
+        &mut pool,
+        1_010,
+        job_with_slow_advice("00000000000000a3", 4_000),
+    );
     let orders = pool.plan(1_020, UNIX);
     let [Order::Ask(ask)] = orders.as_slice() else {
         panic!("{orders:?}");
     };
-    assert_eq!(ask.workers.len(), 2, "all, since each adds little");
-    let first = full[0].worker.clone();
+    assert_eq!(
+        ask.workers.len(),
+        2,
+        "all workers, since each adds little time"
+    );
+    let first = running[0].worker.clone();
     pool.advised(
         1_550,
         ask,
         Some((&[(first.clone(), "t".to_owned())], 2_000)),
     );
-    let done = vec![end(&full[0], 1, How::Done)];
+    let done = vec![end(&running[0], 1, How::Done)];
     hold(&mut pool, 1_600, &first, vec![], done);
     let started = run(&mut pool, 1_601);
     assert_eq!(started.len(), 1);
@@ -108,21 +120,21 @@
     );
 }
 
-/// Questions ahead of need leave half of the advisor's time to steps for which there is room.
+/// Queries ahead of need leave half of the advisor's time to steps for which there is free capacity.
 #[test]
-fn questions_ahead_leave_time_to_others() {
-    let (mut pool, _) = full();
+fn queries_ahead_of_need_leave_time_to_others() {
+    let (mut pool, _) = full_pool();
     for at in 0..8 {
         let id = format!("00000000000000b{at}");
-        adopt(&mut pool, 1_010, slowly_advised(&id, 1_000));
+        adopt(&mut pool, 1_010, job_with_slow_advice(&id, 1_000));
     }
     assert_eq!(pool.plan(1_020, UNIX).len(), 2);
 }
 
-/// At most one task of a step may run on a worker. The workers that the advisor allowed have one each, so a task that is
-/// left needs others; asking about the same ones again and again left it waiting for ten seconds.
+/// At most one task of the step may run on a worker, and the workers that the advisor allowed run one each. Queries about the
+/// same workers again and again left the remaining task waiting for ten seconds; they have to name others.
 #[test]
-fn workers_that_have_their_share_are_not_asked_about_again() {
+fn workers_at_the_limit_of_a_step_are_not_queried_again() {
     let mut pool = pool(4);
     let mut spread = job("00000000000000a2", &[(2, 100, 500)]);
     spread.steps[0].per_worker = 1;
@@ -138,7 +150,7 @@
     };
     let rows = vec![(first.workers[0].clone(), "t1".to_owned())];
     pool.advised(1_050, first, Some((&rows, 50)));
-    // The ticket has run out when the start is due, so the worker is asked about again, and runs one task.
+    // The first ticket has expired when the start is due; the second one lets the worker run one task.
     pool.advised(1_051, first, Some((&rows, 2_000)));
     let started = run(&mut pool, 1_060);
     assert_eq!(started.len(), 1);
@@ -151,69 +163,76 @@
     }
 }
 
-/// More short work of a queue that goes first comes than the advisor has time for, while most of the room is free. A task that
-/// lasts and had lost its worker was not asked about for as long as that went on.
+/// A queue of higher priority brings more short work than the advisor has time for, while most of the capacity is free. If
+/// queries followed the ranks alone, a long-running task that lost its worker would wait for as long as that lasts.
 #[test]
-fn lasting_work_is_asked_about_while_other_work_keeps_the_advisor_busy() {
-    assert!(is_asked_about_beside(0), "not for three seconds");
+fn long_running_work_is_queried_while_other_work_keeps_the_advisor_busy() {
+    assert!(
+        is_queried_beside(0),
+        "no query about the long-running job within 3 s"
+    );
 }
 
-/// Guards against a plan that looks at the same steps without room again and again, in place of one that has room.
+/// Guards against scheduling passes that consider the same steps without capacity again and again, and never one that has
+/// capacity.
 #[test]
-fn steps_without_room_don_t_hide_lasting_work_from_the_advisor() {
-    assert!(is_asked_about_beside(100), "not for three seconds");
+fn steps_without_capacity_do_not_keep_long_running_work_from_the_advisor() {
+    assert!(
+        is_queried_beside(100),
+        "no query about the long-running job within 3 s"
+    );
 }
 
-/// Whether lasting work is asked about within three seconds, beside so much short work that it takes all of the advisor's time,
-/// and beside this many lasting tasks that are too large for any worker.
-fn is_asked_about_beside(too_large: u32) -> bool {
+/// Whether the advisor is queried about a long-running job within three seconds, beside so much short work that it takes all
+/// of the advisor's time, and beside this many long-running tasks that are too large for any worker.
+fn is_queried_beside(too_large: u32) -> bool {
     let mut pool = Pool::new(Options {
         askers: 4,
         ..Options::default()
     });
     list_workers(&mut pool, 8);
     for at in 0..too_large {
-        let mut large = slowly_advised(&format!("{at:016x}"), 1_000);
+        let mut large = job_with_slow_advice(&format!("{at:016x}"), 1_000);
         large.steps[0].lasting = true;
         large.steps[0].size = resource::Size::new(1_000_000, 1, 0);
         large.policy.priority = 1;
         adopt(&mut pool, 1_000, large);
     }
-    let mut lasting = slowly_advised("00000000000000c0", 1_000);
-    lasting.steps[0].lasting = true;
-    lasting.policy.priority = 1;
-    adopt(&mut pool, 1_000, lasting);
-    let mut under_way = Vec::new();
+    let mut long_running = job_with_slow_advice("00000000000000c0", 1_000);
+    long_running.steps[0].lasting = true;
+    long_running.policy.priority = 1;
+    adopt(&mut pool, 1_000, long_running);
+    let mut in_flight = Vec::new();
     for now in (1_010..4_010).step_by(100) {
         hold_all(&mut pool, now, &[]);
         for at in 0..4 {
-            let mut short = slowly_advised(&format!("{now:015x}{at}"), 100);
+            let mut short = job_with_slow_advice(&format!("{now:015x}{at}"), 100);
             short.accepted = UNIX + now;
             adopt(&mut pool, now, short);
         }
-        under_way.retain(|(sent, ask): &(u64, pool::Ask)| {
-            let over = now - sent >= 300;
-            if over {
+        in_flight.retain(|(sent, ask): &(u64, pool::Ask)| {
+            let due = now - sent >= 300;
+            if due {
                 pool.advised(now, ask, Some((&[], 2_000)));
             }
-            !over
+            !due
         });
         for order in pool.plan(now, UNIX + now) {
             if let Order::Ask(ask) = order {
                 if &*ask.stage.job == "00000000000000c0" {
                     return true;
                 }
-                under_way.push((now, ask));
+                in_flight.push((now, ask));
             }
         }
     }
     false
 }
 
-/// Guards against quick steps that are asked about at the same time and all name the workers with most room: they get room on the
-/// same few workers, the first takes it, and the others have to ask again.
+/// Guards against concurrent queries that all name the workers with the most free capacity: the steps get tickets for the same
+/// few workers, the first step takes their capacity, and the others have to query again.
 #[test]
-fn steps_at_the_same_time_are_asked_about_different_workers() {
+fn concurrent_queries_name_different_workers() {
     let mut pool = Pool::new(Options {
         askers: 20,
         ..Options::default()
@@ -241,5 +260,8 @@
         .iter()
         .filter(|id| asked[1].contains(id) && asked[2].contains(id))
         .count();
-    assert!(shared <= asked[0].len() / 3, "{shared} of {asked:?}");
+    assert!(
+        shared <= asked[0].len() / 3,
+        "{shared} workers are in all queries: {asked:?}"
+    );
 }
--- a/crates/pool/tests/misfits.rs
+++ b/crates/pool/tests/misfits.rs
@@ -1,4 +1,4 @@
-//! Jobs that the pool can't serve any more.
+//! Unservable jobs: jobs that the pool can no longer run with the workers it has.
 
 #[allow(dead_code, reason = "other test files use the rest")]
 mod case;
@@ -10,10 +10,10 @@
 use case::{hold, hold_all, pool, starts};
 use world::{UNIX, job};
 
-/// A gang needs all four workers and one of them is gone. After a while in which it might have come back the job is to go to
-/// another pool; until that is done, or not done, nothing of it starts here.
+/// A gang needs all four workers, and one of them is lost. After a delay in which the worker could have come back, the job is
+/// to be transferred to another pool. Once it is transferred, an outdated row of it must not bring it back.
 #[test]
-fn a_job_that_the_pool_could_not_serve_if_it_were_empty_goes() {
+fn a_job_that_an_empty_pool_could_not_run_is_transferred() {
     let mut pool = pool(4);
     let mut wide = job("wide", &[(4, 4_000, 500)]);
     wide.steps[0].gang = true;
@@ -27,31 +27,34 @@
     );
     pool.unlisted("w03");
     pool.mark_unresponsive(&"w03".into());
-    assert!(pool.misfits(1_100).is_empty(), "it may come back");
-    let mut leave = Vec::new();
+    assert!(
+        pool.misfits(1_100).is_empty(),
+        "the worker may still come back"
+    );
+    let mut leaving = Vec::new();
     for now in (1_200..5_000).step_by(100) {
         for id in ["w00", "w01", "w02"] {
             hold(&mut pool, now, &id.into(), vec![], vec![]);
         }
-        leave = pool.misfits(now);
-        if !leave.is_empty() {
+        leaving = pool.misfits(now);
+        if !leaving.is_empty() {
             break;
         }
     }
-    assert_eq!(leave, vec!["wide".into()]);
+    assert_eq!(leaving, vec!["wide".into()]);
     pool.transferred(&"wide".into());
     assert!(!pool.knows("wide"));
-    let again = job("wide", &[(1, 1_000, 500)]);
-    pool.adopt(5_000, UNIX + 5_000, Arc::new(again), None, false);
+    let outdated = job("wide", &[(1, 1_000, 500)]);
+    pool.adopt(5_000, UNIX + 5_000, Arc::new(outdated), None, false);
     assert!(
         !pool.knows("wide"),
-        "an older row of it would run it a second time"
+        "the outdated row would run the job a second time"
     );
 }
 
-/// While the pool is full of others, a job that would fit if it were empty stays.
+/// A job that would fit into the empty pool stays there while other jobs use the capacity.
 #[test]
-fn a_job_that_only_waits_for_room_stays() {
+fn a_job_that_only_waits_for_capacity_stays() {
     let mut pool = pool(2);
     pool.adopt(
         1_000,
--- a/crates/pool/tests/policies.rs
+++ b/crates/pool/tests/policies.rs
@@ -1,4 +1,4 @@
-//! What the pool decides, case by case.
+//! Scheduling policies: rank, gangs, constraints, retries, evacuation, pacing, and faulty workers.
 
 #[allow(dead_code, reason = "other test files use the rest")]
 mod case;
@@ -12,10 +12,10 @@
 use resource::Size;
 use world::{UNIX, World, job};
 
-/// A rush of quick work meets a long report. In order of arrival the report takes the room first, and all quick work is
-/// late; by rank the quick work goes first, and the report is late alone.
+/// A burst of quick jobs arrives just after a long report. In order of arrival the report would take the capacity, and all
+/// quick jobs would be late; by rank the quick jobs go first.
 #[test]
-fn quick_work_goes_before_a_report_that_came_earlier() {
+fn quick_work_goes_before_a_report_that_arrived_earlier() {
     let mut pool = pool(2);
     let mut report = job("00000000000000r1", &[(8, 1_000, 60_000)]);
     report.policy.priority = 2;
@@ -34,9 +34,9 @@
     );
 }
 
-/// Work that can't earn any more goes last, whatever its priority, but is not dropped.
+/// Work that can no longer have any value goes last, whatever its priority. Late work that still has some value doesn't.
 #[test]
-fn hopeless_work_goes_last() {
+fn work_without_value_goes_last() {
     let claim = |priority, age| {
         rank(&Claim {
             priority,
@@ -48,34 +48,35 @@
         })
     };
     assert!(claim(0, 2_600) > claim(2, 0));
-    assert!(claim(0, 800) < claim(2, 0), "late, but it still earns");
+    assert!(claim(0, 800) < claim(2, 0), "late, but still of value");
 }
 
-/// A gang starts whole or not at all, with one run number and one checkpoint.
+/// A gang starts with all its members or not at all, and its members have the same run number.
 #[test]
-fn a_gang_waits_for_room_for_all_of_it() {
+fn a_gang_waits_for_capacity_for_all_its_members() {
     let mut pool = pool(2);
-    let mut filler = job("00000000000000f1", &[(1, 3_000, 10_000)]);
-    filler.policy.priority = 0;
-    adopt(&mut pool, 1_000, filler);
-    let filling = run(&mut pool, 1_001);
+    let mut other = job("00000000000000f1", &[(1, 3_000, 10_000)]);
+    other.policy.priority = 0;
+    adopt(&mut pool, 1_000, other);
+    let running = run(&mut pool, 1_001);
     let mut gang = job("00000000000000g1", &[(4, 1_500, 1_000)]);
     gang.steps[0].gang = true;
     adopt(&mut pool, 1_002, gang);
     assert_eq!(
         run(&mut pool, 1_003).len(),
         0,
-        "there is room for two of four"
+        "there is capacity for two of four members"
     );
-    let done = vec![end(&filling[0], 1, How::Done)];
-    let worker = filling[0].worker.clone();
+    let done = vec![end(&running[0], 1, How::Done)];
+    let worker = running[0].worker.clone();
     hold(&mut pool, 1_200, &worker, vec![], done);
     let started = run(&mut pool, 1_201);
     assert_eq!(started.len(), 4);
     assert!(started.iter().all(|start| start.run == started[0].run));
 }
 
-/// One member of a gang can't start. The others would wait for it until they end "alone": they are stopped at once.
+/// One member of a gang is refused. The others would wait for it until they end with [`How::Alone`], so they are stopped at
+/// once.
 #[test]
 fn a_gang_with_a_refused_member_is_stopped() {
     let mut pool = pool(2);
@@ -89,9 +90,9 @@
     assert_eq!(stops(&pool.plan(1_010, UNIX)), 2);
 }
 
-/// Steps come in order; labels, racks and the limit of one worker are kept.
+/// Steps run in the order of their dependencies; labels, the rack of the data and the limit per worker are respected.
 #[test]
-fn order_labels_and_limits_are_kept() {
+fn dependencies_labels_and_limits_are_respected() {
     let mut pool = pool(4);
     let mut spread = job("00000000000000s1", &[(3, 100, 500), (2, 100, 500)]);
     spread.steps[0].per_worker = 1;
@@ -102,16 +103,16 @@
     let mut workers: Vec<&str> = first.iter().map(|start| &*start.worker).collect();
     workers.sort_unstable();
     workers.dedup();
-    assert_eq!(workers.len(), 3, "one task on a worker");
+    assert_eq!(workers.len(), 3, "one task on each worker");
     assert!(
         workers.contains(&"w02") && workers.contains(&"w03"),
-        "data's rack first"
+        "the rack of the data first"
     );
     for (number, start) in first.iter().enumerate() {
         assert_eq!(
             run(&mut pool, 1_100 + number as u64).len(),
             0,
-            "the first step isn't done"
+            "the first step isn't complete"
         );
         let done = vec![end(start, 1, How::Done)];
         hold(
@@ -131,14 +132,14 @@
     );
 }
 
-/// A task that fails as often as it may fails its job, and nothing more of it starts; failures are counted once each, also
-/// when a worker lists them again.
+/// A job fails once a task has used up its attempts, and nothing of it starts any more. Each failure counts once, even if a
+/// worker lists it again.
 #[test]
 fn attempts_are_counted_once() {
     let mut pool = pool(3);
-    let mut doomed = job("00000000000000d1", &[(1, 100, 500)]);
-    doomed.policy.attempts = 2;
-    adopt(&mut pool, 1_000, doomed);
+    let mut failing = job("00000000000000d1", &[(1, 100, 500)]);
+    failing.policy.attempts = 2;
+    adopt(&mut pool, 1_000, failing);
     let first = run(&mut pool, 1_001);
     let failed = end(&first[0], 1, How::Failed);
     hold(
@@ -164,13 +165,13 @@
     assert_eq!(run(&mut pool, 1_400).len(), 0);
 }
 
-/// A task that lasts starts again however it ends, and soon.
+/// A long-running task is restarted within half a second, however it ends.
 #[test]
-fn a_lasting_task_is_started_again() {
+fn a_long_running_task_is_restarted() {
     let mut pool = pool(2);
-    let mut lasting = job("00000000000000l1", &[(1, 100, 0)]);
-    lasting.steps[0].lasting = true;
-    adopt(&mut pool, 1_000, lasting);
+    let mut long_running = job("00000000000000l1", &[(1, 100, 0)]);
+    long_running.steps[0].lasting = true;
+    adopt(&mut pool, 1_000, long_running);
     let mut number = 0;
     let mut now = 1_001;
     for how in [
@@ -196,27 +197,31 @@
     }
 }
 
-/// A worker drains. A task that lasts moves at once where another has room, one that saves its progress just before the
-/// worker leaves, any other stays: the worker may stay longer than it says.
+/// A worker drains. A long-running task is stopped once another worker has capacity for it, a task with checkpoints just before
+/// the worker leaves, and any other task not at all: the worker may stay longer than it announced.
 #[test]
-fn leaving_workers_are_emptied() {
+fn draining_workers_are_evacuated() {
     let mut pool = pool(1);
-    let mut lasting = job("00000000000000l2", &[(1, 100, 0)]);
-    lasting.steps[0].lasting = true;
-    let mut saving = job("00000000000000v1", &[(1, 100, 60_000)]);
-    saving.steps[0].checkpoints = true;
+    let mut long_running = job("00000000000000l2", &[(1, 100, 0)]);
+    long_running.steps[0].lasting = true;
+    let mut with_checkpoints = job("00000000000000v1", &[(1, 100, 60_000)]);
+    with_checkpoints.steps[0].checkpoints = true;
     let plain = job("00000000000000p1", &[(1, 100, 60_000)]);
-    for job in [lasting, saving, plain] {
+    for job in [long_running, with_checkpoints, plain] {
         adopt(&mut pool, 1_000, job);
     }
     let runs = run(&mut pool, 1_001);
     assert_eq!(runs.len(), 3);
-    let leaving = |pool: &mut Pool, now| {
-        let mut news = pool.worker("w00").expect("it is there").news.clone();
+    let drain = |pool: &mut Pool, now| {
+        let mut news = pool
+            .worker("w00")
+            .expect("the worker is known")
+            .news
+            .clone();
         news.draining = Some(3_000);
         pool.listed(now, &"w00".into(), news);
     };
-    leaving(&mut pool, 1_100);
+    drain(&mut pool, 1_100);
     hold_all(&mut pool, 1_200, &runs);
     assert_eq!(
         stops(&pool.plan(1_300, UNIX)),
@@ -232,24 +237,28 @@
     pool.listed(1_300, &"w01".into(), news);
     pool.enroll(&["w00".into(), "w01".into()]);
     hold_all(&mut pool, 1_400, &runs);
-    assert_eq!(stops(&pool.plan(1_600, UNIX)), 1, "the lasting one moves");
+    assert_eq!(
+        stops(&pool.plan(1_600, UNIX)),
+        1,
+        "the long-running task is stopped"
+    );
     for now in [2_000, 2_600, 3_100] {
         hold_all(&mut pool, now, &runs);
     }
     let orders = pool.plan(3_200, UNIX);
-    let saved = orders.iter().any(
+    let with_checkpoints = orders.iter().any(
         |order| matches!(order, Order::Stop(stop) if &*stop.task.stage.job == "00000000000000v1"),
     );
-    let other = orders.iter().any(
+    let plain = orders.iter().any(
         |order| matches!(order, Order::Stop(stop) if &*stop.task.stage.job == "00000000000000p1"),
     );
-    assert!(saved && !other);
+    assert!(with_checkpoints && !plain);
 }
 
-/// A serving task comes near its response time because of what fills beside it. That is slowed down before the harm, goes
-/// down to a standstill if that is not enough, and comes back only after calm.
+/// A latency-sensitive task comes near its target because of best-effort tasks on the same worker. These are slowed down before
+/// the target is exceeded, are paused if that is not enough, and speed up again only after the ratio has stayed low.
 #[test]
-fn filling_tasks_are_slowed_down_before_harm() {
+fn best_effort_tasks_are_slowed_down_in_time() {
     let mut tempo = Tempo::default();
     let worker: WorkerId = "w".into();
     assert_eq!(tempo.share(1_000, &worker, 0.3), 100);
@@ -263,20 +272,20 @@
     assert_eq!(
         tempo.share(3_000, &worker, 0.3),
         0,
-        "not calm for long enough"
+        "the ratio has not been low for long enough"
     );
     let mut now = 3_000;
     while tempo.share(now, &worker, 0.3) < 100 {
         now += 200;
-        assert!(now < 30_000, "it comes back");
+        assert!(now < 30_000, "the pace returns to 100%");
     }
-    assert!(now > 8_000, "step by step");
+    assert!(now > 8_000, "it does so step by step");
 }
 
-/// Workers fail all that they start. After three failures in a row a worker gets a task at a time, after a rest; others go
-/// on, so that few attempts are spent there.
+/// A worker fails every task that it starts. After three failures in a row it gets nothing for a while, then one task at a
+/// time, so that few attempts are spent there.
 #[test]
-fn a_worker_that_fails_everything_is_found_soon() {
+fn a_worker_that_fails_every_task_is_detected_soon() {
     let mut world = World::new(5, 4);
     world.take();
     world.pass(500);
@@ -290,7 +299,7 @@
     assert_eq!(world.unfinished(), 0);
     assert!(
         world.failures <= 10,
-        "{} tasks failed there",
+        "{} tasks failed on the worker",
         world.failures
     );
     let completed = world
@@ -301,10 +310,11 @@
     assert_eq!(completed, 40);
 }
 
-/// Quick tasks run on one worker, long ones on another. Each end of a long task cost a look of its own, while more were about
-/// to end; ends of quick tasks must be told soon.
+/// A quick task runs on one worker, a long one on another. The next poll may wait for further ends for a tenth of the shortest
+/// estimate, but at most 200 ms: without the wait, each end costs a poll of its own, and ends of quick tasks must be reported
+/// soon.
 #[test]
-fn further_ends_are_awaited_as_long_as_callers_do_not_notice() {
+fn polls_wait_for_further_ends_only_as_long_as_callers_do_not_notice() {
     let mut pool = pool(2);
     adopt(
         &mut pool,
--- a/crates/pool/tests/schedules.rs
+++ b/crates/pool/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Owners that follow each other on a simulated cell: nothing runs twice, no room is exceeded, nothing is lost.
+//! Changes of owner on a simulated cell: no task runs twice, no worker's capacity is exceeded, and no job is lost.
 
 #[allow(dead_code, reason = "the other test file uses the rest")]
 mod world;
@@ -11,17 +11,17 @@
     format!("w{at:02}").into()
 }
 
-/// A worker on which something runs, as the first owner knows it.
+/// A worker that has runs, as far as the first owner knows.
 fn busy_worker(world: &World) -> WorkerId {
     let mut workers = world.owners[0].pool.workers();
     let busy = workers.find(|worker| worker.free().millicores < 4_000);
-    busy.expect("something runs").id.clone()
+    busy.expect("a task runs").id.clone()
 }
 
-/// A new owner's first listing renews no lease. It took the leases of all workers for long over, let go what ran, and
-/// started it anew: callers would have seen their bookings made twice, workers more than they hold.
+/// A new owner's first poll of a worker renews no lease. Guards against an owner that takes all leases for expired, frees the
+/// runs and starts them again: callers would see their work done twice, and workers would run more than their capacity.
 #[test]
-fn what_runs_goes_on_under_a_new_owner() {
+fn runs_continue_under_a_new_owner() {
     let mut world = World::new(1, 6);
     world.take();
     world.pass(500);
@@ -37,10 +37,10 @@
     assert_eq!(world.unfinished(), 0);
 }
 
-/// The former owner starts a job that it was told of directly; the new one learns of it only after its takeover, while
-/// the worker that runs it can't be reached. Starting it elsewhere would run it twice.
+/// The former owner starts a job that it was notified of directly. The new owner learns of the job only after its takeover,
+/// while it can't reach the worker that runs it: starting the job elsewhere would run it twice.
 #[test]
-fn a_job_told_to_the_former_owner_only_waits_for_its_worker() {
+fn a_job_known_only_to_the_former_owner_waits_for_its_worker() {
     let mut world = World::new(2, 5);
     world.take();
     world.pass(500);
@@ -51,7 +51,7 @@
         .remove("00000000000000aa")
         .expect("it was accepted");
     for at in 0..5 {
-        // Only the former owner reaches the workers that it may have used.
+        // The new owner can't reach the workers with runs.
         if world.owners[0]
             .pool
             .worker(&id(at))
@@ -69,9 +69,9 @@
     assert_eq!(world.stored("00000000000000aa"), Some(State::Completed));
 }
 
-/// A worker is dark when the owner is lost, so what the former owner started there holds back all that it may have known.
-/// Jobs that come after that waited too, up to nine seconds, and callers got nothing. Their rows name the new owner, whom the
-/// former one, still alive and cut from most workers, must not forestall.
+/// A worker can't be reached when the owner is replaced, so jobs that the former owner may have known wait for that worker.
+/// Jobs accepted later must not wait as well: that took up to nine seconds. Their rows name the new owner's epoch, so the
+/// former owner, which is still running but cut off from most workers, must not start them.
 #[test]
 fn a_job_accepted_for_the_new_owner_waits_for_no_worker_of_the_former() {
     let mut world = World::new(9, 6);
@@ -90,17 +90,17 @@
     assert_eq!(world.stored("00000000000000bb"), Some(State::Completed));
     assert!(
         !world.owners[1].pool.unseen().is_empty(),
-        "the former owner's worker is still dark"
+        "the former owner's worker has still not answered"
     );
     world.pass(16_000);
     assert_eq!(world.broken, Vec::<String>::new());
     assert_eq!(world.unfinished(), 0);
 }
 
-/// An owner is paused in the middle of its work, is replaced, and goes on with what it had in mind. Its orders come too
-/// late or meet a newer epoch.
+/// An owner is paused in the middle of its work, is replaced, and resumes with its old state. Its commands arrive after their
+/// deadline or are fenced by a newer epoch.
 #[test]
-fn a_paused_owner_that_goes_on_starts_nothing() {
+fn a_paused_owner_that_resumes_starts_nothing() {
     for seed in 0..20 {
         let mut world = World::new(seed, 6);
         world.take();
@@ -120,8 +120,8 @@
     }
 }
 
-/// The former owner starts a job in the moment before the new one fences the worker; the new owner reads the job's row only
-/// after the worker has listed the run, and even its end. It must take the run up, and not start the job once more.
+/// The former owner starts a job just before the new one fences the worker, and the new owner reads the job's row only after
+/// the worker has listed the run, or even its end. It must adopt the run and not start the job again.
 #[test]
 fn a_job_that_becomes_known_after_its_runs_is_not_started_again() {
     for pause in [30, 400] {
@@ -144,8 +144,9 @@
     }
 }
 
-/// A worker does what it is told and answers nothing for some seconds, as when only the way back is cut. Holds that went
-/// unanswered renewed its lease, which the owner took for lapsed: it started the tasks elsewhere, and they ran twice.
+/// A worker carries out commands and polls, but its answers are lost for some seconds, as if only the network path back were
+/// cut. Guards against unanswered polls that renew a lease which the owner takes for expired: it would start the tasks
+/// elsewhere, and they would run twice.
 #[test]
 fn a_worker_that_answers_nothing_keeps_no_lease_that_the_owner_does_not_know() {
     for mute in [4_000, 12_000, 20_000] {
@@ -165,8 +166,8 @@
     }
 }
 
-/// The owner is cut from all workers but one, and the new owner from just that one. The former owner must not keep that
-/// worker's tasks alive: the new one waits for their leases, then starts them elsewhere.
+/// The owner is cut off from all workers but one, and the new owner from just that one. The former owner must not renew that
+/// worker's lease: the new one waits until it has expired, then starts the tasks elsewhere.
 #[test]
 fn an_owner_without_a_majority_renews_no_lease() {
     let mut world = World::new(11, 4);
@@ -186,10 +187,10 @@
     assert_eq!(world.unfinished(), 0);
 }
 
-/// A worker goes dark with a long task; later the owner is replaced. The stored list of what may run there is all that
-/// the new owner holds back: other jobs go on at once, and only the long task waits for the lease.
+/// A worker with a long task becomes unreachable; later the owner is replaced. The new owner holds back only the tasks in the
+/// stored list of runs that may be there: other jobs go on at once, and only the long task waits for the lease.
 #[test]
-fn a_worker_that_was_silent_before_holds_back_only_its_own_tasks() {
+fn a_worker_that_was_unreachable_before_holds_back_only_its_own_tasks() {
     let mut world = World::new(3, 6);
     world.take();
     world.pass(500);
@@ -215,10 +216,10 @@
     assert_eq!(world.unfinished(), 0);
 }
 
-/// A worker drains, gets nothing new, and is gone; in the same second the owner is lost. What the worker had is stored
-/// with the owner's row since it began to leave, so the new owner starts all other inherited jobs at once.
+/// A worker drains, gets no new tasks, and leaves; in the same second the owner is lost. The worker's runs have been stored
+/// with the owner's row since it began to drain, so the new owner starts all other inherited jobs at once.
 #[test]
-fn a_leaving_worker_does_not_hold_up_a_new_owner() {
+fn a_draining_worker_does_not_delay_a_new_owner() {
     let mut world = World::new(6, 4);
     world.take();
     world.pass(500);
@@ -232,7 +233,7 @@
     let mut news = world.owners[0]
         .pool
         .worker("w00")
-        .expect("it is there")
+        .expect("the worker is known")
         .news
         .clone();
     news.draining = Some(2_000);
@@ -255,10 +256,10 @@
     assert_eq!(world.unfinished(), 0);
 }
 
-/// Orders that get no answer are carried out up to 12 s later, while workers crash, owners change and the store is away.
-/// Callers must see each job end once, whatever the order of events.
+/// Commands without an answer are carried out up to 12 s later, while workers crash, owners change and the store is
+/// unavailable. Callers must see each job end once, whatever the order of events.
 #[test]
-fn late_orders_crashes_and_changes_of_owner_together() {
+fn late_commands_crashes_and_changes_of_owner_together() {
     for seed in 100..130 {
         let mut world = World::new(seed, 8);
         world.weather.late = 0.05;
@@ -295,10 +296,11 @@
     }
 }
 
-/// A job ends while the store is away. Its worker leaves, then the owner is lost too: nothing tells the new owner of the
-/// end, and the job runs again. A caller that had been told "completed" would see its booking made twice.
+/// A job ends while the store is unavailable. If its worker left and the owner were lost too, the new owner would not know of
+/// the end, and the job would run again. So "completed" must not be reported before the end is stored: its caller would see
+/// the work done twice.
 #[test]
-fn an_end_that_is_not_stored_is_not_told() {
+fn an_end_that_is_not_stored_is_not_reported() {
     let mut world = World::new(4, 3);
     world.take();
     world.pass(500);
@@ -314,11 +316,10 @@
     assert_eq!(pool.state("00000000000000cc"), Some(State::Completed));
 }
 
-/// A part of the store is down when an owner takes the pool, so it can't read some of the jobs for seconds. What they have
-/// running or ended is left alone and goes on; jobs that are known don't wait, also where a worker lists an end of an unknown
-/// one first.
+/// A part of the store is down when an owner takes over, so it can't read some of the jobs for seconds. Their runs and ends are
+/// left alone. Known jobs don't wait for them, even if a worker has listed an end of an unknown job before theirs.
 #[test]
-fn jobs_that_are_known_do_not_wait_for_those_that_are_not() {
+fn known_jobs_do_not_wait_for_unknown_ones() {
     let mut world = World::new(11, 4);
     world.take();
     world.pass(500);
@@ -352,7 +353,7 @@
     assert_eq!(
         world.starts,
         8 + 8 + 8,
-        "each task of the known ones, and the first steps of the others"
+        "all tasks of the known jobs, and the first steps of the others"
     );
     for job in &hidden {
         world.tell(job);
@@ -365,10 +366,10 @@
     assert_eq!(world.starts, 32, "nothing was started a second time");
 }
 
-/// Guards against tasks that run twice after the owner is lost while the store takes no writes: the stored roster still names
-/// a silent worker for runs that were lost and started elsewhere since.
+/// Guards against tasks that run twice after the owner is lost while the store takes no writes: the stored list still has an
+/// unreachable worker with runs that were lost and started elsewhere since.
 #[test]
-fn runs_elsewhere_outweigh_an_old_list_of_silent_workers() {
+fn runs_elsewhere_override_an_outdated_list_of_unreachable_workers() {
     let mut world = World::new(12, 5);
     world.take();
     world.pass(500);
@@ -389,8 +390,8 @@
     assert_eq!(world.unfinished(), 0);
 }
 
-/// Guards against a job that is never over: its owner stores that all tasks are done, still waits for a run on a worker that is
-/// gone, and is lost.
+/// Guards against a job that never ends: its owner stores that all tasks are done, is still waiting for a run on a worker that
+/// is lost, and is then lost itself.
 #[test]
 fn a_job_whose_tasks_are_all_done_is_completed_by_the_next_owner() {
     let mut world = World::new(13, 4);
@@ -409,7 +410,10 @@
     world.take();
     world.weather.store = true;
     world.pass(300);
-    assert_eq!(world.starts, 2, "it was started elsewhere, and is done");
+    assert_eq!(
+        world.starts, 2,
+        "the task was started elsewhere, and is done"
+    );
     world.owners[1].over = true;
     world.take();
     world.pass(20_000);
--- a/crates/pool/tests/world/crashes.rs
+++ b/crates/pool/tests/world/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash their workers, workers that come back, and rooms that change.
+//! Tasks that crash their workers, workers that come back under another id, and workers whose capacity changes.
 
 use std::sync::Arc;
 
@@ -8,26 +8,26 @@
 
 use super::{Machine, Message, World};
 
-/// How often a task may have crashed its worker before its further starts count.
+/// Number of crashed workers after which further starts of a task are counted.
 const CRASHES: u32 = 3;
-/// This many further starts are too many.
+/// Number of further starts that violates the contract.
 const STARTS_TOO_MANY: u32 = 3;
-/// A room that has shrunk counts after this time.
+/// Time after which owners have to respect a capacity that has shrunk.
 pub(super) const ROOM_TOLD: Ms = 5_500;
-/// The directory drops a worker that has been silent for this long.
+/// Time after which the directory drops a worker that sends no heartbeat.
 const ROW_EXPIRES: Ms = 4_500;
 
-/// What came of a task that crashes its workers.
+/// Record of a task that crashes its workers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Crashes {
-    /// Workers that crashed under it.
+    /// Number of workers that it crashed.
     pub(crate) crashes: u32,
-    /// Starts after the third of them.
+    /// Number of starts after [`CRASHES`] of them.
     pub(crate) further: u32,
 }
 
 impl World {
-    /// From now on this task crashes each worker that starts it.
+    /// Makes a task crash each worker that starts it from now on.
     pub(crate) fn make_crasher(&mut self, job: &str, step: u16, index: u32) {
         let stage = pool::StageKey {
             job: job.into(),
@@ -37,7 +37,7 @@
         self.crashers.insert(stage.task(index), Crashes::default());
     }
 
-    /// Counts a start; tells whether it crashes its worker.
+    /// Counts a start of a task; returns whether the task crashes its workers.
     pub(super) fn note_start(&mut self, task: &TaskKey) -> bool {
         let now = self.now;
         let Some(count) = self.crashers.get_mut(task) else {
@@ -47,14 +47,14 @@
             count.further += 1;
             if count.further == STARTS_TOO_MANY {
                 self.broken.push(format!(
-                    "{now}: {task:?} started three times more after three crashes"
+                    "{now}: {task:?} started three more times after three crashes"
                 ));
             }
         }
         true
     }
 
-    /// A task takes the life of its worker.
+    /// A task crashes its worker, unless that has restarted or crashed since the start.
     pub(super) fn crash_under(&mut self, id: &WorkerId, born: u64, task: &TaskKey) {
         if self.machines[id].born != born || self.machines[id].down > self.now {
             return;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A worker is gone for good; after this time another one is there under another id.
+    /// Removes a worker for good; after this time it is replaced by one with another id.
     pub(crate) fn replace(&mut self, id: &WorkerId, back: Ms) {
         let room = self.machines[id].room;
         self.crash(id, Ms::MAX - self.now);
@@ -87,7 +87,7 @@
         self.post(back + 300, Message::Row(next));
     }
 
-    /// All owners read the present row of a worker; one that is gone has none.
+    /// All owners read the present row of a worker; one that was removed has none.
     pub(super) fn tell_row(&mut self, id: &WorkerId) {
         let (now, machine) = (self.now, &self.machines[id]);
         let news = (machine.down < Ms::MAX).then(|| self.news(id, machine));
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A worker's room changes; owners learn of it with its next heartbeat.
+    /// Changes a worker's capacity; owners learn of it with its next heartbeat.
     pub(crate) fn resize(&mut self, id: &WorkerId, room: Size) {
         let since = self.now;
         let Some(machine) = self.machines.get_mut(id) else {
--- a/crates/pool/tests/world/mod.rs
+++ b/crates/pool/tests/world/mod.rs
@@ -1,7 +1,8 @@
-//! A simulated cell: workers that obey the contract, a store, and owners that follow each other.
+//! Simulation of a cell: workers that follow the protocol, a store, and successive owners.
 //!
-//! Each test file uses a part of it. Everything happens on a clock of 5 ms steps, in an order that the seed decides. The workers check what must never
-//! happen the moment it would happen.
+//! Time advances in steps of 5 ms, and the seed determines the order of events. The simulated workers check the invariants
+//! when they carry out a command: no task runs twice or again after its end, and no worker's capacity is exceeded.
+//! Each test file uses a part of this module.
 
 mod crashes;
 mod workers;
@@ -17,9 +18,9 @@
 use rand_chacha::ChaCha8Rng;
 use resource::Size;
 
-/// Length of a step of the world's clock.
+/// Length of a simulation step, in milliseconds.
 pub(crate) const STEP: Ms = 5;
-/// Unix time at which the world begins.
+/// Unix time at which the simulation starts, in milliseconds.
 pub(crate) const UNIX: u64 = 1_700_000_000_000;
 
 /// A run on a simulated worker.
@@ -44,13 +45,13 @@
     ends: u64,
     /// Owners with these epochs can't reach it.
     pub(crate) cut: BTreeSet<u64>,
-    /// It is down until then.
+    /// It is down until this time.
     pub(crate) down: Ms,
-    /// Its room, and since when, if that isn't the world's.
+    /// Its capacity and since when, if it differs from the default.
     room: Option<(Size, Ms)>,
 }
 
-/// What is on its way.
+/// A message or event that is due at a later time.
 #[derive(Clone, Debug)]
 enum Message {
     Start(usize, Start, bool),
@@ -58,7 +59,7 @@
     Stop(usize, Stop),
     Stopped(usize, Stop, StopAnswer),
     Listing(usize, WorkerId, Listing),
-    /// The task that was started takes the life of its worker.
+    /// A task that was started crashes its worker.
     Crash(WorkerId, u64, TaskKey),
     /// The owners read the directory's row of a worker.
     Row(WorkerId),
@@ -68,23 +69,23 @@
 pub(crate) struct Owner {
     pub(crate) epoch: u64,
     pub(crate) pool: Pool,
-    /// It does nothing until then.
+    /// It is paused until this time.
     pub(crate) frozen: Ms,
     pub(crate) over: bool,
 }
 
-/// How the world behaves.
+/// Conditions of the simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Weather {
-    /// Share of orders that get no answer and are carried out late.
+    /// Share of start commands that get no answer and are carried out late.
     pub(crate) late: f64,
     /// Share of runs that fail.
     pub(crate) fails: f64,
-    /// The store answers.
+    /// Whether the store is available.
     pub(crate) store: bool,
 }
 
-/// The whole cell.
+/// A simulated cell.
 pub(crate) struct World {
     pub(crate) now: Ms,
     pub(crate) rng: ChaCha8Rng,
@@ -99,22 +100,22 @@
     noted: BTreeSet<TaskKey>,
     pub(crate) broken: Vec<String>,
     pub(crate) starts: usize,
-    /// Workers that do what they are told and answer nothing.
+    /// Workers that carry out commands and polls but whose listings are lost.
     pub(crate) mute: BTreeSet<WorkerId>,
-    /// Workers that fail all that they start.
+    /// Workers on which every run fails.
     pub(crate) bad: BTreeSet<WorkerId>,
-    /// How often they did.
+    /// Number of runs on them.
     pub(crate) failures: usize,
     room: Size,
-    /// Tasks that crash each worker that starts them, with what came of it.
+    /// Tasks that crash each worker that starts them.
     pub(crate) crashers: BTreeMap<TaskKey, crashes::Crashes>,
-    /// How many workers crashed while they ran a task, whatever the cause.
+    /// Number of workers that crashed while they ran a task, whatever the cause.
     pub(crate) crashed_under: BTreeMap<TaskKey, u32>,
-    /// Workers that crash under a task come back under another id.
+    /// Whether workers that are crashed by a task come back under another id.
     pub(crate) replaces: bool,
 }
 
-/// A job with these steps: number of tasks, millicores, milliseconds.
+/// A job with these steps: number of tasks, millicores and duration in milliseconds of each task.
 pub(crate) fn job(id: &str, steps: &[(u32, u64, Ms)]) -> Job {
     Job {
         id: id.into(),
@@ -186,12 +187,12 @@
         UNIX + self.now - 1_000_000
     }
 
-    /// The clock of a worker: it begins anew with each life, and differs from ours.
+    /// The clock of a worker. It differs from the owners' clock, and changes with each incarnation.
     fn clock(&self, id: &WorkerId) -> Ms {
         self.now - 900_000 + self.machines[id].born * 7
     }
 
-    /// A new owner takes the pool.
+    /// Starts a new owner, which takes over the pool.
     pub(crate) fn take(&mut self) {
         let epoch = self.owners.len() as u64 + 1;
         let mut pool = Pool::new(Options {
@@ -221,7 +222,7 @@
         });
     }
 
-    /// A caller's job is accepted by a host that knows the present owner.
+    /// Accepts a caller's job for the present owner.
     pub(crate) fn accept(&mut self, job: Job) {
         let epoch = self.owners.last().map_or(0, |owner| owner.epoch);
         let accepted = self.unix();
@@ -232,8 +233,8 @@
         }));
     }
 
-    /// The present owner is told of a job's row, and so are former owners that don't know yet that they were replaced: all of
-    /// them follow the jobs.
+    /// Publishes a job's row. The present owner receives it, and so do former owners that don't know yet that they were
+    /// replaced, as all of them follow the jobs.
     pub(crate) fn tell(&mut self, job: &Arc<Job>) {
         self.jobs.insert(job.id.to_string(), Arc::clone(job));
         let (now, unix) = (self.now, self.unix());
@@ -242,14 +243,14 @@
         }
     }
 
-    /// The owner with this epoch can't reach a worker any more.
+    /// From now on the owner with this epoch can't reach a worker.
     pub(crate) fn cut(&mut self, id: &WorkerId, epoch: u64) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.cut.insert(epoch);
         }
     }
 
-    /// The worker loses its life and comes back with a new one after this time.
+    /// Crashes a worker, which restarts after this time.
     pub(crate) fn crash(&mut self, id: &WorkerId, time: Ms) {
         let down = self.now + time;
         if let Some(machine) = self.machines.get_mut(id) {
@@ -266,7 +267,7 @@
         }
     }
 
-    /// What the directory says of a worker.
+    /// The directory's information about a worker.
     fn news(&self, id: &WorkerId, machine: &Machine) -> News {
         News {
             address: id.to_string(),
@@ -282,7 +283,7 @@
         self.mail.push((at, message));
     }
 
-    /// Lets this much time pass.
+    /// Runs the simulation for this long.
     pub(crate) fn pass(&mut self, time: Ms) {
         let end = self.now + time;
         while self.now < end {
@@ -358,7 +359,7 @@
         }
     }
 
-    /// The newest owner stores what it has; a replaced one can't, by the condition on the owner's row.
+    /// The newest owner stores its changes. A replaced owner can't: its writes depend on the owner's row.
     fn store(&mut self) {
         if !self.weather.store {
             return;
@@ -379,7 +380,7 @@
         owner.pool.enroll(&self.roster);
     }
 
-    /// Jobs that are not over, as the store has them.
+    /// Number of jobs without a stored final state.
     pub(crate) fn unfinished(&self) -> usize {
         self.jobs
             .keys()
@@ -392,7 +393,7 @@
             .count()
     }
 
-    /// What the newest owner has of jobs that are not over.
+    /// The jobs without a stored final state and the newest owner's view of its workers, for failure messages.
     pub(crate) fn report(&self) -> String {
         let pool = &self.owners[self.owners.len() - 1].pool;
         let open: Vec<_> = self
@@ -408,7 +409,7 @@
         )
     }
 
-    /// How many jobs were not over within this time after they were accepted, as the store has them.
+    /// Number of jobs that, as stored, did not reach a final state within this time after they were accepted.
     pub(crate) fn late(&self, most: Ms) -> usize {
         let times = self.jobs.values().map(|job| {
             let course = self.stored.get(&*job.id)?;
@@ -420,7 +421,7 @@
             .count()
     }
 
-    /// A stored state.
+    /// The stored state of a job.
     pub(crate) fn stored(&self, id: &str) -> Option<pool::State> {
         self.stored.get(id).map(|course| course.state)
     }
--- a/crates/pool/tests/world/workers.rs
+++ b/crates/pool/tests/world/workers.rs
@@ -1,4 +1,4 @@
-//! What simulated workers do with orders and holds, and when runs end.
+//! Simulated workers: how they handle commands and polls, and when runs end.
 
 use pool::{Answer, End, How, Listing, Ms, Running, Start, Stop, StopAnswer, TaskKey, WorkerId};
 use rand::Rng as _;
@@ -49,7 +49,7 @@
                 .runs
                 .values()
                 .fold(Size::ZERO, |sum, run| sum.plus(run.size));
-            // A smaller room counts once the directory and a hold can have told of it.
+            // A smaller capacity counts once the directory and a poll must have reported it.
             let room = match machine.room {
                 Some((room, since)) if now.saturating_sub(since) > super::crashes::ROOM_TOLD => {
                     room
@@ -58,7 +58,7 @@
             };
             if !used.plus(size).fits(room) {
                 self.broken
-                    .push(format!("{now}: over the room of {}", start.worker));
+                    .push(format!("{now}: capacity of {} exceeded", start.worker));
             }
             if elsewhere || machine.runs.contains_key(&start.task) {
                 self.broken
@@ -66,7 +66,7 @@
             }
             if noted {
                 self.broken
-                    .push(format!("{now}: {:?} runs after its end", start.task));
+                    .push(format!("{now}: {:?} started after its end", start.task));
             }
             machine.highest.insert(start.task.clone(), start.run);
             let run = Run {
@@ -116,7 +116,7 @@
         self.post(STEP, Message::Stopped(owner, stop, answer));
     }
 
-    /// Runs end by themselves, by stops, and by leases.
+    /// Ends the runs that are complete, that were stopped, or whose lease has expired.
     pub(super) fn work(&mut self) {
         let now = self.now;
         let clocks: Vec<Ms> = self.machines.keys().map(|id| self.clock(id)).collect();
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Each owner holds each worker every 50 ms.
+    /// Each owner polls each worker every 50 ms.
     pub(super) fn hold(&mut self) {
         if !self.now.is_multiple_of(50) {
             return;
