--- a/crates/host/src/owner.rs
+++ b/crates/host/src/owner.rs
@@ -13,7 +13,7 @@
 
 use log::{info, warn};
 use pool::repeat::Budget;
-use pool::{GivenUp, LostRun, Mechanism, Ms, Order, Pool, StepTimes, WorkerId};
+use pool::{Command, GivenUp, LostRun, Mechanism, Ms, Pool, StepTimes, WorkerId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::JoinSet;
@@ -263,7 +263,7 @@
             let began = Instant::now();
             let (orders, unsaved, deposed, steps, lost, given_up) = {
                 let mut pool = lock(&self.pool);
-                let orders = pool.plan(clock::now(), clock::unix());
+                let orders = pool.schedule(clock::now(), clock::unix());
                 (
                     orders,
                     pool.unsaved(),
@@ -307,10 +307,10 @@
             let share = |used: u64, all: u64| used as f64 / all.max(1) as f64;
             info!(
                 pool = self.number, epoch = self.epoch, service = service.as_str(),
-                processors = share(room.used.millicores, room.room.millicores),
-                memory = share(room.used.memory_mib, room.room.memory_mib),
-                accelerators = share(room.used.accelerators, room.room.accelerators),
-                taken = load.taken, steps = load.steps, plans = planned.plans, orders = planned.orders,
+                processors = share(room.used.millicores, room.total.millicores),
+                memory = share(room.used.memory_mib, room.total.memory_mib),
+                accelerators = share(room.used.accelerators, room.total.accelerators),
+                taken = load.demand, steps = load.open_steps, plans = planned.plans, orders = planned.orders,
                 plan_us = planned.mean().as_micros() as u64, longest_us = planned.longest.as_micros() as u64;
                 "load"
             );
@@ -320,7 +320,7 @@
     fn tell_unseen(&self) {
         let pool = lock(&self.pool);
         if let Some(first) = pool.unseen().first() {
-            let (count, proved) = (pool.unseen().len(), pool.proved(clock::now()));
+            let (count, proved) = (pool.unseen().len(), pool.has_quorum(clock::now()));
             warn!(epoch = self.epoch, workers = count, first = &**first, majority = proved; "inherited jobs wait for workers");
         }
     }
@@ -331,12 +331,12 @@
     }
 
     /// Carries an order out, beside others.
-    fn give(self: &Arc<Self>, order: Order) {
+    fn give(self: &Arc<Self>, order: Command) {
         let owner = Arc::clone(self);
         let workers = Arc::clone(&self.host.workers);
         let epoch = self.epoch;
         match order {
-            Order::Start(start) => {
+            Command::Start(start) => {
                 let Some(address) = self.address(&start.worker) else {
                     return;
                 };
@@ -362,7 +362,7 @@
                     }
                 });
             }
-            Order::Stop(stop) => {
+            Command::Stop(stop) => {
                 let Some(address) = self.address(&stop.worker) else {
                     return;
                 };
@@ -372,13 +372,13 @@
                     info!(
                         job = &*key.stage.job, occurrence = key.stage.occurrence, step = key.stage.step,
                         task = key.index, run = stop.run, worker = &*stop.worker, epoch = epoch,
-                        why = stop.why, outcome:? = answer;
+                        why = stop.reason, outcome:? = answer;
                         "stop"
                     );
                     lock(&owner.pool).stopped(clock::now(), &stop, answer);
                 });
             }
-            Order::Pace(pace) => {
+            Command::Pace(pace) => {
                 let Some(address) = self.address(&pace.worker) else {
                     return;
                 };
@@ -391,11 +391,11 @@
                         "pace"
                     );
                     if !confirmed {
-                        lock(&owner.pool).pace_lost(&pace);
+                        lock(&owner.pool).pace_unconfirmed(&pace);
                     }
                 });
             }
-            Order::Ask(ask) => self.ask(ask),
+            Command::Query(ask) => self.ask(ask),
         }
     }
 }
--- a/crates/host/src/owner/advice.rs
+++ b/crates/host/src/owner/advice.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use log::info;
-use pool::{Ask, Ms};
+use pool::{AdvisorQuery, Ms};
 
 use super::Owner;
 use super::members::QUIET;
@@ -18,7 +18,7 @@
 
 /// A question that another host asks the advisor.
 pub(super) struct Question {
-    ask: Ask,
+    ask: AdvisorQuery,
     until: Ms,
     /// The host that asks, and when its answer is due.
     helper: String,
@@ -27,22 +27,22 @@
 
 impl Owner {
     /// Has the advisor asked by the host that is free soonest: it serves one question at a time for each host.
-    pub(super) fn ask(self: &Arc<Self>, ask: Ask) {
+    pub(super) fn ask(self: &Arc<Self>, ask: AdvisorQuery) {
         let now = clock::now();
         let helper = {
-            let own = lock(&self.helper).place(now, 0, ask.takes);
+            let own = lock(&self.helper).place(now, 0, ask.expected_duration);
             let mut members = lock(&self.members);
             let best = members
                 .iter_mut()
                 .filter(|(_, member)| member.helps && now.saturating_sub(member.heard) < QUIET)
                 .map(|(name, member)| {
-                    let place = member.helper.place(now, member.away, ask.takes);
+                    let place = member.helper.place(now, member.away, ask.expected_duration);
                     (place, name, member)
                 })
                 .min_by_key(|(place, ..)| *place);
             best.filter(|(place, ..)| *place < own)
                 .map(|(_, name, member)| {
-                    let due = member.helper.ask(now, ask.takes);
+                    let due = member.helper.ask(now, ask.expected_duration);
                     (name.clone(), member.to.clone(), due)
                 })
         };
@@ -54,10 +54,10 @@
                     number,
                     stage: (key.job.to_string(), key.occurrence, key.step),
                     workers: ask.workers.iter().map(ToString::to_string).collect(),
-                    takes: ask.takes,
+                    takes: ask.expected_duration,
                 };
                 let question = Question {
-                    until: now + ask.takes * 3 + 1_000,
+                    until: now + ask.expected_duration * 3 + 1_000,
                     ask,
                     helper: name,
                     due,
@@ -68,10 +68,10 @@
                 }
             }
             None => {
-                let due = lock(&self.helper).ask(now, ask.takes);
+                let due = lock(&self.helper).ask(now, ask.expected_duration);
                 let owner = Arc::clone(self);
                 self.host.stop.spawn(async move {
-                    let takes = Duration::from_millis(ask.takes);
+                    let takes = Duration::from_millis(ask.expected_duration);
                     let advisor = Arc::clone(&owner.host.advisor);
                     let allowed = advisor.ask(&ask.stage, &ask.workers, takes).await;
                     lock(&owner.helper).answered(clock::now(), due);
@@ -91,7 +91,7 @@
         }
     }
 
-    pub(super) fn advised(&self, ask: &Ask, allowed: Option<&Allowed>) {
+    pub(super) fn advised(&self, ask: &AdvisorQuery, allowed: Option<&Allowed>) {
         let outcome = if allowed.is_some() {
             "answered"
         } else {
@@ -100,7 +100,7 @@
         metrics::counter!("lentilyoke_advice_total", "outcome" => outcome).increment(1);
         if allowed.is_none() || is_told_in_full(&ask.stage.job) {
             info!(
-                job = &*ask.stage.job, step = ask.stage.step, asked = ask.workers.len(), takes = ask.takes,
+                job = &*ask.stage.job, step = ask.stage.step, asked = ask.workers.len(), takes = ask.expected_duration,
                 allowed = allowed.map_or(-1, |(rows, _)| rows.len() as i64);
                 "advice"
             );
--- a/crates/host/src/owner/calls.rs
+++ b/crates/host/src/owner/calls.rs
@@ -38,7 +38,7 @@
     /// see the job run again. It fails the proof until the workers have answered it.
     pub(crate) fn state(&self, id: &str) -> Option<State> {
         let pool = lock(&self.pool);
-        pool.state(id).filter(|_| pool.proved(clock::now()))
+        pool.state(id).filter(|_| pool.has_quorum(clock::now()))
     }
 
     /// Cancels a job; answers when that is stored.
--- a/crates/host/src/owner/directory.rs
+++ b/crates/host/src/owner/directory.rs
@@ -77,7 +77,7 @@
             directory.foreign.insert(Arc::clone(&id));
             drop(directory);
             // Its rack was another one before: from now on another owner holds it.
-            lock(&self.pool).unlisted(&id);
+            lock(&self.pool).deregister_worker(&id);
         }
     }
 
@@ -89,7 +89,7 @@
 
     /// The store lists a worker no more.
     pub(super) fn gone(&self, id: &str) {
-        lock(&self.pool).unlisted(id);
+        lock(&self.pool).deregister_worker(id);
         let mut directory = lock(&self.directory);
         directory.foreign.remove(id);
         directory.homeless.remove(id);
@@ -98,7 +98,7 @@
 
     /// A worker of this pool: holds it from now on.
     fn take_up(self: &Arc<Self>, now: Ms, id: WorkerId, news: News) {
-        lock(&self.pool).listed(now, &id, news);
+        lock(&self.pool).update_worker(now, &id, news);
         if lock(&self.sessions).insert(Arc::clone(&id)) {
             let owner = Arc::clone(self);
             self.host.stop.spawn(async move {
--- a/crates/host/src/owner/members.rs
+++ b/crates/host/src/owner/members.rs
@@ -260,7 +260,7 @@
                 failing: self.host.failing_since().is_some(),
                 plan: self.host.plan().version,
                 pending: loaded.then_some(pending),
-                taken: load.taken,
+                taken: load.demand,
                 labels: load.labels,
             };
             let mut alive = 1;
@@ -277,7 +277,7 @@
                     alive += usize::from(member.helps && now.saturating_sub(member.heard) < QUIET);
                 }
             }
-            lock(&self.pool).set_askers(alive);
+            lock(&self.pool).set_max_queries(alive);
             self.host.hear(beat);
             let changed = self.host.current.changed.notified();
             let store_changed = self.host.store_changed.notified();
@@ -315,16 +315,17 @@
     fn show(&self, load: &pool::Load, pending: u64) {
         let pool = self.number.to_string();
         metrics::gauge!("lentilyoke_room_used_share", "pool" => pool.clone()).set(load.used);
-        metrics::gauge!("lentilyoke_steps_open", "pool" => pool.clone()).set(load.steps as f64);
+        metrics::gauge!("lentilyoke_steps_open", "pool" => pool.clone())
+            .set(load.open_steps as f64);
         metrics::gauge!("lentilyoke_jobs_pending", "pool" => pool.clone()).set(pending as f64);
         for (service, room) in &load.services {
             let parts = [
-                ("processors", room.used.millicores, room.room.millicores),
-                ("memory", room.used.memory_mib, room.room.memory_mib),
+                ("processors", room.used.millicores, room.total.millicores),
+                ("memory", room.used.memory_mib, room.total.memory_mib),
                 (
                     "accelerators",
                     room.used.accelerators,
-                    room.room.accelerators,
+                    room.total.accelerators,
                 ),
             ];
             for (part, used, all) in parts.into_iter().filter(|(_, _, all)| *all > 0) {
--- a/crates/host/src/owner/news.rs
+++ b/crates/host/src/owner/news.rs
@@ -73,7 +73,7 @@
         let names =
             |ids: &[String]| -> Vec<WorkerId> { ids.iter().map(|id| id.as_str().into()).collect() };
         let mut pool = lock(&self.pool);
-        pool.enroll(&names(&owned.roster));
+        pool.set_stored_roster(&names(&owned.roster));
         // Only workers that the former owner might use count: the list may be old, and name some that are gone.
         pool.inherit(clock::now(), names(former), &owned.silent);
     }
@@ -95,7 +95,7 @@
         for row in rows.iter().filter(|row| row.value.is_some()) {
             if let Some(id) = row.key.strip_prefix(CANCEL) {
                 pool.cancel(unix, id);
-            } else if !pool.knows(&row.key)
+            } else if !pool.contains_job(&row.key)
                 && let Some((job, before)) = self.parse_job(row)
             {
                 pool.adopt(now, unix, Arc::new(job), before.as_ref(), false);
--- a/crates/host/src/session.rs
+++ b/crates/host/src/session.rs
@@ -67,7 +67,7 @@
             (worker.news.address.clone(), worker.ends())
         };
         if ends.1 > ends.2 {
-            let gather = lock(&owner.pool).gather(id);
+            let gather = lock(&owner.pool).poll_delay(id);
             tokio::time::sleep(Duration::from_millis(gather)).await;
             let stored = owner.stored.notified();
             let noted = lock(&owner.pool)
--- a/crates/host/src/transfer.rs
+++ b/crates/host/src/transfer.rs
@@ -50,23 +50,23 @@
         return Ok(());
     };
     let Some(place) = row.value.as_deref().and_then(place_of) else {
-        lock(&owner.pool).keep(id);
+        lock(&owner.pool).cancel_transfer(id);
         return Ok(());
     };
     if place.pool != owner.number() {
         info!(job = &**id, from = owner.number(), to = place.pool; "an earlier write handed the job on");
-        lock(&owner.pool).transferred(id);
+        lock(&owner.pool).remove_transferred(id);
         return Ok(());
     }
     let mut from = place.moved.map_or_else(Vec::new, |moved| moved.from);
     from.push(owner.number());
     let course = lock(&owner.pool).transferable(id);
     let Some((job, progress)) = course else {
-        lock(&owner.pool).keep(id);
+        lock(&owner.pool).cancel_transfer(id);
         return Ok(());
     };
     let Some(to) = route::next(&host.plan(), &job, &from, &host.loads()) else {
-        lock(&owner.pool).keep(id);
+        lock(&owner.pool).cancel_transfer(id);
         return Ok(());
     };
     let next = JobRow {
@@ -98,11 +98,11 @@
     };
     if let Err(error) = host.store.commit(&transaction).await {
         if matches!(error, StoreError::Rejected { .. }) {
-            lock(&owner.pool).keep(id);
+            lock(&owner.pool).cancel_transfer(id);
         }
         return Err(error);
     }
     info!(job = &**id, from = owner.number(), to = to, epoch = owner.epoch(); "handed the job on");
-    lock(&owner.pool).transferred(&Arc::clone(id));
+    lock(&owner.pool).remove_transferred(&Arc::clone(id));
     Ok(())
 }
--- a/crates/host/src/writer.rs
+++ b/crates/host/src/writer.rs
@@ -57,7 +57,7 @@
             old = forget(owner, &old).await;
         }
         if !unsure && owner.host().plan().pools() > 1 {
-            let misfits = lock(&owner.pool).misfits(clock::now());
+            let misfits = lock(&owner.pool).unservable_jobs(clock::now());
             if transfer::run(owner, version, &misfits).await == Outcome::Unsure {
                 unsure = true;
                 continue;
@@ -69,7 +69,11 @@
         let (mut batch, roster, silent) = {
             let now = clock::now();
             let mut pool = lock(&owner.pool);
-            (pool.batch(rows_most), pool.roster(now), pool.silent(now))
+            (
+                pool.batch(rows_most),
+                pool.roster(now),
+                pool.unavailable_workers(now),
+            )
         };
         if !held.is_empty() {
             // Workers may forget an end only when the progress with it is stored.
@@ -226,7 +230,7 @@
         .iter()
         .map(|id| id.as_str().into())
         .collect();
-    lock(&owner.pool).enroll(&ids)
+    lock(&owner.pool).set_stored_roster(&ids)
 }
 
 fn transaction(
--- a/crates/pool/src/order.rs
+++ b/crates/pool/src/command.rs
@@ -17,9 +17,9 @@
     /// The job, for its payload.
     pub job: Arc<Job>,
     /// Time after which the run must not begin, on the worker's clock.
-    pub latest: Ms,
+    pub start_deadline: Ms,
     /// The checkpoint to resume from; empty if there is none.
-    pub saved: String,
+    pub checkpoint: String,
     /// The advisor's ticket; empty if none is needed.
     pub ticket: String,
     /// Number of workers that the task may have crashed.
@@ -36,7 +36,7 @@
     /// The worker it is on.
     pub worker: WorkerId,
     /// The reason, for the log.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// Sets the pace of a run.
@@ -54,18 +54,18 @@
 
 /// Asks the advisor on which workers a step may run.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct AdvisorQuery {
     /// The step.
     pub stage: StageKey,
     /// The workers that the query names.
     pub workers: Vec<WorkerId>,
     /// Expected duration of the query, in milliseconds.
-    pub takes: Ms,
+    pub expected_duration: Ms,
 }
 
 /// A command to a worker, or a query to the advisor.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum Command {
     /// Starts a task.
     Start(Start),
     /// Stops a run.
@@ -73,5 +73,5 @@
     /// Slows a run down, pauses it, or speeds it up again.
     Pace(Pace),
     /// Queries the advisor.
-    Ask(Ask),
+    Query(AdvisorQuery),
 }
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -170,7 +170,7 @@
         task.clear_crash(run.number);
         task.crashed.push(crash);
         self.suspects.insert(key.clone());
-        self.mark(&key.stage.job);
+        self.mark_dirty(&key.stage.job);
     }
 
     /// A worker lists the present run of a suspect. Once the run has outlived the time in which it would have crashed the
@@ -187,7 +187,7 @@
             ran >= CRASH_WINDOW && task.clear_survived(number)
         };
         if changed {
-            self.mark(&key.stage.job);
+            self.mark_dirty(&key.stage.job);
         }
     }
 
@@ -221,8 +221,8 @@
             if task.is_crash_loop() {
                 let crashed = task.crashed_runs();
                 self.suspects.remove(&key);
-                self.close(unix, &key.stage.job, State::Failed);
-                self.given_up.push(GivenUp { task: key, crashed });
+                self.finalize_job(unix, &key.stage.job, State::Failed);
+                self.abandoned.push(GivenUp { task: key, crashed });
             } else if task.crashes() >= CRASHES_ALONE
                 && task.announced.is_none()
                 && task.retry <= now
@@ -233,14 +233,14 @@
                     run: next,
                     sure: true,
                 });
-                self.mark(&key.stage.job);
+                self.mark_dirty(&key.stage.job);
             }
         }
     }
 
     /// Takes the tasks that were given up since the last call.
     pub fn take_given_up(&mut self) -> Vec<GivenUp> {
-        std::mem::take(&mut self.given_up)
+        std::mem::take(&mut self.abandoned)
     }
 
     /// Looks where suspects run that may yet crash their workers.
@@ -258,6 +258,6 @@
                 *most = (*most).max(task.crashes());
             }
         }
-        self.trials = trials;
+        self.suspects_by_worker = trials;
     }
 }
--- a/crates/pool/src/ends.rs
+++ b/crates/pool/src/ends.rs
@@ -49,9 +49,9 @@
         };
         task.retry = task.retry.max(now + retry);
         if !run.crashed && task.clear_crash(run.number) {
-            self.mark(&key.stage.job);
+            self.mark_dirty(&key.stage.job);
         }
-        self.loose.remove(key);
+        self.unconfirmed_runs.remove(key);
         self.detach(key, &run.worker);
     }
 
@@ -102,7 +102,7 @@
         let other = task.done && own.is_none() && task.run.is_some();
         let attempts = task.failed.len();
         if let Some(run) = &own {
-            self.judge(now, worker, how, run, key, step.lasting);
+            self.score_worker(now, worker, how, run, key, step.lasting);
             let retry = match end.how {
                 How::Failed if step.lasting => RETRY_LASTING,
                 How::Failed => RETRY_FAILED,
@@ -114,7 +114,7 @@
             self.stop_run(key);
         }
         if store {
-            self.mark(&id);
+            self.mark_dirty(&id);
         }
         match how {
             How::Done => self.done(now, unix, &key.stage, end.run, step.gang),
@@ -127,7 +127,7 @@
                 let most = job.policy.attempts.max(1) as usize;
                 if attempts >= most && !self.jobs.get(&id).is_none_or(|live| live.state.is_final())
                 {
-                    self.close(unix, &id, State::Failed);
+                    self.finalize_job(unix, &id, State::Failed);
                 }
             }
             _ => self.complete_or_advance(now, unix, &key.stage.job),
@@ -230,8 +230,8 @@
         if live.close_occurrences() && !live.state.is_final() {
             live.state = State::Completed;
             live.closed = unix;
-            self.timed.remove(id);
-            self.mark(id);
+            self.scheduled_jobs.remove(id);
+            self.mark_dirty(id);
         }
         self.advance(id, now, unix);
     }
@@ -244,7 +244,7 @@
         {
             run.phase = Phase::Stopping;
             run.stop_sent = 0;
-            self.loose.insert(key.clone());
+            self.unconfirmed_runs.insert(key.clone());
         }
     }
 }
--- a/crates/pool/src/fit.rs
+++ b/crates/pool/src/fit.rs
@@ -4,13 +4,13 @@
 
 use crate::crash::{CRASHES_ALONE, STABLE_AFTER, Suspicion};
 use crate::job::Step;
-use crate::scarce::Scarce;
+use crate::service_capacity::ServiceCapacity;
 use crate::task::Ms;
 use crate::worker::Worker;
 
 /// Failure score at which a worker is taken for faulty: three failures in a row, or more between successes. A healthy
 /// worker on which a tenth of the tasks fail reaches it about once in a thousand tasks.
-pub const SUSPECT: f64 = 3.0;
+pub const SUSPECT_SCORE: f64 = 3.0;
 /// Cost, for a suspect, of a worker that runs another suspect, per crash of the latter.
 const SUSPECT_COLOCATION_COST: f64 = 4.0;
 /// Cost, for a suspect, of a worker that has not answered since the suspect's last crash, or that started recently.
@@ -28,15 +28,15 @@
     /// Number of tasks of the step that this scheduling pass has assigned to the worker.
     pub placed: u32,
     /// Number of latency-sensitive tasks on the worker.
-    pub serving: u32,
+    pub latency_sensitive: u32,
     /// Number of best-effort tasks on the worker.
-    pub filling: u32,
+    pub best_effort: u32,
     /// The suspicion that the task crashes its workers.
     pub suspicion: Suspicion,
     /// Highest number of crashes of any suspect on the worker that may still crash it; 0 if there is none.
     pub trial: usize,
     /// Capacity of the service's workers and its use, which tell what is scarce.
-    pub scarce: Scarce,
+    pub scarce: ServiceCapacity,
     /// All workers with enough free capacity cost the same, so the first one by id is chosen.
     pub first_fit: bool,
 }
@@ -68,7 +68,7 @@
     if suspicion.crashes >= CRASHES_ALONE && (context.trial > 0 || unproven) {
         return None;
     }
-    if worker.doubt >= SUSPECT && (context.placed > 0 || !worker.runs.is_empty()) {
+    if worker.doubt >= SUSPECT_SCORE && (context.placed > 0 || !worker.runs.is_empty()) {
         return None;
     }
     if context.first_fit {
@@ -83,15 +83,15 @@
     }
     if step.fills {
         // Best-effort tasks use only processors that others leave free, and slow down latency-sensitive ones.
-        cost += 2.0 * f64::from(context.serving);
+        cost += 2.0 * f64::from(context.latency_sensitive);
         cost += 1.0 - free.millicores as f64 / worker.news.room.millicores.max(1) as f64;
     } else {
         // Best fit keeps large blocks of free capacity for large tasks.
         let left = free.minus(size).unwrap_or_default();
-        cost += 0.2 * context.scarce.left(left, worker.news.room);
+        cost += 0.2 * context.scarce.weighted_free_share(left, worker.news.room);
     }
     if step.target > 0 {
-        cost += 1.0 * f64::from(context.filling) + 0.1 * f64::from(context.serving);
+        cost += 1.0 * f64::from(context.best_effort) + 0.1 * f64::from(context.latency_sensitive);
     }
     if suspicion.crashes > 0 {
         // Prefers workers without other suspects, that are likely to stay up, and where another crash loses least.
--- a/crates/pool/src/inherit.rs
+++ b/crates/pool/src/inherit.rs
@@ -21,9 +21,9 @@
         workers: impl IntoIterator<Item = WorkerId>,
         silent: &[Silent],
     ) {
-        self.proved_at = None;
+        self.quorum_since = None;
         let quiet = |id: &WorkerId| silent.iter().any(|silent| silent.worker == *id);
-        self.unseen = workers
+        self.unconfirmed_workers = workers
             .into_iter()
             .filter(|id| !quiet(id))
             .filter(|id| self.workers.get(id).is_none_or(|worker| !worker.fenced))
@@ -35,7 +35,7 @@
             worker.lapses = Ms::MAX;
             worker.born = silent.born;
         }
-        self.silent = silent.to_vec();
+        self.unavailable = silent.to_vec();
         let jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
         for job in &jobs {
             self.hold_back(now, job);
@@ -45,7 +45,7 @@
     /// Holds back the tasks of a job that may run on workers which the former owner could not reach, nor this one yet.
     pub(crate) fn hold_back(&mut self, now: Ms, job: &JobId) {
         let mut runs = Vec::new();
-        for silent in &self.silent {
+        for silent in &self.unavailable {
             let answered = self.workers.get(&silent.worker).is_none_or(|it| it.fenced);
             let of = silent.runs.iter().filter(|(key, _)| key.stage.job == *job);
             runs.extend(
@@ -73,11 +73,11 @@
     /// Whether there are jobs, accepted before this owner came, that it can't know yet: a part of the store doesn't answer.
     /// Until all are known, a run or an end of an unknown job is left alone, however long that takes.
     pub fn set_partial(&mut self, now: Ms, partial: bool) {
-        self.partial = partial;
+        self.jobs_incomplete = partial;
         if partial {
             return;
         }
-        self.cancels.clear();
+        self.early_cancels.clear();
         for worker in self.workers.values_mut() {
             for stray in worker.strays.values_mut() {
                 stray.since = now;
@@ -90,23 +90,23 @@
 
     /// The former owner gives no order after this: it has lost its majority, and its last orders are too late.
     pub(crate) fn former_orders_end(&self) -> Option<Ms> {
-        let since = self.proved_at?;
-        Some(since + self.options.proof + self.options.order_life)
+        let since = self.quorum_since?;
+        Some(since + self.options.quorum_validity + self.options.command_ttl)
     }
 
     /// Once a majority is behind this owner, the time until which others may run something unknown is bounded.
     pub(crate) fn settle_inheritance(&mut self, now: Ms) {
-        if self.proved_at.is_none() && self.proved(now) {
-            self.proved_at = Some(now);
+        if self.quorum_since.is_none() && self.has_quorum(now) {
+            self.quorum_since = Some(now);
         }
         // Clocks of workers may be 2% slow; 400 ms cover ways and timers.
-        let leases = self.options.lease_most + self.options.lease_most / 33 + 400;
+        let leases = self.options.max_lease + self.options.max_lease / 33 + 400;
         if self
             .former_orders_end()
             .is_some_and(|end| now >= end + leases)
         {
-            self.unseen.clear();
-            self.silent.clear();
+            self.unconfirmed_workers.clear();
+            self.unavailable.clear();
             for worker in self.workers.values_mut() {
                 if !worker.fenced {
                     worker.lapses = worker.lapses.min(now);
@@ -118,7 +118,7 @@
     /// Whether an inherited job may run on a worker that has not answered yet, as far as is known of it: a worker runs tasks of
     /// its own service alone.
     pub(crate) fn may_run_unseen(&self, job: &Job) -> bool {
-        self.unseen.iter().any(|id| {
+        self.unconfirmed_workers.iter().any(|id| {
             let service = self.workers.get(id).map(|it| it.news.service.as_str());
             service.is_none_or(|service| service.is_empty() || service == job.service)
         })
@@ -127,6 +127,6 @@
     /// Workers of the former owner that have not answered yet: inherited jobs wait for them.
     #[must_use]
     pub fn unseen(&self) -> &BTreeSet<WorkerId> {
-        &self.unseen
+        &self.unconfirmed_workers
     }
 }
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! * [`Job`], [`Step`], [`Policy`]: what a caller asked for, as it is stored.
 //! * [`Progress`]: what must last of a job's course, as it is stored.
-//! * [`Pool`]: the live state; news goes in, [`Order`]s come out.
+//! * [`Pool`]: the live state; news goes in, [`Command`]s come out.
 //! * [`News`], [`Listing`], [`Answer`]: what workers and the directory of workers say.
-//! * [`rank`]: who goes first; [`fit`]: on which worker, [`scarce`]: by what is short; [`advice`]: which workers to ask about; [`pace`]: when
+//! * [`rank`]: who goes first; [`fit`]: on which worker, [`service_capacity`]: by what is short; [`advice`]: which workers to ask about; [`pace`]: when
 //!   tasks that fill spare processors are slowed down.
 
 pub mod advice;
 mod answer;
-mod ask;
+mod command;
 mod crash;
 mod ends;
 mod evacuate;
@@ -21,33 +21,33 @@
 mod load;
 mod loss;
 mod mechanism;
-mod misfit;
-mod order;
 pub mod pace;
 mod place;
-mod plan;
 mod pool;
 mod progress;
+mod query;
 pub mod rank;
 mod reconcile;
 pub mod repeat;
 mod replies;
 mod save;
-pub mod scarce;
+mod schedule;
+pub mod service_capacity;
 mod state;
 mod task;
 mod timeline;
+mod unservable;
 mod watch;
 mod worker;
 
 pub use answer::{Answer, StopAnswer};
+pub use command::{AdvisorQuery, Command, Pace, Start, Stop};
 pub use crash::{GivenUp, Suspicion};
 pub use job::{Advice, Job, Policy, Schedule, Step, Unfit};
 pub use listing::{End, How, Listing, Running};
 pub use load::Load;
 pub use loss::{Loss, LostRun};
-pub use mechanism::{Mechanism, Switches, Unknown};
-pub use order::{Ask, Order, Pace, Start, Stop};
+pub use mechanism::{Mechanism, Switches, UnknownMechanism};
 pub use pool::{Options, Pool};
 pub use progress::{Course, Progress, StepCourse};
 pub use save::Batch;
--- a/crates/pool/src/load.rs
+++ b/crates/pool/src/load.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::pool::Pool;
-use crate::scarce::Scarce;
+use crate::service_capacity::ServiceCapacity;
 use crate::task::StageKey;
 
 /// Load of a pool.
@@ -12,13 +12,13 @@
     /// Share of its processors that is used.
     pub used: f64,
     /// The same share with the demand of the waiting tasks of open steps added; may exceed 1.
-    pub taken: f64,
+    pub demand: f64,
     /// Number of open steps.
-    pub steps: usize,
+    pub open_steps: usize,
     /// Labels of its workers, without their racks.
     pub labels: Vec<String>,
     /// Total and used capacity of the workers of each service.
-    pub services: BTreeMap<String, Scarce>,
+    pub services: BTreeMap<String, ServiceCapacity>,
 }
 
 impl Pool {
@@ -37,10 +37,10 @@
         let share = |part: u64| part as f64 / room.max(1) as f64;
         Load {
             used: share(used),
-            taken: share(used + waits),
-            steps: self.open.len(),
+            demand: share(used + waits),
+            open_steps: self.open.len(),
             labels: labels.into_iter().cloned().collect(),
-            services: self.scarce().into_iter().collect(),
+            services: self.service_capacities().into_iter().collect(),
         }
     }
 
--- a/crates/pool/src/mechanism.rs
+++ b/crates/pool/src/mechanism.rs
@@ -104,9 +104,9 @@
 
 /// The error for a name that no mechanism has.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Unknown(pub String);
+pub struct UnknownMechanism(pub String);
 
-impl fmt::Display for Unknown {
+impl fmt::Display for UnknownMechanism {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         let names = Mechanism::ALL.map(|(_, name)| name);
         write!(
@@ -118,10 +118,10 @@
     }
 }
 
-impl std::error::Error for Unknown {}
+impl std::error::Error for UnknownMechanism {}
 
 impl FromStr for Mechanism {
-    type Err = Unknown;
+    type Err = UnknownMechanism;
 
     /// ```
     /// use pool::Mechanism;
@@ -129,11 +129,11 @@
     /// assert_eq!("best-fit".parse(), Ok(Mechanism::BestFit));
     /// assert!("bestfit".parse::<Mechanism>().unwrap_err().to_string().contains("best-fit"));
     /// ```
-    fn from_str(name: &str) -> Result<Self, Unknown> {
+    fn from_str(name: &str) -> Result<Self, UnknownMechanism> {
         let found = Self::ALL.iter().find(|(_, own)| *own == name);
         found
             .map(|(mechanism, _)| *mechanism)
-            .ok_or_else(|| Unknown(name.to_owned()))
+            .ok_or_else(|| UnknownMechanism(name.to_owned()))
     }
 }
 
--- a/crates/pool/src/pace.rs
+++ b/crates/pool/src/pace.rs
@@ -31,14 +31,14 @@
 
 /// Decides the pace of the best-effort tasks on each worker.
 #[derive(Clone, Debug, Default)]
-pub struct Tempo {
+pub struct PaceController {
     workers: FxHashMap<WorkerId, WorkerPace>,
 }
 
-impl Tempo {
+impl PaceController {
     /// Updates and returns the share of their full speed at which best-effort tasks on a worker should run, in percent, given
     /// the highest ratio of a response time to its target there.
-    pub fn share(&mut self, now: Ms, worker: &WorkerId, max_ratio: f64) -> u32 {
+    pub fn update(&mut self, now: Ms, worker: &WorkerId, max_ratio: f64) -> u32 {
         let pace = self.workers.entry(worker.clone()).or_insert(WorkerPace {
             percent: 100,
             changed_at: 0,
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -5,15 +5,15 @@
 use resource::Size;
 use rustc_hash::FxHashMap;
 
+use crate::command::{Command, Start};
 use crate::crash::{CRASHES_ALONE, Suspicion};
 use crate::fit::{self, Context};
 use crate::job::{Job, Step};
 use crate::live::Live;
 use crate::mechanism::Mechanism;
-use crate::order::{Order, Start};
 use crate::pool::Pool;
-use crate::rank::{Claim, Rank, rank};
-use crate::scarce::Scarce;
+use crate::rank::{Rank, RankInput, rank};
+use crate::service_capacity::ServiceCapacity;
 use crate::task::{Ms, Run, StageKey, TaskKey, WorkerId};
 
 /// Maximum number of starts in one scheduling pass. With more, answers would wait while the starts are written.
@@ -29,7 +29,7 @@
 impl Pool {
     /// Starts waiting tasks in the order of their ranks, as far as there is free capacity.
     pub(crate) fn place(&mut self, now: Ms) {
-        let scarce = self.scarce();
+        let scarce = self.service_capacities();
         self.find_trials();
         let mut order: Vec<(Rank, StageKey)> = Vec::new();
         for key in &self.open {
@@ -81,9 +81,9 @@
         }
     }
 
-    fn rank(&self, now: Ms, live: &Live, key: &StageKey, scarce: &Scarce) -> Rank {
+    fn rank(&self, now: Ms, live: &Live, key: &StageKey, scarce: &ServiceCapacity) -> Rank {
         let job = &live.job;
-        let scale = self.learned.scale(&job.queue);
+        let scale = self.queue_stats.duration_ratio(&job.queue);
         let scaled = |chain: Ms| (chain as f64 * scale) as Ms;
         let course = live.open.get(&key.occurrence);
         let since = if job.schedule.is_some() {
@@ -98,7 +98,7 @@
                 .zip(&job.steps)
                 .map(|(stage, step)| {
                     let left = (stage.tasks.len() - stage.done) as f64;
-                    left * step.estimate as f64 * scarce.share(step.size)
+                    left * step.estimate as f64 * scarce.dominant_share(step.size)
                 })
                 .sum()
         });
@@ -108,13 +108,13 @@
                 ..Rank::default()
             };
         }
-        let rank = rank(&Claim {
+        let rank = rank(&RankInput {
             priority: job.policy.priority,
             age: now.saturating_sub(since),
             objective: self.objective(live),
             chain: scaled(live.chains.get(usize::from(key.step)).copied().unwrap_or(0)),
             work: (work * WORK_UNIT) as u64,
-            lasting: job.lasting(),
+            long_running: job.lasting(),
         });
         rank.without(&self.options.switches)
     }
@@ -123,7 +123,7 @@
     pub(crate) fn objective(&self, live: &Live) -> Ms {
         let policy = &live.job.policy;
         let longest = live.chains.iter().max().copied().unwrap_or(0);
-        let scaled = (longest as f64 * self.learned.scale(&live.job.queue)) as Ms;
+        let scaled = (longest as f64 * self.queue_stats.duration_ratio(&live.job.queue)) as Ms;
         (scaled as f64 * policy.stretch) as Ms + policy.objective
     }
 
@@ -157,7 +157,7 @@
         job: &Arc<Job>,
         step: &Step,
         mix: &TaskMix,
-        scarce: &Scarce,
+        scarce: &ServiceCapacity,
     ) -> usize {
         let Some(stage) = self.stage(key) else {
             return 0;
@@ -226,7 +226,7 @@
         suspicions: &[Suspicion],
         same: &FxHashMap<WorkerId, u32>,
         mix: &TaskMix,
-        scarce: &Scarce,
+        scarce: &ServiceCapacity,
     ) -> Vec<WorkerId> {
         let Some(stage) = self.stage(key) else {
             return Vec::new();
@@ -248,13 +248,17 @@
             let (serving, filling) = mix.get(&worker.id).copied().unwrap_or_default();
             let context = Context {
                 now,
-                far_factor: self.options.far_factor,
+                far_factor: self.options.remote_penalty,
                 same: same.get(&worker.id).copied().unwrap_or(0),
                 placed: 0,
-                serving,
-                filling,
+                latency_sensitive: serving,
+                best_effort: filling,
                 suspicion: Suspicion::default(),
-                trial: self.trials.get(&worker.id).copied().unwrap_or(0),
+                trial: self
+                    .suspects_by_worker
+                    .get(&worker.id)
+                    .copied()
+                    .unwrap_or(0),
                 scarce: *scarce,
                 first_fit: !self.has(Mechanism::BestFit),
             };
@@ -292,7 +296,7 @@
         number: u32,
         saved: Option<&str>,
     ) {
-        let life = self.options.order_life;
+        let life = self.options.command_ttl;
         let live = self.jobs.get(&key.stage.job);
         let inherited = live.is_some_and(|live| live.inherited);
         let Some(host) = self.workers.get_mut(worker) else {
@@ -325,22 +329,25 @@
         self.attach(key, worker, number);
         if noted {
             self.suspects.insert(key.clone());
-            self.mark(&key.stage.job);
-            let trial = self.trials.entry(Arc::clone(worker)).or_default();
+            self.mark_dirty(&key.stage.job);
+            let trial = self
+                .suspects_by_worker
+                .entry(Arc::clone(worker))
+                .or_default();
             *trial = (*trial).max(crashes);
         }
-        self.loose.insert(key.clone());
-        self.copies.earn();
+        self.unconfirmed_runs.insert(key.clone());
+        self.retry_budget.earn();
         if let Some(stage) = self.stage_mut(&key.stage) {
             stage.timeline.started(now);
         }
-        self.orders.push(Order::Start(Start {
+        self.commands.push(Command::Start(Start {
             task: key.clone(),
             run: number,
             worker: Arc::clone(worker),
             job: Arc::clone(job),
-            latest,
-            saved,
+            start_deadline: latest,
+            checkpoint: saved,
             ticket,
             crashes,
         }));
@@ -377,8 +384,8 @@
         choice.2.same += 1;
         choice.2.placed += 1;
         choice.2.trial = choice.2.trial.max(suspicion.crashes);
-        choice.2.serving += u32::from(step.target > 0);
-        choice.2.filling += u32::from(step.fills);
+        choice.2.latency_sensitive += u32::from(step.target > 0);
+        choice.2.best_effort += u32::from(step.fills);
         places.push(Arc::clone(&choice.0.id));
     }
     places
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -6,15 +6,15 @@
 use resource::Size;
 use rustc_hash::{FxHashMap, FxHashSet};
 
+use crate::command::Command;
 use crate::crash::{GivenUp, Trials};
 use crate::job::Job;
 use crate::live::Live;
 use crate::loss::LostRun;
 use crate::mechanism::{Mechanism, Switches};
-use crate::order::Order;
-use crate::pace::Tempo;
+use crate::pace::PaceController;
 use crate::progress::Progress;
-use crate::rank::Learned;
+use crate::rank::QueueStats;
 use crate::repeat::Budget;
 use crate::state::State;
 use crate::task::{JobId, Ms, Phase, StageKey, TaskKey, WorkerId};
@@ -30,21 +30,21 @@
     pub switches: Switches,
     /// Time after which a worker must no longer carry out a start command, in milliseconds. It exceeds every response
     /// time on a healthy network; a smaller value frees capacity of starts with unknown outcome sooner.
-    pub order_life: Ms,
+    pub command_ttl: Ms,
     /// Maximum length of a worker's lease, in milliseconds.
-    pub lease_most: Ms,
+    pub max_lease: Ms,
     /// Time for which an owner may act after a majority of its workers last confirmed it, in milliseconds.
-    pub proof: Ms,
+    pub quorum_validity: Ms,
     /// Maximum number of concurrent advisor queries.
-    pub askers: usize,
+    pub max_queries: usize,
     /// Maximum number of workers in one advisor query.
-    pub ask_most: usize,
+    pub max_query_workers: usize,
     /// Factor by which a task is slower on another rack than that of its data.
-    pub far_factor: f64,
+    pub remote_penalty: f64,
     /// Maximum time that a worker takes to stop a run, in milliseconds.
     pub stop_grace: Ms,
     /// Time for which jobs in a final state are kept, in milliseconds.
-    pub remember: Ms,
+    pub retention: Ms,
 }
 
 impl Default for Options {
@@ -52,14 +52,14 @@
         Self {
             epoch: 0,
             switches: Switches::default(),
-            order_life: 1_000,
-            lease_most: 6_000,
-            proof: 1_600,
-            askers: 1,
-            ask_most: 30,
-            far_factor: 1.5,
+            command_ttl: 1_000,
+            max_lease: 6_000,
+            quorum_validity: 1_600,
+            max_queries: 1,
+            max_query_workers: 30,
+            remote_penalty: 1.5,
             stop_grace: 400,
-            remember: 150_000,
+            retention: 150_000,
         }
     }
 }
@@ -73,43 +73,43 @@
     /// Steps whose dependencies are complete and that are not complete themselves.
     pub(crate) open: BTreeSet<StageKey>,
     /// Jobs blocked until the worker's next listing: it listed ends of their runs before the jobs were known here.
-    pub(crate) awaiting: BTreeMap<WorkerId, Vec<JobId>>,
+    pub(crate) jobs_awaiting_worker: BTreeMap<WorkerId, Vec<JobId>>,
     /// Tasks whose start command is unanswered or whose run is to be stopped.
-    pub(crate) loose: FxHashSet<TaskKey>,
+    pub(crate) unconfirmed_runs: FxHashSet<TaskKey>,
     /// Budget for resending unanswered commands.
-    pub(crate) copies: Budget,
+    pub(crate) retry_budget: Budget,
     /// Jobs with future occurrences.
-    pub(crate) timed: BTreeSet<JobId>,
+    pub(crate) scheduled_jobs: BTreeSet<JobId>,
     /// Jobs whose progress has unsaved changes.
     pub(crate) dirty: FxHashSet<JobId>,
     /// Workers of the former owner that have not answered this owner.
-    pub(crate) unseen: BTreeSet<WorkerId>,
+    pub(crate) unconfirmed_workers: BTreeSet<WorkerId>,
     /// When a majority of the workers first confirmed this owner.
-    pub(crate) proved_at: Option<Ms>,
+    pub(crate) quorum_since: Option<Ms>,
     /// Steps with an advisor query in flight.
-    pub(crate) asking: BTreeSet<StageKey>,
+    pub(crate) open_queries: BTreeSet<StageKey>,
     /// Those of them whose query was sent out of rank order.
-    pub(crate) overdue: BTreeSet<StageKey>,
+    pub(crate) overdue_queries: BTreeSet<StageKey>,
     /// Number of steps that scheduling passes have considered for queries out of rank order.
-    pub(crate) overdue_looks: usize,
+    pub(crate) overdue_considered: usize,
     /// Number of advisor queries sent.
-    pub(crate) questions: usize,
+    pub(crate) query_count: usize,
     /// Observed durations and advisor answers, per queue.
-    pub(crate) learned: Learned,
+    pub(crate) queue_stats: QueueStats,
     /// Paces of best-effort tasks.
-    pub(crate) tempo: Tempo,
+    pub(crate) pace_controller: PaceController,
     /// When stalled tasks and paces were last checked.
-    pub(crate) looked: Ms,
+    pub(crate) checked_at: Ms,
     /// Some jobs that were accepted before this owner took over have not been read yet.
-    pub(crate) partial: bool,
+    pub(crate) jobs_incomplete: bool,
     /// Jobs that were cancelled before they became known.
-    pub(crate) cancels: FxHashSet<JobId>,
+    pub(crate) early_cancels: FxHashSet<JobId>,
     /// Runs that may exist on workers that the former owner could not reach.
-    pub(crate) silent: Vec<Silent>,
+    pub(crate) unavailable: Vec<Silent>,
     /// Jobs that were transferred to other pools.
-    pub(crate) given: FxHashSet<JobId>,
+    pub(crate) transferred_jobs: FxHashSet<JobId>,
     /// When the jobs were last scanned for unservable ones.
-    pub(crate) sought: Ms,
+    pub(crate) scanned_at: Ms,
     /// Timelines of completed steps, to be logged.
     pub(crate) steps_done: Vec<StepTimes>,
     /// Timelines of jobs whose final states were stored, to be logged.
@@ -117,13 +117,13 @@
     /// Tasks suspected of crashing workers; may contain some whose suspicion has been cleared.
     pub(crate) suspects: BTreeSet<TaskKey>,
     /// Workers that a run of a suspect may still crash, as of the current scheduling pass.
-    pub(crate) trials: Trials,
+    pub(crate) suspects_by_worker: Trials,
     /// Tasks that were abandoned, to be logged.
-    pub(crate) given_up: Vec<GivenUp>,
+    pub(crate) abandoned: Vec<GivenUp>,
     /// Runs that workers have lost, to be logged.
     pub(crate) lost_runs: Vec<LostRun>,
     /// Commands collected since the last scheduling pass; the next one returns them.
-    pub(crate) orders: Vec<Order>,
+    pub(crate) commands: Vec<Command>,
     /// An owner with a higher epoch exists.
     pub(crate) deposed: bool,
 }
@@ -145,8 +145,8 @@
     }
 
     /// Sets the maximum number of concurrent advisor queries.
-    pub fn set_askers(&mut self, askers: usize) {
-        self.options.askers = askers.max(1);
+    pub fn set_max_queries(&mut self, askers: usize) {
+        self.options.max_queries = askers.max(1);
     }
 
     /// Adds a job. Does nothing if the job is known already or was transferred to another pool.
@@ -159,7 +159,7 @@
         inherited: bool,
     ) {
         let id = Arc::clone(&job.id);
-        if self.jobs.contains_key(&id) || self.given.contains(&id) {
+        if self.jobs.contains_key(&id) || self.transferred_jobs.contains(&id) {
             return;
         }
         if job.epoch > self.options.epoch && self.options.epoch > 0 {
@@ -171,7 +171,7 @@
         let mut live = Live::new(job, progress, now, unix);
         // The former owner may have known, and started, a job that this owner learns of only now.
         let former = self.former_orders_end().is_none_or(|end| now < end);
-        live.inherited = !ours && (inherited || former && !self.unseen.is_empty());
+        live.inherited = !ours && (inherited || former && !self.unconfirmed_workers.is_empty());
         self.jobs.insert(Arc::clone(&id), live);
         self.find_suspects(&id);
         self.advance(&id, now, unix);
@@ -179,7 +179,7 @@
         self.adopt_observed_runs(now, &id);
         // A former owner may have stored the last end without the state that follows from it.
         self.complete_or_advance(now, unix, &id);
-        if self.cancels.remove(&id) {
+        if self.early_cancels.remove(&id) {
             self.cancel(unix, &id);
         }
     }
@@ -191,15 +191,15 @@
         };
         self.open.extend(live.advance(now, unix));
         if live.next_due().is_some() {
-            self.timed.insert(Arc::clone(id));
+            self.scheduled_jobs.insert(Arc::clone(id));
         } else {
-            self.timed.remove(id);
+            self.scheduled_jobs.remove(id);
         }
     }
 
     /// Whether the job is known.
     #[must_use]
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn contains_job(&self, id: &str) -> bool {
         self.jobs.contains_key(id)
     }
 
@@ -221,20 +221,20 @@
     /// Cancels a job and returns its resulting state, or `None` if the job isn't known.
     pub fn cancel(&mut self, unix: u64, id: &str) -> Option<State> {
         let Some(live) = self.jobs.get(id) else {
-            if self.partial {
-                self.cancels.insert(id.into());
+            if self.jobs_incomplete {
+                self.early_cancels.insert(id.into());
             }
             return None;
         };
         let id = Arc::clone(&live.job.id);
         if !live.state.is_final() {
-            self.close(unix, &id, State::Cancelled);
+            self.finalize_job(unix, &id, State::Cancelled);
         }
         self.jobs.get(&id).map(|live| live.state)
     }
 
     /// Gives a job a final state and stops its runs.
-    pub(crate) fn close(&mut self, unix: u64, id: &JobId, state: State) {
+    pub(crate) fn finalize_job(&mut self, unix: u64, id: &JobId, state: State) {
         let Some(live) = self.jobs.get_mut(id) else {
             return;
         };
@@ -258,13 +258,13 @@
                 self.open.remove(&key);
             }
         }
-        self.loose.extend(running);
-        self.timed.remove(id);
-        self.mark(id);
+        self.unconfirmed_runs.extend(running);
+        self.scheduled_jobs.remove(id);
+        self.mark_dirty(id);
     }
 
     /// Marks a job's progress as changed, so that it gets stored.
-    pub(crate) fn mark(&mut self, id: &JobId) {
+    pub(crate) fn mark_dirty(&mut self, id: &JobId) {
         if let Some(live) = self.jobs.get_mut(id) {
             live.dirty = true;
             self.dirty.insert(Arc::clone(id));
@@ -284,7 +284,7 @@
     }
 
     /// Adds a worker that the directory lists, or updates what is known of it.
-    pub fn listed(&mut self, now: Ms, id: &WorkerId, news: News) {
+    pub fn update_worker(&mut self, now: Ms, id: &WorkerId, news: News) {
         let worker = self.workers.entry(Arc::clone(id)).or_default();
         if worker.id.is_empty() {
             worker.id = Arc::clone(id);
@@ -300,7 +300,7 @@
     }
 
     /// The directory no longer lists a worker. The outcome of its runs is unknown until its lease has lapsed.
-    pub fn unlisted(&mut self, id: &str) {
+    pub fn deregister_worker(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.listed = false;
         }
@@ -314,7 +314,7 @@
             .values()
             .filter(|worker| !worker.silent(now) && (worker.listed || !worker.runs.is_empty()))
             .map(|worker| Arc::clone(&worker.id))
-            .chain(self.unseen.iter().cloned())
+            .chain(self.unconfirmed_workers.iter().cloned())
             .collect();
         ids.sort();
         ids.dedup();
@@ -324,7 +324,7 @@
     /// Workers that are unreachable or about to leave, with the runs that may be there. Nothing is started on them
     /// until a roster that names them is stored: a run started in between would be missing from the stored list.
     #[must_use]
-    pub fn silent(&mut self, now: Ms) -> Vec<Silent> {
+    pub fn unavailable_workers(&mut self, now: Ms) -> Vec<Silent> {
         for worker in self.workers.values_mut() {
             worker.enrolled &= !worker.silent(now);
         }
@@ -350,7 +350,7 @@
 
     /// Records the workers of the stored roster, sorted by id. Returns whether a worker may be given tasks that might
     /// not before.
-    pub fn enroll(&mut self, ids: &[WorkerId]) -> bool {
+    pub fn set_stored_roster(&mut self, ids: &[WorkerId]) -> bool {
         let mut more = false;
         for (id, worker) in &mut self.workers {
             let enrolled = ids.binary_search(id).is_ok();
@@ -382,12 +382,13 @@
     /// A new owner has to reach a majority before it acts, so an owner without one may have been replaced. An owner
     /// that was paused fails this check when it resumes, before it sends anything.
     #[must_use]
-    pub fn proved(&self, now: Ms) -> bool {
+    pub fn has_quorum(&self, now: Ms) -> bool {
         let mut known = 0;
         let mut answered = 0;
         for worker in self.workers.values().filter(|worker| worker.listed) {
             known += 1;
-            if worker.fenced && now.saturating_sub(worker.last_hold) <= self.options.proof {
+            if worker.fenced && now.saturating_sub(worker.last_hold) <= self.options.quorum_validity
+            {
                 answered += 1;
             }
         }
--- a/crates/pool/src/ask.rs
+++ b/crates/pool/src/query.rs
@@ -6,10 +6,10 @@
 use rustc_hash::FxBuildHasher;
 
 use crate::advice::{self, Choice, Wanted, choose};
+use crate::command::{AdvisorQuery, Command};
 use crate::fit;
 use crate::job::{Advice, Job, Step};
 use crate::mechanism::Mechanism;
-use crate::order::{Ask, Order};
 use crate::place::TICKET_SLACK;
 use crate::pool::Pool;
 use crate::rank::Rank;
@@ -49,8 +49,8 @@
         };
         let (lasting, others): (Vec<_>, Vec<_>) =
             overdue.into_iter().partition(|(_, key)| lasts(key));
-        let turn = self.overdue_looks;
-        self.overdue_looks += OVERDUE_LOOKS;
+        let turn = self.overdue_considered;
+        self.overdue_considered += OVERDUE_LOOKS;
         for (_, key) in in_turn(lasting, turn).chain(in_turn(others, turn)) {
             if !self.may_ask_out_of_turn() {
                 return;
@@ -65,18 +65,18 @@
             };
             let need = stage.tasks.iter().filter(|task| task.waits(now)).count();
             self.ask(now, key, &job, step, need as u32);
-            if self.asking.contains(key) {
-                self.overdue.insert(key.clone());
+            if self.open_queries.contains(key) {
+                self.overdue_queries.insert(key.clone());
             }
         }
     }
 
     fn may_ask_out_of_turn(&self) -> bool {
-        let most = self.options.askers / OVERDUE_SHARE;
+        let most = self.options.max_queries / OVERDUE_SHARE;
         if most > 0 {
-            self.overdue.len() < most
+            self.overdue_queries.len() < most
         } else {
-            self.questions.is_multiple_of(OVERDUE_SHARE)
+            self.query_count.is_multiple_of(OVERDUE_SHARE)
         }
     }
 
@@ -97,14 +97,14 @@
         let Some(advice) = job.policy.advice else {
             return;
         };
-        if self.asking.len() >= self.options.askers || self.asks_not(now, key) {
+        if self.open_queries.len() >= self.options.max_queries || self.asks_not(now, key) {
             return;
         }
         let choices = self.choices(now, key, job, step, need);
         if choices.iter().all(|choice| choice.fits == 0) {
             return;
         }
-        let yes = self.learned.yes(&job.queue);
+        let yes = self.queue_stats.approval_rate(&job.queue);
         let need = if self.has(Mechanism::AdviceShare) {
             need
         } else {
@@ -113,7 +113,7 @@
         let wanted = Wanted {
             need,
             yes,
-            most: self.options.ask_most,
+            most: self.options.max_query_workers,
             cheap: self.cheap(&advice),
             seed: FxBuildHasher.hash_one(key),
         };
@@ -131,8 +131,8 @@
         if !self.has(Mechanism::AdviceAhead) {
             return;
         }
-        let most = self.options.askers / LEFT_TO_OTHERS;
-        if self.asking.len() >= most || self.asks_not(now, key) {
+        let most = self.options.max_queries / LEFT_TO_OTHERS;
+        if self.open_queries.len() >= most || self.asks_not(now, key) {
             return;
         }
         let Some(stage) = self.stage(key) else { return };
@@ -146,7 +146,7 @@
         let wanted = Wanted {
             need: 0,
             yes: 1.0,
-            most: self.options.ask_most,
+            most: self.options.max_query_workers,
             cheap,
             seed: FxBuildHasher.hash_one(key),
         };
@@ -213,17 +213,17 @@
             return;
         }
         let takes = advice::takes(&advice, workers.len());
-        self.asking.insert(key.clone());
-        self.questions += 1;
+        self.open_queries.insert(key.clone());
+        self.query_count += 1;
         if let Some(stage) = self.stage_mut(key) {
             stage.advised.asking = Some(now);
             stage.advised.asked = Some(now);
             stage.timeline.asked(now);
         }
-        self.orders.push(Order::Ask(Ask {
+        self.commands.push(Command::Query(AdvisorQuery {
             stage: key.clone(),
             workers,
-            takes,
+            expected_duration: takes,
         }));
     }
 }
--- a/crates/pool/src/rank.rs
+++ b/crates/pool/src/rank.rs
@@ -12,14 +12,14 @@
 use crate::task::Ms;
 
 /// A job has no value if it takes longer than this many times its objective.
-pub const LATE_MOST: u64 = 3;
+pub const MAX_OBJECTIVE_RATIO: u64 = 3;
 /// Weight of the newest observation in exponential moving averages: about the last ten observations count.
 const EMA_WEIGHT: f64 = 0.1;
 
 /// Rank of waiting work; the smallest goes first.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Rank {
-    /// It can no longer have any value, as it will exceed [`LATE_MOST`] times its objective.
+    /// It can no longer have any value, as it will exceed [`MAX_OBJECTIVE_RATIO`] times its objective.
     pub hopeless: bool,
     /// The queue's priority, 0 first.
     pub priority: u32,
@@ -53,7 +53,7 @@
 
 /// The inputs of [`rank`].
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Claim {
+pub struct RankInput {
     /// The queue's priority, 0 first.
     pub priority: u32,
     /// Time since the job was accepted or its occurrence was due.
@@ -65,39 +65,39 @@
     /// Remaining work, as in [`Rank::work`].
     pub work: u64,
     /// The job runs until it is cancelled, so it has no deadline.
-    pub lasting: bool,
+    pub long_running: bool,
 }
 
 /// Ranks waiting work.
 ///
 /// ```
-/// use pool::rank::{Claim, rank};
+/// use pool::rank::{RankInput, rank};
 ///
-/// let fresh = Claim { age: 100, objective: 2_000, chain: 800, ..Claim::default() };
-/// let lost = Claim { age: 9_000, ..fresh };
+/// let fresh = RankInput { age: 100, objective: 2_000, chain: 800, ..RankInput::default() };
+/// let lost = RankInput { age: 9_000, ..fresh };
 /// assert!(rank(&fresh) < rank(&lost));
 /// ```
 #[must_use]
-pub fn rank(claim: &Claim) -> Rank {
+pub fn rank(claim: &RankInput) -> Rank {
     let end = claim.age + claim.chain;
     Rank {
-        hopeless: !claim.lasting && end > claim.objective * LATE_MOST,
+        hopeless: !claim.long_running && end > claim.objective * MAX_OBJECTIVE_RATIO,
         priority: claim.priority,
-        late: !claim.lasting && end > claim.objective,
+        late: !claim.long_running && end > claim.objective,
         work: claim.work,
     }
 }
 
 /// Observed task durations and advisor answers, per queue.
 #[derive(Clone, Debug, Default)]
-pub struct Learned {
+pub struct QueueStats {
     scale: FxHashMap<String, f64>,
     yes: FxHashMap<String, f64>,
 }
 
-impl Learned {
+impl QueueStats {
     /// Records how long a task of a queue took, and its estimate.
-    pub fn took(&mut self, queue: &str, took: Ms, estimate: Ms) {
+    pub fn record_duration(&mut self, queue: &str, took: Ms, estimate: Ms) {
         let ratio = (took as f64 / estimate.max(1) as f64).clamp(0.1, 10.0);
         let mean = self.scale.entry(queue.to_owned()).or_insert(1.0);
         *mean += EMA_WEIGHT * 0.2 * (ratio - *mean);
@@ -105,12 +105,12 @@
 
     /// Average ratio of observed to estimated duration of a queue's tasks.
     #[must_use]
-    pub fn scale(&self, queue: &str) -> f64 {
+    pub fn duration_ratio(&self, queue: &str) -> f64 {
         self.scale.get(queue).copied().unwrap_or(1.0)
     }
 
     /// Records an advisor answer: how many workers were in the query, and how many of them it allowed.
-    pub fn advised(&mut self, queue: &str, asked: usize, allowed: usize) {
+    pub fn record_answer(&mut self, queue: &str, asked: usize, allowed: usize) {
         let share = allowed as f64 / asked.max(1) as f64;
         let mean = self.yes.entry(queue.to_owned()).or_insert(share);
         *mean += EMA_WEIGHT * (share - *mean);
@@ -118,7 +118,7 @@
 
     /// Average share of workers that the advisor allows for a step of this queue.
     #[must_use]
-    pub fn yes(&self, queue: &str) -> f64 {
+    pub fn approval_rate(&self, queue: &str) -> f64 {
         self.yes.get(queue).copied().unwrap_or(0.5).max(0.05)
     }
 }
--- a/crates/pool/src/reconcile.rs
+++ b/crates/pool/src/reconcile.rs
@@ -50,13 +50,13 @@
         let left = if listing.lease > 0 {
             listing.lease.saturating_sub(listing.clock)
         } else {
-            self.options.lease_most
+            self.options.max_lease
         };
         // Its clock may be 2% slow.
         worker.lapses = worker.lapses.max(now + left + left / 33 + LEASE_SLACK);
-        self.unseen.remove(id);
+        self.unconfirmed_workers.remove(id);
         self.apply_ends(now, unix, id, listing);
-        for job in self.awaiting.remove(id).unwrap_or_default() {
+        for job in self.jobs_awaiting_worker.remove(id).unwrap_or_default() {
             if let Some(live) = self.jobs.get_mut(&job) {
                 live.awaits = live.awaits.saturating_sub(1);
             }
@@ -87,7 +87,7 @@
                         .map_or(now, |before| before.since),
                     jobs: Vec::new(),
                 });
-                if self.partial || now.saturating_sub(found.since) < UNKNOWN_JOB_TIMEOUT {
+                if self.jobs_incomplete || now.saturating_sub(found.since) < UNKNOWN_JOB_TIMEOUT {
                     found.jobs.push(Arc::clone(job));
                     continue;
                 }
@@ -144,7 +144,7 @@
             live.awaits = waits.len();
         }
         for worker in waits {
-            self.awaiting
+            self.jobs_awaiting_worker
                 .entry(worker)
                 .or_default()
                 .push(Arc::clone(job));
@@ -158,8 +158,8 @@
     /// leases that this owner takes for lapsed, beside the ones it starts in their place. An owner without a recent
     /// majority renews nothing: it may have been replaced by one that can't reach this worker and counts on its lease.
     pub fn holding(&mut self, now: Ms, id: &WorkerId) -> Option<Ms> {
-        let most = self.options.lease_most;
-        if !self.proved(now) {
+        let most = self.options.max_lease;
+        if !self.has_quorum(now) {
             return None;
         }
         let worker = self.workers.get_mut(id)?;
@@ -221,7 +221,7 @@
                     doubtful
                 });
             if doubtful {
-                self.loose.insert(key);
+                self.unconfirmed_runs.insert(key);
             } else {
                 let job = Arc::clone(&key.stage.job);
                 self.run_over(now, &key, 0);
@@ -322,7 +322,7 @@
             run.proven = true;
             if matches!(run.phase, Phase::Ordered | Phase::Unsure) {
                 run.phase = Phase::Running;
-                self.loose.remove(key);
+                self.unconfirmed_runs.remove(key);
             }
             let run = self.task_mut(key).and_then(|task| task.run.as_mut());
             if let Some(run) = run {
@@ -394,18 +394,18 @@
 
     /// Stops strays: at once if their job is known, after a while if it isn't.
     pub(crate) fn stop_strays(&mut self, now: Ms) {
-        let partial = self.partial;
+        let partial = self.jobs_incomplete;
         for worker in self.workers.values_mut() {
             for (key, stray) in &mut worker.strays {
                 let unknown = !partial && now.saturating_sub(stray.since) > UNKNOWN_JOB_TIMEOUT;
                 let due = stray.size.is_some() || unknown;
                 if due && (stray.stop_sent == 0 || now.saturating_sub(stray.stop_sent) > 400) {
                     stray.stop_sent = now.max(1);
-                    self.orders.push(crate::Order::Stop(crate::Stop {
+                    self.commands.push(crate::Command::Stop(crate::Stop {
                         task: key.clone(),
                         run: stray.run,
                         worker: Arc::clone(&worker.id),
-                        why: "no task calls this run its own",
+                        reason: "no task calls this run its own",
                     }));
                 }
             }
--- a/crates/pool/src/replies.rs
+++ b/crates/pool/src/replies.rs
@@ -1,8 +1,8 @@
 //! What follows from answers to orders.
 
 use crate::answer::{Answer, StopAnswer};
+use crate::command::{AdvisorQuery, Start, Stop};
 use crate::live::Ticket;
-use crate::order::{Ask, Start, Stop};
 use crate::pool::Pool;
 use crate::repeat;
 use crate::state::State;
@@ -47,7 +47,7 @@
                 if waiting {
                     run.phase = Phase::Running;
                     run.moved = now;
-                    self.loose.remove(&start.task);
+                    self.unconfirmed_runs.remove(&start.task);
                 }
                 self.started(&start.task.stage.job);
                 return;
@@ -57,7 +57,7 @@
                 if run.phase == Phase::Ordered {
                     run.phase = Phase::Unsure;
                 }
-                self.loose.insert(start.task.clone());
+                self.unconfirmed_runs.insert(start.task.clone());
                 return;
             }
             Answer::Fenced => self.deposed = true,
@@ -144,14 +144,19 @@
     }
 
     /// The advisor answered, or didn't.
-    pub fn advised(&mut self, now: Ms, ask: &Ask, allowed: Option<(&[(WorkerId, String)], Ms)>) {
+    pub fn advised(
+        &mut self,
+        now: Ms,
+        ask: &AdvisorQuery,
+        allowed: Option<(&[(WorkerId, String)], Ms)>,
+    ) {
         let lives: Vec<u64> = allowed.map_or_else(Vec::new, |(rows, _)| {
             rows.iter()
                 .map(|(id, _)| self.workers.get(id).map_or(0, |worker| worker.born))
                 .collect()
         });
-        self.asking.remove(&ask.stage);
-        self.overdue.remove(&ask.stage);
+        self.open_queries.remove(&ask.stage);
+        self.overdue_queries.remove(&ask.stage);
         let queue = self
             .jobs
             .get(&ask.stage.job)
@@ -182,7 +187,8 @@
             }
         }
         if let Some(queue) = queue {
-            self.learned.advised(&queue, ask.workers.len(), rows.len());
+            self.queue_stats
+                .record_answer(&queue, ask.workers.len(), rows.len());
         }
     }
 }
--- a/crates/pool/src/save.rs
+++ b/crates/pool/src/save.rs
@@ -108,13 +108,13 @@
     /// A batch was not stored: its jobs are to be stored again.
     pub fn failed(&mut self, batch: &Batch) {
         for (id, _) in &batch.rows {
-            self.mark(id);
+            self.mark_dirty(id);
         }
     }
 
     /// Forgets jobs that have been final for long; their rows may go.
     pub fn sweep(&mut self, unix: u64) -> Vec<JobId> {
-        let remember = self.options.remember;
+        let remember = self.options.retention;
         let old: Vec<JobId> = self
             .jobs
             .values()
--- a/crates/pool/src/plan.rs
+++ b/crates/pool/src/schedule.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
+use crate::command::{Command, Start, Stop};
 use crate::live::Live;
 use crate::loss::Loss;
 use crate::mechanism::Mechanism;
-use crate::order::{Order, Start, Stop};
 use crate::pool::Pool;
 use crate::repeat;
 use crate::task::{Ms, Phase, TaskKey, WorkerId};
@@ -19,9 +19,9 @@
 
 impl Pool {
     /// Runs one scheduling pass and returns the commands to send.
-    pub fn plan(&mut self, now: Ms, unix: u64) -> Vec<Order> {
+    pub fn schedule(&mut self, now: Ms, unix: u64) -> Vec<Command> {
         let due: Vec<_> = self
-            .timed
+            .scheduled_jobs
             .iter()
             .filter(|id| {
                 let next = self.jobs.get(*id).and_then(Live::next_due);
@@ -37,18 +37,18 @@
         self.chase(now);
         self.stop_strays(now);
         self.settle_inheritance(now);
-        if !self.deposed && self.proved(now) {
+        if !self.deposed && self.has_quorum(now) {
             self.review_suspects(now, unix);
             self.place(now);
         }
-        std::mem::take(&mut self.orders)
+        std::mem::take(&mut self.commands)
     }
 
     /// When the next occurrence of any job is due, in Unix milliseconds.
     #[must_use]
     pub fn next_due(&self) -> Option<u64> {
         let due = |id| self.jobs.get(id).and_then(Live::next_due);
-        self.timed.iter().filter_map(due).min()
+        self.scheduled_jobs.iter().filter_map(due).min()
     }
 
     /// Ends the runs on workers whose lease has certainly expired, and drops workers that are no longer needed.
@@ -57,7 +57,8 @@
             .workers
             .values()
             .filter(|worker| {
-                let held = !worker.runs.is_empty() || self.awaiting.contains_key(&worker.id);
+                let held =
+                    !worker.runs.is_empty() || self.jobs_awaiting_worker.contains_key(&worker.id);
                 worker.lapses < now && held
             })
             .map(|worker| {
@@ -68,7 +69,7 @@
             })
             .collect();
         for (id, keys) in lapsed {
-            for job in self.awaiting.remove(&id).unwrap_or_default() {
+            for job in self.jobs_awaiting_worker.remove(&id).unwrap_or_default() {
                 if let Some(live) = self.jobs.get_mut(&job) {
                     live.awaits = live.awaits.saturating_sub(1);
                 }
@@ -89,8 +90,8 @@
                 }
             }
         }
-        let unseen = &self.unseen;
-        let silent = &self.silent;
+        let unseen = &self.unconfirmed_workers;
+        let silent = &self.unavailable;
         self.workers.retain(|id, worker| {
             worker.listed
                 || unseen.contains(id)
@@ -102,11 +103,11 @@
 
     /// Resends unanswered starts and sends stops for runs that are to be stopped.
     fn chase(&mut self, now: Ms) {
-        let keys: Vec<TaskKey> = self.loose.iter().cloned().collect();
+        let keys: Vec<TaskKey> = self.unconfirmed_runs.iter().cloned().collect();
         let resend_enabled = self.has(Mechanism::RepeatOrders);
         for key in keys {
             let Some(live) = self.jobs.get(&key.stage.job) else {
-                self.loose.remove(&key);
+                self.unconfirmed_runs.remove(&key);
                 continue;
             };
             let job = Arc::clone(&live.job);
@@ -117,11 +118,11 @@
                 .and_then(|course| course.stages.get(usize::from(key.stage.step)))
                 .and_then(|stage| stage.tasks.get(key.index as usize))
             else {
-                self.loose.remove(&key);
+                self.unconfirmed_runs.remove(&key);
                 continue;
             };
             let Some(run) = &task.run else {
-                self.loose.remove(&key);
+                self.unconfirmed_runs.remove(&key);
                 continue;
             };
             let since = now.saturating_sub(run.stop_sent);
@@ -134,11 +135,11 @@
                         STOP_RETRY_DELAY
                     };
                     (run.stop_sent == 0 || since >= retry_delay).then(|| {
-                        Order::Stop(Stop {
+                        Command::Stop(Stop {
                             task: key.clone(),
                             run: run.number,
                             worker: Arc::clone(&run.worker),
-                            why: "the run is not wanted any more",
+                            reason: "the run is not wanted any more",
                         })
                     })
                 }
@@ -147,14 +148,14 @@
                         && task.crashes() == 0
                         && now.saturating_sub(run.sent) >= repeat::delay(answers, run.copies)
                         && clock(&run.worker) + RESEND_MARGIN < run.latest
-                        && self.copies.spend() =>
+                        && self.retry_budget.spend() =>
                 {
-                    Some(Order::Start(Start {
+                    Some(Command::Start(Start {
                         task: key.clone(),
                         run: run.number,
                         worker: Arc::clone(&run.worker),
-                        latest: run.latest,
-                        saved: task.saved.clone(),
+                        start_deadline: run.latest,
+                        checkpoint: task.saved.clone(),
                         ticket: self
                             .stage(&key.stage)
                             .and_then(|stage| stage.advised.allowed.get(&run.worker))
@@ -175,7 +176,7 @@
                     run.sent = now;
                 }
             }
-            self.orders.push(order);
+            self.commands.push(order);
         }
     }
 }
--- a/crates/pool/src/scarce.rs
+++ b/crates/pool/src/service_capacity.rs
@@ -15,9 +15,9 @@
 
 /// Total and used capacity of the workers of one service.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Scarce {
+pub struct ServiceCapacity {
     /// Capacity of all workers.
-    pub room: Size,
+    pub total: Size,
     /// The part of it that is used.
     pub used: Size,
 }
@@ -32,20 +32,20 @@
     if whole > 0.0 { part / whole } else { 0.0 }
 }
 
-impl Scarce {
+impl ServiceCapacity {
     /// Dominant share of an amount: its share of the total capacity in the dimension in which that is largest.
     ///
     /// ```
-    /// use pool::scarce::Scarce;
+    /// use pool::service_capacity::ServiceCapacity;
     /// use resource::Size;
     ///
-    /// let all = Scarce { room: Size::new(32_000, 64_000, 8), used: Size::ZERO };
+    /// let all = ServiceCapacity { total: Size::new(32_000, 64_000, 8), used: Size::ZERO };
     /// let (four, two) = (Size::new(4_000, 1_000, 4), Size::new(12_000, 1_000, 2));
-    /// assert!(all.share(four) > all.share(two), "a half of the accelerators, three eighths of the processors");
+    /// assert!(all.dominant_share(four) > all.dominant_share(two), "a half of the accelerators, three eighths of the processors");
     /// ```
     #[must_use]
-    pub fn share(&self, size: Size) -> f64 {
-        let room = dimensions(self.room);
+    pub fn dominant_share(&self, size: Size) -> f64 {
+        let room = dimensions(self.total);
         let shares = dimensions(size)
             .into_iter()
             .zip(room)
@@ -55,8 +55,8 @@
 
     /// Free share of a worker's capacity, between 0 and 1. Each dimension is weighted by its used share on all workers.
     #[must_use]
-    pub fn left(&self, free: Size, room: Size) -> f64 {
-        let (all, used) = (dimensions(self.room), dimensions(self.used));
+    pub fn weighted_free_share(&self, free: Size, room: Size) -> f64 {
+        let (all, used) = (dimensions(self.total), dimensions(self.used));
         let (free, room) = (dimensions(free), dimensions(room));
         let (mut sum, mut weighted) = (0.0, 0.0);
         for at in 0..all.len() {
@@ -72,8 +72,8 @@
 
 impl Pool {
     /// Total and used capacity of the listed workers, by service.
-    pub(crate) fn scarce(&self) -> FxHashMap<String, Scarce> {
-        let mut services: FxHashMap<String, Scarce> = FxHashMap::default();
+    pub(crate) fn service_capacities(&self) -> FxHashMap<String, ServiceCapacity> {
+        let mut services: FxHashMap<String, ServiceCapacity> = FxHashMap::default();
         let all = self.has(Mechanism::Scarcity);
         let counted = |size: Size| {
             if all {
@@ -85,10 +85,10 @@
         for worker in self.workers.values().filter(|worker| worker.listed) {
             let news = &worker.news;
             if !services.contains_key(&news.service) {
-                services.insert(news.service.clone(), Scarce::default());
+                services.insert(news.service.clone(), ServiceCapacity::default());
             }
             if let Some(service) = services.get_mut(&news.service) {
-                service.room = service.room.plus(counted(news.room));
+                service.total = service.total.plus(counted(news.room));
                 service.used = service.used.plus(counted(worker.used));
             }
         }
--- a/crates/pool/src/misfit.rs
+++ b/crates/pool/src/unservable.rs
@@ -21,13 +21,16 @@
 const SCAN_INTERVAL: Ms = 500;
 
 impl Pool {
-    /// Jobs that should be transferred to another pool. None of their tasks is started here until [`Pool::keep`] or
-    /// [`Pool::transferred`] reports what became of the transfer.
-    pub fn misfits(&mut self, now: Ms) -> Vec<JobId> {
-        if now < self.sought + SCAN_INTERVAL || !self.proved(now) || !self.unseen.is_empty() {
+    /// Jobs that should be transferred to another pool. None of their tasks is started here until [`Pool::cancel_transfer`] or
+    /// [`Pool::remove_transferred`] reports what became of the transfer.
+    pub fn unservable_jobs(&mut self, now: Ms) -> Vec<JobId> {
+        if now < self.scanned_at + SCAN_INTERVAL
+            || !self.has_quorum(now)
+            || !self.unconfirmed_workers.is_empty()
+        {
             return Vec::new();
         }
-        self.sought = now;
+        self.scanned_at = now;
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
             let unservable = self.jobs.get(&id).is_some_and(|live| {
@@ -76,7 +79,7 @@
     }
 
     /// Keeps a job in this pool after all: its caller has cancelled it, or no other pool can take it.
-    pub fn keep(&mut self, id: &str) {
+    pub fn cancel_transfer(&mut self, id: &str) {
         if let Some(live) = self.jobs.get_mut(id) {
             live.leaves = false;
             live.misfit = None;
@@ -84,14 +87,14 @@
     }
 
     /// Removes a job that is now in another pool. Information about it that arrives later is outdated and ignored.
-    pub fn transferred(&mut self, id: &JobId) {
+    pub fn remove_transferred(&mut self, id: &JobId) {
         self.jobs.remove(id);
         self.open.retain(|key| key.job != *id);
-        self.asking.retain(|key| key.job != *id);
-        self.overdue.retain(|key| key.job != *id);
-        self.timed.remove(id);
+        self.open_queries.retain(|key| key.job != *id);
+        self.overdue_queries.retain(|key| key.job != *id);
+        self.scheduled_jobs.remove(id);
         self.dirty.remove(id);
-        self.given.insert(Arc::clone(id));
+        self.transferred_jobs.insert(Arc::clone(id));
     }
 }
 
--- a/crates/pool/src/watch.rs
+++ b/crates/pool/src/watch.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use crate::fit::SUSPECT;
+use crate::command::{Command, Pace};
+use crate::fit::SUSPECT_SCORE;
 use crate::listing::How;
 use crate::mechanism::Mechanism;
-use crate::order::{Order, Pace};
 use crate::pool::Pool;
 use crate::task::{Ms, Phase, Run, TaskKey, WorkerId};
 
@@ -14,7 +14,7 @@
 /// A task whose progress hasn't changed for this long is stalled. Listings arrive at least every 0.7 s, and a task of 15 s
 /// advances by one percent in 0.15 s.
 const STALL_TIMEOUT: Ms = 2_500;
-/// A worker whose failure score reaches [`SUSPECT`] gets no tasks for this long, then one at a time.
+/// A worker whose failure score reaches [`SUSPECT_SCORE`] gets no tasks for this long, then one at a time.
 const SUSPECT_PAUSE: Ms = 2_000;
 /// The next poll waits for further ends for the estimate of the shortest task on the worker, divided by this.
 const POLL_DELAY_DIVISOR: Ms = 10;
@@ -33,7 +33,7 @@
     /// Without the wait, a worker whose tasks end one after the other is polled once for each of them. Callers don't notice
     /// an end that is reported later by a tenth of the duration of the shortest task.
     #[must_use]
-    pub fn gather(&self, id: &str) -> Ms {
+    pub fn poll_delay(&self, id: &str) -> Ms {
         let Some(worker) = self.workers.get(id) else {
             return 0;
         };
@@ -50,7 +50,7 @@
     }
 
     /// Updates a worker's failure score and slowness, and the durations of the queue, after the end of a run.
-    pub(crate) fn judge(
+    pub(crate) fn score_worker(
         &mut self,
         now: Ms,
         id: &WorkerId,
@@ -75,9 +75,10 @@
         let took = now.saturating_sub(run.ordered);
         let plain = !step.fills && !step.gang && run.latest > 0;
         if how == How::Done && plain && !lasting {
-            self.learned.took(&job.queue, took, step.estimate);
+            self.queue_stats
+                .record_duration(&job.queue, took, step.estimate);
         }
-        let expected = step.estimate as f64 * self.learned.scale(&job.queue);
+        let expected = step.estimate as f64 * self.queue_stats.duration_ratio(&job.queue);
         let scoring = self.has(Mechanism::Doubt);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -97,7 +98,7 @@
                 } else {
                     FIRST_FAILURE_SCORE
                 };
-                if worker.doubt >= SUSPECT {
+                if worker.doubt >= SUSPECT_SCORE {
                     worker.rest = worker.rest.max(now + SUSPECT_PAUSE);
                 }
             }
@@ -107,10 +108,10 @@
 
     /// Stops stalled tasks, paces best-effort tasks, and moves tasks away from workers that are about to leave.
     pub(crate) fn watch(&mut self, now: Ms) {
-        if now < self.looked + CHECK_INTERVAL {
+        if now < self.checked_at + CHECK_INTERVAL {
             return;
         }
-        self.looked = now;
+        self.checked_at = now;
         self.evacuate(now);
         let mut stalled = Vec::new();
         let mut paces = Vec::new();
@@ -164,13 +165,13 @@
             self.stop_run(&key);
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.doubt += 1.5;
-                if worker.doubt >= SUSPECT {
+                if worker.doubt >= SUSPECT_SCORE {
                     worker.rest = worker.rest.max(now + SUSPECT_PAUSE);
                 }
             }
         }
         for (id, max_ratio, fills) in paces {
-            let percent = self.tempo.share(now, &id, max_ratio);
+            let percent = self.pace_controller.update(now, &id, max_ratio);
             for (task, run, pace) in fills {
                 if pace == percent {
                     continue;
@@ -178,7 +179,7 @@
                 if let Some(run) = self.task_mut(&task).and_then(|task| task.run.as_mut()) {
                     run.pace = percent;
                 }
-                self.orders.push(Order::Pace(Pace {
+                self.commands.push(Command::Pace(Pace {
                     task,
                     run,
                     worker: Arc::clone(&id),
@@ -189,7 +190,7 @@
     }
 
     /// A change of pace was not confirmed: the next check sends it again.
-    pub fn pace_lost(&mut self, pace: &Pace) {
+    pub fn pace_unconfirmed(&mut self, pace: &Pace) {
         if let Some(run) = self.task_mut(&pace.task).and_then(|task| task.run.as_mut())
             && run.number == pace.run
         {
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -114,7 +114,7 @@
     pub(crate) noted: u64,
     /// Nothing is started before this.
     pub(crate) rest: Ms,
-    /// Evidence that it fails what it starts; see [`crate::fit::SUSPECT`].
+    /// Evidence that it fails what it starts; see [`crate::fit::SUSPECT_SCORE`].
     pub(crate) doubt: f64,
     /// Observed duration against the estimate corrected per queue; 1 is as expected.
     pub(crate) slowness: f64,
--- a/crates/pool/tests/advice.rs
+++ b/crates/pool/tests/advice.rs
@@ -3,16 +3,16 @@
 #[allow(dead_code, reason = "other test files use the rest")]
 mod case;
 #[allow(dead_code, reason = "other test files use the rest")]
-mod world;
+mod simulation;
 
 use case::{adopt, end, hold, hold_all, list_workers, pool, run};
-use pool::{Advice, Answer, How, Job, Options, Order, Pool, Start};
-use world::{UNIX, job};
+use pool::{Advice, Answer, Command, How, Job, Options, Pool, Start};
+use simulation::{UNIX, job};
 
 /// A pool whose two workers are full, and which may have four advisor queries in flight.
 fn full_pool() -> (Pool, Vec<Start>) {
     let mut pool = Pool::new(Options {
-        askers: 4,
+        max_queries: 4,
         ..Options::default()
     });
     list_workers(&mut pool, 2);
@@ -49,18 +49,18 @@
         valid: 2_000,
     });
     adopt(&mut pool, 1_000, advised);
-    let orders = pool.plan(1_001, UNIX);
-    let [Order::Ask(ask)] = orders.as_slice() else {
+    let orders = pool.schedule(1_001, UNIX);
+    let [Command::Query(ask)] = orders.as_slice() else {
         panic!("expected one advisor query, got {orders:?}");
     };
     assert!(
-        pool.plan(1_010, UNIX).is_empty(),
+        pool.schedule(1_010, UNIX).is_empty(),
         "the query is sent only once"
     );
     let rows = vec![(ask.workers[0].clone(), "t1".to_owned())];
     pool.advised(1_050, ask, Some((&rows, 2_000)));
-    let orders = pool.plan(1_051, UNIX);
-    let Some(Order::Start(start)) = orders.first() else {
+    let orders = pool.schedule(1_051, UNIX);
+    let Some(Command::Start(start)) = orders.first() else {
         panic!("{orders:?}");
     };
     assert_eq!(
@@ -71,11 +71,11 @@
     for id in ["w00", "w01", "w02"] {
         hold(&mut pool, 1_070, &id.into(), vec![], vec![]);
     }
-    let again = pool.plan(1_080, UNIX);
+    let again = pool.schedule(1_080, UNIX);
     let asked: Vec<_> = again
         .iter()
         .filter_map(|order| match order {
-            Order::Ask(ask) => Some(ask.workers.clone()),
+            Command::Query(ask) => Some(ask.workers.clone()),
             _ => None,
         })
         .collect();
@@ -95,8 +95,8 @@
         1_010,
         job_with_slow_advice("00000000000000a3", 4_000),
     );
-    let orders = pool.plan(1_020, UNIX);
-    let [Order::Ask(ask)] = orders.as_slice() else {
+    let orders = pool.schedule(1_020, UNIX);
+    let [Command::Query(ask)] = orders.as_slice() else {
         panic!("{orders:?}");
     };
     assert_eq!(
@@ -128,7 +128,7 @@
         let id = format!("00000000000000b{at}");
         adopt(&mut pool, 1_010, job_with_slow_advice(&id, 1_000));
     }
-    assert_eq!(pool.plan(1_020, UNIX).len(), 2);
+    assert_eq!(pool.schedule(1_020, UNIX).len(), 2);
 }
 
 /// At most one task of the step may run on a worker, and the workers that the advisor allowed run one each. Queries about the
@@ -144,8 +144,8 @@
         valid: 2_000,
     });
     adopt(&mut pool, 1_000, spread);
-    let orders = pool.plan(1_001, UNIX);
-    let [Order::Ask(first)] = orders.as_slice() else {
+    let orders = pool.schedule(1_001, UNIX);
+    let [Command::Query(first)] = orders.as_slice() else {
         panic!("{orders:?}");
     };
     let rows = vec![(first.workers[0].clone(), "t1".to_owned())];
@@ -155,9 +155,9 @@
     let started = run(&mut pool, 1_060);
     assert_eq!(started.len(), 1);
     hold_all(&mut pool, 3_300, &started);
-    let orders = pool.plan(3_400, UNIX);
+    let orders = pool.schedule(3_400, UNIX);
     for order in &orders {
-        if let Order::Ask(ask) = order {
+        if let Command::Query(ask) = order {
             assert!(!ask.workers.contains(&first.workers[0]), "{ask:?}");
         }
     }
@@ -187,7 +187,7 @@
 /// of the advisor's time, and beside this many long-running tasks that are too large for any worker.
 fn is_queried_beside(too_large: u32) -> bool {
     let mut pool = Pool::new(Options {
-        askers: 4,
+        max_queries: 4,
         ..Options::default()
     });
     list_workers(&mut pool, 8);
@@ -210,15 +210,15 @@
             short.accepted = UNIX + now;
             adopt(&mut pool, now, short);
         }
-        in_flight.retain(|(sent, ask): &(u64, pool::Ask)| {
+        in_flight.retain(|(sent, ask): &(u64, pool::AdvisorQuery)| {
             let due = now - sent >= 300;
             if due {
                 pool.advised(now, ask, Some((&[], 2_000)));
             }
             !due
         });
-        for order in pool.plan(now, UNIX + now) {
-            if let Order::Ask(ask) = order {
+        for order in pool.schedule(now, UNIX + now) {
+            if let Command::Query(ask) = order {
                 if &*ask.stage.job == "00000000000000c0" {
                     return true;
                 }
@@ -234,7 +234,7 @@
 #[test]
 fn concurrent_queries_name_different_workers() {
     let mut pool = Pool::new(Options {
-        askers: 20,
+        max_queries: 20,
         ..Options::default()
     });
     list_workers(&mut pool, 60);
@@ -248,10 +248,10 @@
         adopt(&mut pool, 1_010, advised);
     }
     let asked = pool
-        .plan(1_020, UNIX)
+        .schedule(1_020, UNIX)
         .into_iter()
         .filter_map(|order| match order {
-            Order::Ask(ask) => Some(ask.workers),
+            Command::Query(ask) => Some(ask.workers),
             _ => None,
         });
     let asked: Vec<_> = asked.collect();
--- a/crates/pool/tests/case/mod.rs
+++ b/crates/pool/tests/case/mod.rs
@@ -4,10 +4,12 @@
 
 use std::sync::Arc;
 
-use pool::{Answer, End, How, Job, Listing, News, Options, Order, Pool, Running, Start, WorkerId};
+use pool::{
+    Answer, Command, End, How, Job, Listing, News, Options, Pool, Running, Start, WorkerId,
+};
 use resource::Size;
 
-use crate::world::UNIX;
+use crate::simulation::UNIX;
 
 /// A pool with workers that have answered, at time 1000.
 pub(crate) fn pool(workers: usize) -> Pool {
@@ -28,9 +30,9 @@
             born: 1,
             ..News::default()
         };
-        pool.listed(1_000, id, news);
+        pool.update_worker(1_000, id, news);
     }
-    pool.enroll(&ids);
+    pool.set_stored_roster(&ids);
     for id in &ids {
         hold(pool, 1_000, id, vec![], vec![]);
     }
@@ -71,18 +73,18 @@
     }
 }
 
-pub(crate) fn starts(orders: Vec<Order>) -> Vec<Start> {
+pub(crate) fn starts(orders: Vec<Command>) -> Vec<Start> {
     let start = |order| match order {
-        Order::Start(start) => Some(start),
+        Command::Start(start) => Some(start),
         _ => None,
     };
     orders.into_iter().filter_map(start).collect()
 }
 
-pub(crate) fn stops(orders: &[Order]) -> usize {
+pub(crate) fn stops(orders: &[Command]) -> usize {
     orders
         .iter()
-        .filter(|order| matches!(order, Order::Stop(_)))
+        .filter(|order| matches!(order, Command::Stop(_)))
         .count()
 }
 
@@ -91,7 +93,7 @@
 }
 
 pub(crate) fn run(pool: &mut Pool, now: u64) -> Vec<Start> {
-    let started = starts(pool.plan(now, UNIX + now));
+    let started = starts(pool.schedule(now, UNIX + now));
     for start in &started {
         pool.answered(now + 5, start, Answer::Running);
     }
--- a/crates/pool/tests/crashes.rs
+++ b/crates/pool/tests/crashes.rs
@@ -1,12 +1,12 @@
 //! Tasks that crash the workers which start them: given up after a few crashes, while work beside them goes on.
 
 #[allow(dead_code, reason = "the other test files use the rest")]
-mod world;
+mod simulation;
 
 use pool::{State, WorkerId};
 use rand::Rng as _;
 use resource::Size;
-use world::{World, job};
+use simulation::{Simulation, job};
 
 /// The job whose first task crashes its workers.
 const CRASHER: &str = "00000000000000ff";
@@ -16,29 +16,29 @@
 }
 
 /// A cell with this many workers, one of whose jobs crashes each worker that starts it.
-fn cell(seed: u64, workers: usize, replaces: bool) -> World {
-    let mut world = World::new(seed, workers);
-    world.replaces = replaces;
-    world.take();
-    world.pass(500);
+fn cell(seed: u64, workers: usize, replaces: bool) -> Simulation {
+    let mut world = Simulation::new(seed, workers);
+    world.replace_crashed = replaces;
+    world.start_owner();
+    world.run_for(500);
     world.make_crasher(CRASHER, 1, 0);
     world.accept(job(CRASHER, &[(2, 500, 300), (3, 800, 600)]));
     world
 }
 
 /// Hands in a job of two steps every 300 ms for this many jobs.
-fn hand_in(world: &mut World, jobs: usize) {
+fn hand_in(world: &mut Simulation, jobs: usize) {
     for at in 0..jobs {
         world.accept(job(
             &format!("{at:016}"),
             &[(3, 800, 700), (2, 1_000, 2_500)],
         ));
-        world.pass(300);
+        world.run_for(300);
     }
 }
 
 /// All jobs but the one that crashes its workers are completed.
-fn assert_others_completed(world: &World) {
+fn assert_others_completed(world: &Simulation) {
     let others: Vec<&String> = world.jobs.keys().filter(|id| *id != CRASHER).collect();
     let open: Vec<_> = others
         .into_iter()
@@ -53,8 +53,8 @@
     for seed in 0..10 {
         let mut world = cell(seed, 8, false);
         hand_in(&mut world, 60);
-        world.pass(60_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        world.run_for(60_000);
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.stored(CRASHER), Some(State::Failed), "seed {seed}");
         assert_others_completed(&world);
     }
@@ -66,8 +66,8 @@
     for seed in 20..30 {
         let mut world = cell(seed, 8, true);
         hand_in(&mut world, 60);
-        world.pass(60_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        world.run_for(60_000);
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.stored(CRASHER), Some(State::Failed), "seed {seed}");
         assert_others_completed(&world);
     }
@@ -84,17 +84,17 @@
                 &[(3, 800, 700), (2, 1_000, 2_500)],
             ));
             let time = world.rng.random_range(300..900);
-            world.pass(time);
-            world.weather.store = world.rng.random_bool(0.8);
+            world.run_for(time);
+            world.conditions.store_up = world.rng.random_bool(0.8);
             if world.rng.random_bool(0.1) {
                 let last = world.owners.len() - 1;
-                world.owners[last].over = true;
-                world.take();
+                world.owners[last].stopped = true;
+                world.start_owner();
             }
         }
-        world.weather.store = true;
-        world.pass(80_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        world.conditions.store_up = true;
+        world.run_for(80_000);
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.stored(CRASHER), Some(State::Failed), "seed {seed}");
         assert_others_completed(&world);
     }
@@ -107,33 +107,33 @@
         let mut world = cell(seed, 8, seed % 2 == 0);
         let mut crashes = 0;
         for _ in 0..60_000 {
-            world.pass(5);
+            world.run_for(5);
             let seen: u32 = world.crashers.values().map(|it| it.crashes).sum();
             if seen > crashes {
                 crashes = seen;
-                world.pass(300);
+                world.run_for(300);
                 let last = world.owners.len() - 1;
-                world.owners[last].over = true;
-                world.take();
+                world.owners[last].stopped = true;
+                world.start_owner();
             }
         }
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.stored(CRASHER), Some(State::Failed), "seed {seed}");
     }
 }
 
 /// Jobs that have failed.
-fn failed(world: &World) -> Vec<&String> {
+fn failed(world: &Simulation) -> Vec<&String> {
     let jobs = world.jobs.keys();
     jobs.filter(|id| world.stored(id) == Some(State::Failed))
         .collect()
 }
 
 /// Whole racks crash at random, four of twelve workers at once, after pauses of at least this long.
-fn crash_racks(seed: u64, pause: u64) -> World {
-    let mut world = World::new(seed, 12);
-    world.take();
-    world.pass(500);
+fn crash_racks(seed: u64, pause: u64) -> Simulation {
+    let mut world = Simulation::new(seed, 12);
+    world.start_owner();
+    world.run_for(500);
     let mut next = world.now;
     for at in 0..80 {
         world.accept(job(
@@ -141,7 +141,7 @@
             &[(3, 800, 700), (2, 1_000, 6_000)],
         ));
         let time = world.rng.random_range(100..500);
-        world.pass(time);
+        world.run_for(time);
         if world.now >= next && world.rng.random_bool(0.06) {
             next = world.now + pause;
             let first = world.rng.random_range(0..3) * 4;
@@ -151,7 +151,7 @@
             }
         }
     }
-    world.pass(120_000);
+    world.run_for(120_000);
     world
 }
 
@@ -160,7 +160,7 @@
 fn tasks_on_racks_that_crash_by_themselves_are_not_given_up() {
     for seed in 80..90 {
         let world = crash_racks(seed, 8_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_others_completed(&world);
     }
 }
@@ -170,7 +170,7 @@
 fn tasks_are_given_up_only_after_workers_crashed_under_them() {
     for seed in 80..90 {
         let world = crash_racks(seed, 0);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), 0, "seed {seed}");
         for id in failed(&world) {
             let crashes = world.crashed_under.iter();
@@ -185,17 +185,17 @@
 #[test]
 fn a_worker_whose_room_has_shrunk_gets_nothing_beyond_it() {
     for seed in 120..130 {
-        let mut world = World::new(seed, 8);
-        world.weather.late = 0.02;
-        world.take();
-        world.pass(500);
+        let mut world = Simulation::new(seed, 8);
+        world.conditions.lost_answer_rate = 0.02;
+        world.start_owner();
+        world.run_for(500);
         for at in 0..80 {
             world.accept(job(
                 &format!("{at:016}"),
                 &[(4, 900, 700), (2, 1_000, 5_000)],
             ));
             let time = world.rng.random_range(50..400);
-            world.pass(time);
+            world.run_for(time);
             if world.rng.random_bool(0.3) {
                 let victim = id(world.rng.random_range(0..8));
                 let room = [1_000, 2_500, 4_000][world.rng.random_range(0..3)];
@@ -203,16 +203,16 @@
             }
             if world.rng.random_bool(0.05) {
                 let last = world.owners.len() - 1;
-                world.owners[last].over = true;
-                world.take();
+                world.owners[last].stopped = true;
+                world.start_owner();
             }
         }
         for victim in 0..8 {
             world.resize(&id(victim), Size::new(4_000, 10_000, 0));
         }
-        world.weather.late = 0.0;
-        world.pass(120_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        world.conditions.lost_answer_rate = 0.0;
+        world.run_for(120_000);
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_others_completed(&world);
     }
 }
--- a/crates/pool/tests/late_holds.rs
+++ b/crates/pool/tests/late_holds.rs
@@ -3,11 +3,11 @@
 #[allow(dead_code, reason = "other test files use the rest")]
 mod case;
 #[allow(dead_code, reason = "other test files use the rest")]
-mod world;
+mod simulation;
 
 use case::{adopt, hold, pool, run};
 use pool::Listing;
-use world::{UNIX, job};
+use simulation::{UNIX, job};
 
 /// A worker lists what ran before a start reached it, and that answer is on its way for longer than a run may be missing. The
 /// run was taken as over and started a second time beside the first.
--- a/crates/pool/tests/losses.rs
+++ b/crates/pool/tests/losses.rs
@@ -3,11 +3,11 @@
 #[allow(dead_code, reason = "the other test files use the rest")]
 mod case;
 #[allow(dead_code, reason = "the other test files use the rest")]
-mod world;
+mod simulation;
 
 use case::{adopt, hold_all, pool, run};
 use pool::{Listing, Loss, Pool};
-use world::{UNIX, job};
+use simulation::{UNIX, job};
 
 fn restart(pool: &mut Pool, now: u64, id: &str) {
     let listing = Listing {
@@ -38,7 +38,7 @@
     assert_eq!(lost[0].loss, Loss::Restarted);
     assert_eq!(lost[0].survived, 1_500);
     assert!(lost[0].confirmed);
-    drop(pool.plan(20_000, UNIX + 20_000));
+    drop(pool.schedule(20_000, UNIX + 20_000));
     let lost = pool.take_lost_runs();
     assert_eq!(lost.len(), 1);
     assert_eq!(lost[0].loss, Loss::Lapsed);
--- a/crates/pool/tests/lost_answers.rs
+++ b/crates/pool/tests/lost_answers.rs
@@ -6,17 +6,17 @@
 #[allow(dead_code, reason = "other test files use the rest")]
 mod case;
 #[allow(dead_code, reason = "other test files use the rest")]
-mod world;
+mod simulation;
 
 use case::{adopt, pool, starts};
 use pool::{Answer, Ms, Pool, Start};
-use world::{UNIX, World, job};
+use simulation::{Simulation, UNIX, job};
 
 /// Plans every 5 ms from `from` to `to`; when each order to start was given.
 fn orders(pool: &mut Pool, from: Ms, to: Ms) -> Vec<(Ms, Start)> {
     let mut given = Vec::new();
     for now in (from..to).step_by(5) {
-        let planned = starts(pool.plan(now, UNIX + now));
+        let planned = starts(pool.schedule(now, UNIX + now));
         given.extend(planned.into_iter().map(|start| (now, start)));
     }
     given
@@ -73,16 +73,16 @@
 /// of a worker takes 10 ms, so one lost order may cost some 100 ms of the objective of a job.
 #[test]
 fn lost_orders_cost_quick_jobs_little() {
-    let mut world = World::new(7, 20);
-    world.weather.late = 0.065;
-    world.take();
-    world.pass(200);
+    let mut world = Simulation::new(7, 20);
+    world.conditions.lost_answer_rate = 0.065;
+    world.start_owner();
+    world.run_for(200);
     for at in 0..60 {
         world.accept(job(&format!("000000000000q{at:03}"), &[(10, 100, 600)]));
-        world.pass(50);
+        world.run_for(50);
     }
-    world.pass(4_000);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
-    let late = world.late(850);
+    world.run_for(4_000);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
+    let late = world.count_late(850);
     assert!(late <= 3, "{late} of 60 took over 850 ms");
 }
--- a/crates/pool/tests/schedules.rs
+++ b/crates/pool/tests/owner_changes.rs
@@ -1,18 +1,18 @@
 //! Changes of owner on a simulated cell: no task runs twice, no worker's capacity is exceeded, and no job is lost.
 
 #[allow(dead_code, reason = "the other test file uses the rest")]
-mod world;
+mod simulation;
 
 use pool::{State, WorkerId};
 use rand::Rng as _;
-use world::{World, job};
+use simulation::{Simulation, job};
 
 fn id(at: usize) -> WorkerId {
     format!("w{at:02}").into()
 }
 
 /// A worker that has runs, as far as the first owner knows.
-fn busy_worker(world: &World) -> WorkerId {
+fn busy_worker(world: &Simulation) -> WorkerId {
     let mut workers = world.owners[0].pool.workers();
     let busy = workers.find(|worker| worker.free().millicores < 4_000);
     busy.expect("a task runs").id.clone()
@@ -22,17 +22,17 @@
 /// runs and starts them again: callers would see their work done twice, and workers would run more than their capacity.
 #[test]
 fn runs_continue_under_a_new_owner() {
-    let mut world = World::new(1, 6);
-    world.take();
-    world.pass(500);
+    let mut world = Simulation::new(1, 6);
+    world.start_owner();
+    world.run_for(500);
     for at in 0..6 {
         world.accept(job(&format!("{at:016}"), &[(4, 1_000, 3_000)]));
     }
-    world.pass(1_000);
-    world.owners[0].over = true;
-    world.take();
-    world.pass(5_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.run_for(1_000);
+    world.owners[0].stopped = true;
+    world.start_owner();
+    world.run_for(5_000);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.starts, 24, "nothing was started a second time");
     assert_eq!(world.unfinished(), 0);
 }
@@ -41,11 +41,11 @@
 /// while it can't reach the worker that runs it: starting the job elsewhere would run it twice.
 #[test]
 fn a_job_known_only_to_the_former_owner_waits_for_its_worker() {
-    let mut world = World::new(2, 5);
-    world.take();
-    world.pass(500);
+    let mut world = Simulation::new(2, 5);
+    world.start_owner();
+    world.run_for(500);
     world.accept(job("00000000000000aa", &[(1, 1_000, 4_000)]));
-    world.pass(100);
+    world.run_for(100);
     let job = world
         .jobs
         .remove("00000000000000aa")
@@ -57,15 +57,15 @@
             .worker(&id(at))
             .is_some_and(|worker| worker.free().millicores < 4_000)
         {
-            world.cut(&id(at), 2);
+            world.disconnect(&id(at), 2);
         }
     }
-    world.owners[0].frozen = u64::MAX;
-    world.take();
-    world.pass(300);
-    world.tell(&job);
-    world.pass(16_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.owners[0].paused_until = u64::MAX;
+    world.start_owner();
+    world.run_for(300);
+    world.publish(&job);
+    world.run_for(16_000);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.stored("00000000000000aa"), Some(State::Completed));
 }
 
@@ -74,26 +74,26 @@
 /// former owner, which is still running but cut off from most workers, must not start them.
 #[test]
 fn a_job_accepted_for_the_new_owner_waits_for_no_worker_of_the_former() {
-    let mut world = World::new(9, 6);
-    world.take();
-    world.pass(500);
+    let mut world = Simulation::new(9, 6);
+    world.start_owner();
+    world.run_for(500);
     world.accept(job("00000000000000aa", &[(6, 1_000, 3_000)]));
-    world.pass(100);
-    world.cut(&id(0), 2);
+    world.run_for(100);
+    world.disconnect(&id(0), 2);
     for at in 1..6 {
-        world.cut(&id(at), 1);
+        world.disconnect(&id(at), 1);
     }
-    world.take();
-    world.pass(200);
+    world.start_owner();
+    world.run_for(200);
     world.accept(job("00000000000000bb", &[(3, 1_000, 500)]));
-    world.pass(1_500);
+    world.run_for(1_500);
     assert_eq!(world.stored("00000000000000bb"), Some(State::Completed));
     assert!(
         !world.owners[1].pool.unseen().is_empty(),
         "the former owner's worker has still not answered"
     );
-    world.pass(16_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.run_for(16_000);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), 0);
 }
 
@@ -102,20 +102,20 @@
 #[test]
 fn a_paused_owner_that_resumes_starts_nothing() {
     for seed in 0..20 {
-        let mut world = World::new(seed, 6);
-        world.take();
-        world.pass(500);
+        let mut world = Simulation::new(seed, 6);
+        world.start_owner();
+        world.run_for(500);
         for at in 0..30 {
             world.accept(job(&format!("{at:016}"), &[(3, 900, 700), (2, 900, 700)]));
             let time = world.rng.random_range(5..60);
-            world.pass(time);
+            world.run_for(time);
         }
-        world.owners[0].frozen = world.now + 4_000;
-        world.pass(1_200);
-        world.cut(&id(0), 2);
-        world.take();
-        world.pass(25_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        world.owners[0].paused_until = world.now + 4_000;
+        world.run_for(1_200);
+        world.disconnect(&id(0), 2);
+        world.start_owner();
+        world.run_for(25_000);
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), 0, "seed {seed}: {}", world.report());
     }
 }
@@ -125,20 +125,20 @@
 #[test]
 fn a_job_that_becomes_known_after_its_runs_is_not_started_again() {
     for pause in [30, 400] {
-        let mut world = World::new(9, 3);
-        world.take();
-        world.pass(500);
+        let mut world = Simulation::new(9, 3);
+        world.start_owner();
+        world.run_for(500);
         let job = job("00000000000000dd", &[(2, 500, 200)]);
         world.accept(job.clone());
-        world.pass(30);
+        world.run_for(30);
         assert_eq!(world.starts, 2);
         world.jobs.clear();
-        world.owners[0].over = true;
-        world.take();
-        world.pass(pause);
+        world.owners[0].stopped = true;
+        world.start_owner();
+        world.run_for(pause);
         world.accept(job);
-        world.pass(2_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "after {pause} ms");
+        world.run_for(2_000);
+        assert_eq!(world.violations, Vec::<String>::new(), "after {pause} ms");
         assert_eq!(world.starts, 2, "after {pause} ms");
         assert_eq!(world.unfinished(), 0);
     }
@@ -150,18 +150,18 @@
 #[test]
 fn a_worker_that_answers_nothing_keeps_no_lease_that_the_owner_does_not_know() {
     for mute in [4_000, 12_000, 20_000] {
-        let mut world = World::new(10, 4);
-        world.take();
-        world.pass(500);
+        let mut world = Simulation::new(10, 4);
+        world.start_owner();
+        world.run_for(500);
         for at in 0..4 {
             world.accept(job(&format!("{at:016}"), &[(2, 1_000, 15_000)]));
         }
-        world.pass(300);
+        world.run_for(300);
         world.mute = [id(0), id(1)].into();
-        world.pass(mute);
+        world.run_for(mute);
         world.mute.clear();
-        world.pass(40_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "mute for {mute} ms");
+        world.run_for(40_000);
+        assert_eq!(world.violations, Vec::<String>::new(), "mute for {mute} ms");
         assert_eq!(world.unfinished(), 0, "mute for {mute} ms");
     }
 }
@@ -170,20 +170,20 @@
 /// worker's lease: the new one waits until it has expired, then starts the tasks elsewhere.
 #[test]
 fn an_owner_without_a_majority_renews_no_lease() {
-    let mut world = World::new(11, 4);
-    world.take();
-    world.pass(500);
+    let mut world = Simulation::new(11, 4);
+    world.start_owner();
+    world.run_for(500);
     for at in 0..4 {
         world.accept(job(&format!("{at:016}"), &[(2, 1_000, 15_000)]));
     }
-    world.pass(300);
+    world.run_for(300);
     for at in 1..4 {
-        world.cut(&id(at), 1);
+        world.disconnect(&id(at), 1);
     }
-    world.cut(&id(0), 2);
-    world.take();
-    world.pass(50_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.disconnect(&id(0), 2);
+    world.start_owner();
+    world.run_for(50_000);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), 0);
 }
 
@@ -191,28 +191,28 @@
 /// stored list of runs that may be there: other jobs go on at once, and only the long task waits for the lease.
 #[test]
 fn a_worker_that_was_unreachable_before_holds_back_only_its_own_tasks() {
-    let mut world = World::new(3, 6);
-    world.take();
-    world.pass(500);
+    let mut world = Simulation::new(3, 6);
+    world.start_owner();
+    world.run_for(500);
     for at in 0..6 {
         world.accept(job(&format!("{at:016}"), &[(1, 3_000, 30_000)]));
     }
-    world.pass(200);
+    world.run_for(200);
     for epoch in 1..3 {
-        world.cut(&id(0), epoch);
+        world.disconnect(&id(0), epoch);
     }
-    world.pass(2_500);
+    world.run_for(2_500);
     for at in 1..6 {
         world.crash(&id(at), 0);
     }
-    world.pass(200);
-    world.owners[0].over = true;
+    world.run_for(200);
+    world.owners[0].stopped = true;
     world.accept(job("00000000000000bb", &[(2, 100, 300)]));
-    world.take();
-    world.pass(1_500);
+    world.start_owner();
+    world.run_for(1_500);
     assert_eq!(world.stored("00000000000000bb"), Some(State::Completed));
-    world.pass(60_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.run_for(60_000);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), 0);
 }
 
@@ -220,16 +220,16 @@
 /// with the owner's row since it began to drain, so the new owner starts all other inherited jobs at once.
 #[test]
 fn a_draining_worker_does_not_delay_a_new_owner() {
-    let mut world = World::new(6, 4);
-    world.take();
-    world.pass(500);
+    let mut world = Simulation::new(6, 4);
+    world.start_owner();
+    world.run_for(500);
     for at in 0..4 {
         world.accept(job(
             &format!("{at:016}"),
             &[(1, 3_000, 1_500), (1, 500, 200)],
         ));
     }
-    world.pass(300);
+    world.run_for(300);
     let mut news = world.owners[0]
         .pool
         .worker("w00")
@@ -238,21 +238,21 @@
         .clone();
     news.draining = Some(2_000);
     let now = world.now;
-    world.owners[0].pool.listed(now, &id(0), news);
-    world.pass(100);
+    world.owners[0].pool.update_worker(now, &id(0), news);
+    world.run_for(100);
     for epoch in 1..3 {
-        world.cut(&id(0), epoch);
+        world.disconnect(&id(0), epoch);
     }
-    world.owners[0].over = true;
-    world.take();
-    world.pass(3_000);
+    world.owners[0].stopped = true;
+    world.start_owner();
+    world.run_for(3_000);
     assert_eq!(
         world.unfinished(),
         1,
         "all but the job on the worker that left"
     );
-    world.pass(12_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.run_for(12_000);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), 0);
 }
 
@@ -261,15 +261,15 @@
 #[test]
 fn late_commands_crashes_and_changes_of_owner_together() {
     for seed in 100..130 {
-        let mut world = World::new(seed, 8);
-        world.weather.late = 0.05;
-        world.weather.fails = 0.02;
-        world.take();
-        world.pass(500);
+        let mut world = Simulation::new(seed, 8);
+        world.conditions.lost_answer_rate = 0.05;
+        world.conditions.failure_rate = 0.02;
+        world.start_owner();
+        world.run_for(500);
         for at in 0..60 {
             world.accept(job(&format!("{at:016}"), &[(4, 800, 600), (2, 1_500, 900)]));
             let time = world.rng.random_range(20..200);
-            world.pass(time);
+            world.run_for(time);
             if world.rng.random_bool(0.05) {
                 let victim = id(world.rng.random_range(0..8));
                 let time = world.rng.random_range(200..4_000);
@@ -278,20 +278,20 @@
             if world.rng.random_bool(0.04) {
                 let last = world.owners.len() - 1;
                 let pause = world.rng.random_range(0..3_000);
-                world.owners[last].frozen = world.now + pause;
+                world.owners[last].paused_until = world.now + pause;
                 let epoch = world.owners.len() as u64 + 1;
                 if world.rng.random_bool(0.5) {
                     let victim = id(world.rng.random_range(0..8));
-                    world.cut(&victim, epoch);
+                    world.disconnect(&victim, epoch);
                 }
-                world.take();
+                world.start_owner();
             }
-            world.weather.store = world.rng.random_bool(0.8);
+            world.conditions.store_up = world.rng.random_bool(0.8);
         }
-        world.weather.store = true;
-        world.weather.late = 0.0;
-        world.pass(40_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        world.conditions.store_up = true;
+        world.conditions.lost_answer_rate = 0.0;
+        world.run_for(40_000);
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), 0, "seed {seed}: {}", world.report());
     }
 }
@@ -301,17 +301,17 @@
 /// the work done twice.
 #[test]
 fn an_end_that_is_not_stored_is_not_reported() {
-    let mut world = World::new(4, 3);
-    world.take();
-    world.pass(500);
+    let mut world = Simulation::new(4, 3);
+    world.start_owner();
+    world.run_for(500);
     world.accept(job("00000000000000cc", &[(1, 1_000, 300)]));
-    world.pass(50);
-    world.weather.store = false;
-    world.pass(600);
+    world.run_for(50);
+    world.conditions.store_up = false;
+    world.run_for(600);
     let pool = &world.owners[0].pool;
     assert_eq!(pool.state("00000000000000cc"), Some(State::Running));
-    world.weather.store = true;
-    world.pass(100);
+    world.conditions.store_up = true;
+    world.run_for(100);
     let pool = &world.owners[0].pool;
     assert_eq!(pool.state("00000000000000cc"), Some(State::Completed));
 }
@@ -320,9 +320,9 @@
 /// left alone. Known jobs don't wait for them, even if a worker has listed an end of an unknown job before theirs.
 #[test]
 fn known_jobs_do_not_wait_for_unknown_ones() {
-    let mut world = World::new(11, 4);
-    world.take();
-    world.pass(500);
+    let mut world = Simulation::new(11, 4);
+    world.start_owner();
+    world.run_for(500);
     for at in 0..4 {
         world.accept(job(
             &format!("{at:016}"),
@@ -333,20 +333,20 @@
             &[(2, 1_000, 700), (2, 1_000, 500)],
         ));
     }
-    world.pass(300);
-    world.weather.store = false;
+    world.run_for(300);
+    world.conditions.store_up = false;
     let hidden: Vec<_> = (0..4)
         .map(|at| {
             let id = format!("{at:016}");
             world.jobs.remove(&id).expect("it was accepted")
         })
         .collect();
-    world.owners[0].over = true;
-    world.take();
+    world.owners[0].stopped = true;
+    world.start_owner();
     let now = world.now;
     world.owners[1].pool.set_partial(now, true);
-    world.weather.store = true;
-    world.pass(5_000);
+    world.conditions.store_up = true;
+    world.run_for(5_000);
     for at in 10..14 {
         assert_eq!(world.stored(&format!("{at:016}")), Some(State::Completed));
     }
@@ -356,12 +356,12 @@
         "all tasks of the known jobs, and the first steps of the others"
     );
     for job in &hidden {
-        world.tell(job);
+        world.publish(job);
     }
     let now = world.now;
     world.owners[1].pool.set_partial(now, false);
-    world.pass(5_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.run_for(5_000);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), 0);
     assert_eq!(world.starts, 32, "nothing was started a second time");
 }
@@ -370,22 +370,22 @@
 /// unreachable worker with runs that were lost and started elsewhere since.
 #[test]
 fn runs_elsewhere_override_an_outdated_list_of_unreachable_workers() {
-    let mut world = World::new(12, 5);
-    world.take();
-    world.pass(500);
+    let mut world = Simulation::new(12, 5);
+    world.start_owner();
+    world.run_for(500);
     world.accept(job("00000000000000ee", &[(2, 1_000, 9_000)]));
-    world.pass(200);
+    world.run_for(200);
     let lost = busy_worker(&world);
     world.crash(&lost, 2_500);
-    world.pass(2_000);
-    world.weather.store = false;
-    world.pass(2_000);
+    world.run_for(2_000);
+    world.conditions.store_up = false;
+    world.run_for(2_000);
     assert_eq!(world.starts, 4, "both run elsewhere");
-    world.owners[0].over = true;
-    world.take();
-    world.weather.store = true;
-    world.pass(20_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.owners[0].stopped = true;
+    world.start_owner();
+    world.conditions.store_up = true;
+    world.run_for(20_000);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.starts, 4);
     assert_eq!(world.unfinished(), 0);
 }
@@ -394,29 +394,29 @@
 /// is lost, and is then lost itself.
 #[test]
 fn a_job_whose_tasks_are_all_done_is_completed_by_the_next_owner() {
-    let mut world = World::new(13, 4);
-    world.take();
-    world.pass(500);
+    let mut world = Simulation::new(13, 4);
+    world.start_owner();
+    world.run_for(500);
     world.accept(job("00000000000000ee", &[(1, 1_000, 3_000)]));
-    world.pass(200);
+    world.run_for(200);
     let lost = busy_worker(&world);
     for epoch in 1..10 {
-        world.cut(&lost, epoch);
+        world.disconnect(&lost, epoch);
     }
-    world.pass(2_500);
-    world.weather.store = false;
-    world.pass(9_500);
-    world.owners[0].over = true;
-    world.take();
-    world.weather.store = true;
-    world.pass(300);
+    world.run_for(2_500);
+    world.conditions.store_up = false;
+    world.run_for(9_500);
+    world.owners[0].stopped = true;
+    world.start_owner();
+    world.conditions.store_up = true;
+    world.run_for(300);
     assert_eq!(
         world.starts, 2,
         "the task was started elsewhere, and is done"
     );
-    world.owners[1].over = true;
-    world.take();
-    world.pass(20_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.owners[1].stopped = true;
+    world.start_owner();
+    world.run_for(20_000);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.stored("00000000000000ee"), Some(State::Completed));
 }
--- a/crates/pool/tests/policies.rs
+++ b/crates/pool/tests/policies.rs
@@ -3,14 +3,14 @@
 #[allow(dead_code, reason = "other test files use the rest")]
 mod case;
 #[allow(dead_code, reason = "other test files use the rest")]
-mod world;
+mod simulation;
 
 use case::{adopt, end, hold, hold_all, pool, run, starts, stops};
-use pool::pace::Tempo;
-use pool::rank::{Claim, rank};
-use pool::{Answer, How, News, Order, Pool, State, WorkerId};
+use pool::pace::PaceController;
+use pool::rank::{RankInput, rank};
+use pool::{Answer, Command, How, News, Pool, State, WorkerId};
 use resource::Size;
-use world::{UNIX, World, job};
+use simulation::{Simulation, UNIX, job};
 
 /// A burst of quick jobs arrives just after a long report. In order of arrival the report would take the capacity, and all
 /// quick jobs would be late; by rank the quick jobs go first.
@@ -38,13 +38,13 @@
 #[test]
 fn work_without_value_goes_last() {
     let claim = |priority, age| {
-        rank(&Claim {
+        rank(&RankInput {
             priority,
             age,
             objective: 1_000,
             chain: 500,
             work: 10,
-            lasting: false,
+            long_running: false,
         })
     };
     assert!(claim(0, 2_600) > claim(2, 0));
@@ -83,11 +83,11 @@
     let mut gang = job("00000000000000g2", &[(3, 1_000, 1_000)]);
     gang.steps[0].gang = true;
     adopt(&mut pool, 1_000, gang);
-    let started = starts(pool.plan(1_001, UNIX));
+    let started = starts(pool.schedule(1_001, UNIX));
     pool.answered(1_005, &started[0], Answer::Running);
     pool.answered(1_005, &started[1], Answer::Room);
     pool.answered(1_006, &started[2], Answer::Running);
-    assert_eq!(stops(&pool.plan(1_010, UNIX)), 2);
+    assert_eq!(stops(&pool.schedule(1_010, UNIX)), 2);
 }
 
 /// Steps run in the order of their dependencies; labels, the rack of the data and the limit per worker are respected.
@@ -219,12 +219,12 @@
             .news
             .clone();
         news.draining = Some(3_000);
-        pool.listed(now, &"w00".into(), news);
+        pool.update_worker(now, &"w00".into(), news);
     };
     drain(&mut pool, 1_100);
     hold_all(&mut pool, 1_200, &runs);
     assert_eq!(
-        stops(&pool.plan(1_300, UNIX)),
+        stops(&pool.schedule(1_300, UNIX)),
         0,
         "there is no other worker"
     );
@@ -234,23 +234,23 @@
         born: 1,
         ..News::default()
     };
-    pool.listed(1_300, &"w01".into(), news);
-    pool.enroll(&["w00".into(), "w01".into()]);
+    pool.update_worker(1_300, &"w01".into(), news);
+    pool.set_stored_roster(&["w00".into(), "w01".into()]);
     hold_all(&mut pool, 1_400, &runs);
     assert_eq!(
-        stops(&pool.plan(1_600, UNIX)),
+        stops(&pool.schedule(1_600, UNIX)),
         1,
         "the long-running task is stopped"
     );
     for now in [2_000, 2_600, 3_100] {
         hold_all(&mut pool, now, &runs);
     }
-    let orders = pool.plan(3_200, UNIX);
+    let orders = pool.schedule(3_200, UNIX);
     let with_checkpoints = orders.iter().any(
-        |order| matches!(order, Order::Stop(stop) if &*stop.task.stage.job == "00000000000000v1"),
+        |order| matches!(order, Command::Stop(stop) if &*stop.task.stage.job == "00000000000000v1"),
     );
     let plain = orders.iter().any(
-        |order| matches!(order, Order::Stop(stop) if &*stop.task.stage.job == "00000000000000p1"),
+        |order| matches!(order, Command::Stop(stop) if &*stop.task.stage.job == "00000000000000p1"),
     );
     assert!(with_checkpoints && !plain);
 }
@@ -259,23 +259,23 @@
 /// the target is exceeded, are paused if that is not enough, and speed up again only after the ratio has stayed low.
 #[test]
 fn best_effort_tasks_are_slowed_down_in_time() {
-    let mut tempo = Tempo::default();
+    let mut tempo = PaceController::default();
     let worker: WorkerId = "w".into();
-    assert_eq!(tempo.share(1_000, &worker, 0.3), 100);
-    assert_eq!(tempo.share(1_200, &worker, 0.9), 25);
+    assert_eq!(tempo.update(1_000, &worker, 0.3), 100);
+    assert_eq!(tempo.update(1_200, &worker, 0.9), 25);
     assert_eq!(
-        tempo.share(1_400, &worker, 1.2),
+        tempo.update(1_400, &worker, 1.2),
         25,
         "a reading covers half a second"
     );
-    assert_eq!(tempo.share(2_000, &worker, 1.2), 0);
+    assert_eq!(tempo.update(2_000, &worker, 1.2), 0);
     assert_eq!(
-        tempo.share(3_000, &worker, 0.3),
+        tempo.update(3_000, &worker, 0.3),
         0,
         "the ratio has not been low for long enough"
     );
     let mut now = 3_000;
-    while tempo.share(now, &worker, 0.3) < 100 {
+    while tempo.update(now, &worker, 0.3) < 100 {
         now += 200;
         assert!(now < 30_000, "the pace returns to 100%");
     }
@@ -286,16 +286,16 @@
 /// time, so that few attempts are spent there.
 #[test]
 fn a_worker_that_fails_every_task_is_detected_soon() {
-    let mut world = World::new(5, 4);
-    world.take();
-    world.pass(500);
-    world.bad.insert("w00".into());
+    let mut world = Simulation::new(5, 4);
+    world.start_owner();
+    world.run_for(500);
+    world.faulty.insert("w00".into());
     for at in 0..40 {
         world.accept(job(&format!("{at:016}"), &[(2, 500, 200)]));
-        world.pass(60);
+        world.run_for(60);
     }
-    world.pass(8_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.run_for(8_000);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), 0);
     assert!(
         world.failures <= 10,
@@ -332,7 +332,7 @@
             .iter()
             .find(|start| &*start.task.stage.job == job)
             .expect("both run");
-        pool.gather(&start.worker)
+        pool.poll_delay(&start.worker)
     };
     assert_eq!(
         (gather("00000000000000h1"), gather("00000000000000h2")),
--- a/crates/pool/tests/world/mod.rs
+++ b/crates/pool/tests/simulation/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use pool::{
-    Answer, End, Job, Listing, Ms, News, Options, Order, Policy, Pool, Progress, Start, State,
+    Answer, Command, End, Job, Listing, Ms, News, Options, Policy, Pool, Progress, Start, State,
     Step, Stop, StopAnswer, TaskKey, WorkerId,
 };
 use rand::{Rng as _, SeedableRng as _};
@@ -35,7 +35,7 @@
 
 /// A simulated worker.
 #[derive(Debug, Default)]
-pub(crate) struct Machine {
+pub(crate) struct SimWorker {
     born: u64,
     epoch: u64,
     lease: Ms,
@@ -44,7 +44,7 @@
     ended: Vec<End>,
     ends: u64,
     /// Owners with these epochs can't reach it.
-    pub(crate) cut: BTreeSet<u64>,
+    pub(crate) disconnected_owners: BTreeSet<u64>,
     /// It is down until this time.
     pub(crate) down: Ms,
     /// Its capacity and since when, if it differs from the default.
@@ -70,40 +70,40 @@
     pub(crate) epoch: u64,
     pub(crate) pool: Pool,
     /// It is paused until this time.
-    pub(crate) frozen: Ms,
-    pub(crate) over: bool,
+    pub(crate) paused_until: Ms,
+    pub(crate) stopped: bool,
 }
 
 /// Conditions of the simulation.
 #[derive(Clone, Debug)]
-pub(crate) struct Weather {
+pub(crate) struct Conditions {
     /// Share of start commands that get no answer and are carried out late.
-    pub(crate) late: f64,
+    pub(crate) lost_answer_rate: f64,
     /// Share of runs that fail.
-    pub(crate) fails: f64,
+    pub(crate) failure_rate: f64,
     /// Whether the store is available.
-    pub(crate) store: bool,
+    pub(crate) store_up: bool,
 }
 
 /// A simulated cell.
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) now: Ms,
     pub(crate) rng: ChaCha8Rng,
-    pub(crate) machines: BTreeMap<WorkerId, Machine>,
+    pub(crate) workers: BTreeMap<WorkerId, SimWorker>,
     pub(crate) owners: Vec<Owner>,
-    pub(crate) weather: Weather,
+    pub(crate) conditions: Conditions,
     pub(crate) jobs: BTreeMap<String, Arc<Job>>,
     stored: BTreeMap<String, Progress>,
     roster: Vec<WorkerId>,
     silent: Vec<pool::Silent>,
-    mail: Vec<(Ms, Message)>,
-    noted: BTreeSet<TaskKey>,
-    pub(crate) broken: Vec<String>,
+    in_transit: Vec<(Ms, Message)>,
+    stored_ends: BTreeSet<TaskKey>,
+    pub(crate) violations: Vec<String>,
     pub(crate) starts: usize,
     /// Workers that carry out commands and polls but whose listings are lost.
     pub(crate) mute: BTreeSet<WorkerId>,
     /// Workers on which every run fails.
-    pub(crate) bad: BTreeSet<WorkerId>,
+    pub(crate) faulty: BTreeSet<WorkerId>,
     /// Number of runs on them.
     pub(crate) failures: usize,
     room: Size,
@@ -112,7 +112,7 @@
     /// Number of workers that crashed while they ran a task, whatever the cause.
     pub(crate) crashed_under: BTreeMap<TaskKey, u32>,
     /// Whether workers that are crashed by a task come back under another id.
-    pub(crate) replaces: bool,
+    pub(crate) replace_crashed: bool,
 }
 
 /// A job with these steps: number of tasks, millicores and duration in milliseconds of each task.
@@ -143,14 +143,14 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(seed: u64, workers: usize) -> Self {
         let room = Size::new(4_000, 10_000, 0);
         let machines = (0..workers)
             .map(|at| {
-                let machine = Machine {
+                let machine = SimWorker {
                     born: 1,
-                    ..Machine::default()
+                    ..SimWorker::default()
                 };
                 (format!("w{at:02}").into(), machine)
             })
@@ -158,28 +158,28 @@
         Self {
             now: 1_000_000,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            machines,
+            workers: machines,
             owners: Vec::new(),
-            weather: Weather {
-                late: 0.0,
-                fails: 0.0,
-                store: true,
+            conditions: Conditions {
+                lost_answer_rate: 0.0,
+                failure_rate: 0.0,
+                store_up: true,
             },
             jobs: BTreeMap::new(),
             stored: BTreeMap::new(),
             roster: Vec::new(),
             silent: Vec::new(),
-            mail: Vec::new(),
-            noted: BTreeSet::new(),
-            broken: Vec::new(),
+            in_transit: Vec::new(),
+            stored_ends: BTreeSet::new(),
+            violations: Vec::new(),
             starts: 0,
             mute: BTreeSet::new(),
-            bad: BTreeSet::new(),
+            faulty: BTreeSet::new(),
             failures: 0,
             room,
             crashers: BTreeMap::new(),
             crashed_under: BTreeMap::new(),
-            replaces: false,
+            replace_crashed: false,
         }
     }
 
@@ -189,36 +189,36 @@
 
     /// The clock of a worker. It differs from the owners' clock, and changes with each incarnation.
     fn clock(&self, id: &WorkerId) -> Ms {
-        self.now - 900_000 + self.machines[id].born * 7
+        self.now - 900_000 + self.workers[id].born * 7
     }
 
     /// Starts a new owner, which takes over the pool.
-    pub(crate) fn take(&mut self) {
+    pub(crate) fn start_owner(&mut self) {
         let epoch = self.owners.len() as u64 + 1;
         let mut pool = Pool::new(Options {
             epoch,
             ..Options::default()
         });
-        for (id, machine) in self.machines.iter().filter(|(_, it)| it.down < Ms::MAX) {
-            pool.listed(self.now, id, self.news(id, machine));
+        for (id, machine) in self.workers.iter().filter(|(_, it)| it.down < Ms::MAX) {
+            pool.update_worker(self.now, id, self.worker_info(id, machine));
         }
         for job in self.jobs.values() {
             let progress = self.stored.get(&*job.id);
             pool.adopt(self.now, self.unix(), Arc::clone(job), progress, true);
         }
-        let there = self.machines.iter().filter(|(_, it)| it.down < Ms::MAX);
+        let there = self.workers.iter().filter(|(_, it)| it.down < Ms::MAX);
         let mut roster: Vec<WorkerId> = there.map(|(id, _)| Arc::clone(id)).collect();
         roster.extend(self.roster.iter().cloned());
         roster.sort();
         roster.dedup();
-        pool.enroll(&roster);
+        pool.set_stored_roster(&roster);
         pool.inherit(self.now, roster.clone(), &self.silent);
         self.roster = roster;
         self.owners.push(Owner {
             epoch,
             pool,
-            frozen: 0,
-            over: false,
+            paused_until: 0,
+            stopped: false,
         });
     }
 
@@ -226,7 +226,7 @@
     pub(crate) fn accept(&mut self, job: Job) {
         let epoch = self.owners.last().map_or(0, |owner| owner.epoch);
         let accepted = self.unix();
-        self.tell(&Arc::new(Job {
+        self.publish(&Arc::new(Job {
             epoch,
             accepted,
             ..job
@@ -235,40 +235,40 @@
 
     /// Publishes a job's row. The present owner receives it, and so do former owners that don't know yet that they were
     /// replaced, as all of them follow the jobs.
-    pub(crate) fn tell(&mut self, job: &Arc<Job>) {
+    pub(crate) fn publish(&mut self, job: &Arc<Job>) {
         self.jobs.insert(job.id.to_string(), Arc::clone(job));
         let (now, unix) = (self.now, self.unix());
-        for owner in self.owners.iter_mut().filter(|owner| !owner.over) {
+        for owner in self.owners.iter_mut().filter(|owner| !owner.stopped) {
             owner.pool.adopt(now, unix, Arc::clone(job), None, false);
         }
     }
 
     /// From now on the owner with this epoch can't reach a worker.
-    pub(crate) fn cut(&mut self, id: &WorkerId, epoch: u64) {
-        if let Some(machine) = self.machines.get_mut(id) {
-            machine.cut.insert(epoch);
+    pub(crate) fn disconnect(&mut self, id: &WorkerId, epoch: u64) {
+        if let Some(machine) = self.workers.get_mut(id) {
+            machine.disconnected_owners.insert(epoch);
         }
     }
 
     /// Crashes a worker, which restarts after this time.
     pub(crate) fn crash(&mut self, id: &WorkerId, time: Ms) {
         let down = self.now + time;
-        if let Some(machine) = self.machines.get_mut(id) {
+        if let Some(machine) = self.workers.get_mut(id) {
             for task in machine.runs.keys() {
                 *self.crashed_under.entry(task.clone()).or_default() += 1;
             }
-            *machine = Machine {
+            *machine = SimWorker {
                 born: machine.born + 1,
                 down,
-                cut: machine.cut.clone(),
+                disconnected_owners: machine.disconnected_owners.clone(),
                 room: machine.room,
-                ..Machine::default()
+                ..SimWorker::default()
             };
         }
     }
 
     /// The directory's information about a worker.
-    fn news(&self, id: &WorkerId, machine: &Machine) -> News {
+    fn worker_info(&self, id: &WorkerId, machine: &SimWorker) -> News {
         News {
             address: id.to_string(),
             service: "s".into(),
@@ -278,30 +278,31 @@
         }
     }
 
-    fn post(&mut self, delay: Ms, message: Message) {
+    fn send_after(&mut self, delay: Ms, message: Message) {
         let at = self.now + delay + self.rng.random_range(0..2) * STEP;
-        self.mail.push((at, message));
+        self.in_transit.push((at, message));
     }
 
     /// Runs the simulation for this long.
-    pub(crate) fn pass(&mut self, time: Ms) {
+    pub(crate) fn run_for(&mut self, time: Ms) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            self.deliver();
-            self.work();
-            self.hold();
-            self.plan();
+            self.deliver_due();
+            self.end_runs();
+            self.poll_workers();
+            self.run_schedulers();
             if self.now.is_multiple_of(20) {
-                self.store();
+                self.store_changes();
             }
         }
     }
 
-    fn deliver(&mut self) {
+    fn deliver_due(&mut self) {
         let now = self.now;
-        let (due, left): (Vec<_>, Vec<_>) = self.mail.drain(..).partition(|(at, _)| *at <= now);
-        self.mail = left;
+        let (due, left): (Vec<_>, Vec<_>) =
+            self.in_transit.drain(..).partition(|(at, _)| *at <= now);
+        self.in_transit = left;
         for (_, message) in due {
             match message {
                 Message::Start(owner, start, answers) => self.start(owner, start, answers),
@@ -319,55 +320,58 @@
                         .apply_listing(now, unix, &id, &listing);
                 }
                 Message::Crash(id, born, task) => self.crash_under(&id, born, &task),
-                Message::Row(id) => self.tell_row(&id),
+                Message::Row(id) => self.publish_row(&id),
             }
         }
     }
 
     fn reaches(&self, owner: usize, id: &WorkerId) -> bool {
-        let machine = &self.machines[id];
-        machine.down <= self.now && !machine.cut.contains(&self.owners[owner].epoch)
+        let machine = &self.workers[id];
+        machine.down <= self.now
+            && !machine
+                .disconnected_owners
+                .contains(&self.owners[owner].epoch)
     }
 
-    fn plan(&mut self) {
+    fn run_schedulers(&mut self) {
         for owner in 0..self.owners.len() {
-            if self.owners[owner].over || self.owners[owner].frozen > self.now {
+            if self.owners[owner].stopped || self.owners[owner].paused_until > self.now {
                 continue;
             }
             let (now, unix) = (self.now, self.unix());
-            let orders = self.owners[owner].pool.plan(now, unix);
+            let orders = self.owners[owner].pool.schedule(now, unix);
             if self.owners[owner].pool.deposed() {
-                self.owners[owner].over = true;
+                self.owners[owner].stopped = true;
             }
             for order in orders {
                 match order {
-                    Order::Start(start) => {
-                        if self.rng.random_bool(self.weather.late) {
+                    Command::Start(start) => {
+                        if self.rng.random_bool(self.conditions.lost_answer_rate) {
                             let delay = self.rng.random_range(2_000..12_000);
-                            self.post(delay, Message::Start(owner, start.clone(), false));
-                            self.post(450, Message::Started(owner, start, Answer::Lost));
+                            self.send_after(delay, Message::Start(owner, start.clone(), false));
+                            self.send_after(450, Message::Started(owner, start, Answer::Lost));
                         } else if self.reaches(owner, &start.worker) {
-                            self.post(STEP, Message::Start(owner, start, true));
+                            self.send_after(STEP, Message::Start(owner, start, true));
                         } else {
-                            self.post(450, Message::Started(owner, start, Answer::Lost));
+                            self.send_after(450, Message::Started(owner, start, Answer::Lost));
                         }
                     }
-                    Order::Stop(stop) => self.post(STEP, Message::Stop(owner, stop)),
-                    Order::Pace(_) | Order::Ask(_) => {}
+                    Command::Stop(stop) => self.send_after(STEP, Message::Stop(owner, stop)),
+                    Command::Pace(_) | Command::Query(_) => {}
                 }
             }
         }
     }
 
     /// The newest owner stores its changes. A replaced owner can't: its writes depend on the owner's row.
-    fn store(&mut self) {
-        if !self.weather.store {
+    fn store_changes(&mut self) {
+        if !self.conditions.store_up {
             return;
         }
         let Some(owner) = self.owners.last_mut() else {
             return;
         };
-        if owner.over || owner.frozen > self.now {
+        if owner.stopped || owner.paused_until > self.now {
             return;
         }
         let batch = owner.pool.batch(80);
@@ -376,8 +380,8 @@
         }
         owner.pool.saved(&batch);
         self.roster = owner.pool.roster(self.now);
-        self.silent = owner.pool.silent(self.now);
-        owner.pool.enroll(&self.roster);
+        self.silent = owner.pool.unavailable_workers(self.now);
+        owner.pool.set_stored_roster(&self.roster);
     }
 
     /// Number of jobs without a stored final state.
@@ -404,13 +408,13 @@
         format!(
             "{open:?} unseen {} proved {} {:?}",
             pool.unseen().len(),
-            pool.proved(self.now),
+            pool.has_quorum(self.now),
             pool.workers().collect::<Vec<_>>()
         )
     }
 
     /// Number of jobs that, as stored, did not reach a final state within this time after they were accepted.
-    pub(crate) fn late(&self, most: Ms) -> usize {
+    pub(crate) fn count_late(&self, most: Ms) -> usize {
         let times = self.jobs.values().map(|job| {
             let course = self.stored.get(&*job.id)?;
             let took = course.closed.saturating_sub(job.accepted);
--- a/crates/pool/tests/world/workers.rs
+++ b/crates/pool/tests/simulation/workers.rs
@@ -4,9 +4,9 @@
 use rand::Rng as _;
 use resource::Size;
 
-use super::{Message, Run, STEP, World};
+use super::{Message, Run, STEP, Simulation};
 
-impl World {
+impl Simulation {
     pub(super) fn start(&mut self, owner: usize, start: Start, answers: bool) {
         if !self.reaches(owner, &start.worker) {
             return;
@@ -15,15 +15,15 @@
         let epoch = self.owners[owner].epoch;
         let size = start.job.steps[usize::from(start.task.stage.step)].room();
         let takes = start.job.steps[usize::from(start.task.stage.step)].estimate;
-        let bad = self.bad.contains(&start.worker);
-        let fails = bad || self.rng.random_bool(self.weather.fails);
+        let bad = self.faulty.contains(&start.worker);
+        let fails = bad || self.rng.random_bool(self.conditions.failure_rate);
         self.failures += usize::from(bad);
         let elsewhere = self
-            .machines
+            .workers
             .iter()
             .any(|(id, machine)| *id != start.worker && machine.runs.contains_key(&start.task));
-        let noted = self.noted.contains(&start.task);
-        let Some(machine) = self.machines.get_mut(&start.worker) else {
+        let noted = self.stored_ends.contains(&start.task);
+        let Some(machine) = self.workers.get_mut(&start.worker) else {
             return;
         };
         let answer = if epoch < machine.epoch {
@@ -40,32 +40,34 @@
             .is_some_and(|&high| high >= start.run)
         {
             Answer::Old
-        } else if clock > start.latest {
+        } else if clock > start.start_deadline {
             Answer::Late
         } else {
             machine.epoch = epoch;
-            machine.lease = machine.lease.max(start.latest);
+            machine.lease = machine.lease.max(start.start_deadline);
             let used = machine
                 .runs
                 .values()
                 .fold(Size::ZERO, |sum, run| sum.plus(run.size));
             // A smaller capacity counts once the directory and a poll must have reported it.
             let room = match machine.room {
-                Some((room, since)) if now.saturating_sub(since) > super::crashes::ROOM_TOLD => {
+                Some((room, since))
+                    if now.saturating_sub(since) > super::crashes::CAPACITY_DELAY =>
+                {
                     room
                 }
                 _ => self.room,
             };
             if !used.plus(size).fits(room) {
-                self.broken
+                self.violations
                     .push(format!("{now}: capacity of {} exceeded", start.worker));
             }
             if elsewhere || machine.runs.contains_key(&start.task) {
-                self.broken
+                self.violations
                     .push(format!("{now}: {:?} runs twice", start.task));
             }
             if noted {
-                self.broken
+                self.violations
                     .push(format!("{now}: {:?} started after its end", start.task));
             }
             machine.highest.insert(start.task.clone(), start.run);
@@ -79,25 +81,25 @@
             machine.runs.insert(start.task.clone(), run);
             self.starts += 1;
             let born = machine.born;
-            if self.note_start(&start.task) {
+            if self.count_start(&start.task) {
                 let crash = Message::Crash(start.worker.clone(), born, start.task.clone());
-                self.post(2 * STEP, crash);
+                self.send_after(2 * STEP, crash);
             }
             Answer::Running
         };
         if answers {
-            self.post(STEP, Message::Started(owner, start, answer));
+            self.send_after(STEP, Message::Started(owner, start, answer));
         }
     }
 
     pub(super) fn stop(&mut self, owner: usize, stop: Stop) {
         if !self.reaches(owner, &stop.worker) {
-            self.post(450, Message::Stopped(owner, stop, StopAnswer::Lost));
+            self.send_after(450, Message::Stopped(owner, stop, StopAnswer::Lost));
             return;
         }
         let (now, clock) = (self.now, self.clock(&stop.worker));
         let epoch = self.owners[owner].epoch;
-        let Some(machine) = self.machines.get_mut(&stop.worker) else {
+        let Some(machine) = self.workers.get_mut(&stop.worker) else {
             return;
         };
         let answer = if epoch < machine.epoch {
@@ -113,14 +115,14 @@
             }
             StopAnswer::Stopped(clock)
         };
-        self.post(STEP, Message::Stopped(owner, stop, answer));
+        self.send_after(STEP, Message::Stopped(owner, stop, answer));
     }
 
     /// Ends the runs that are complete, that were stopped, or whose lease has expired.
-    pub(super) fn work(&mut self) {
+    pub(super) fn end_runs(&mut self) {
         let now = self.now;
-        let clocks: Vec<Ms> = self.machines.keys().map(|id| self.clock(id)).collect();
-        for (machine, clock) in self.machines.values_mut().zip(clocks) {
+        let clocks: Vec<Ms> = self.workers.keys().map(|id| self.clock(id)).collect();
+        for (machine, clock) in self.workers.values_mut().zip(clocks) {
             let lapsed = clock > machine.lease;
             let over: Vec<(TaskKey, How)> = machine
                 .runs
@@ -153,13 +155,13 @@
     }
 
     /// Each owner polls each worker every 50 ms.
-    pub(super) fn hold(&mut self) {
+    pub(super) fn poll_workers(&mut self) {
         if !self.now.is_multiple_of(50) {
             return;
         }
-        let ids: Vec<WorkerId> = self.machines.keys().cloned().collect();
+        let ids: Vec<WorkerId> = self.workers.keys().cloned().collect();
         for owner in 0..self.owners.len() {
-            if self.owners[owner].over || self.owners[owner].frozen > self.now {
+            if self.owners[owner].stopped || self.owners[owner].paused_until > self.now {
                 continue;
             }
             for id in &ids {
@@ -175,11 +177,11 @@
                 };
                 let now = self.now;
                 let lease = self.owners[owner].pool.holding(now, id);
-                let Some(machine) = self.machines.get_mut(id) else {
+                let Some(machine) = self.workers.get_mut(id) else {
                     continue;
                 };
                 if epoch < machine.epoch {
-                    self.owners[owner].over = true;
+                    self.owners[owner].stopped = true;
                     break;
                 }
                 machine.epoch = epoch;
@@ -187,7 +189,7 @@
                 if born == machine.born {
                     for end in machine.ended.iter().filter(|end| end.number <= noted) {
                         if end.how == How::Done {
-                            self.noted.insert(end.task.clone());
+                            self.stored_ends.insert(end.task.clone());
                         }
                     }
                     machine.ended.retain(|end| end.number > noted);
@@ -213,7 +215,7 @@
                 if self.mute.contains(id) {
                     self.owners[owner].pool.mark_unresponsive(id);
                 } else {
-                    self.post(STEP, Message::Listing(owner, id.clone(), listing));
+                    self.send_after(STEP, Message::Listing(owner, id.clone(), listing));
                 }
             }
         }
--- a/crates/pool/tests/suspects.rs
+++ b/crates/pool/tests/suspects.rs
@@ -3,16 +3,16 @@
 #[allow(dead_code, reason = "the other test files use the rest")]
 mod case;
 #[allow(dead_code, reason = "the other test files use the rest")]
-mod world;
+mod simulation;
 
 use std::sync::Arc;
 
 use case::{adopt, end, hold, hold_all, list_workers, pool, run, starts};
 use pool::{
-    Answer, End, How, Job, Listing, Ms, Options, Order, Pool, Progress, Start, State, StopAnswer,
+    Answer, Command, End, How, Job, Listing, Ms, Options, Pool, Progress, Start, State, StopAnswer,
     WorkerId,
 };
-use world::{UNIX, job};
+use simulation::{UNIX, job};
 
 /// Stores all that is to be stored; tells the progress of the last job in it.
 fn store(pool: &mut Pool) -> Option<Progress> {
@@ -168,7 +168,7 @@
     list_workers(&mut next, 4);
     let again = Arc::new(job("00000000000000a1", &[(1, 900, 5_000)]));
     next.adopt(1_000, UNIX + 1_000, again, Some(&stored), true);
-    assert!(starts(next.plan(1_010, UNIX + 1_010)).is_empty());
+    assert!(starts(next.schedule(1_010, UNIX + 1_010)).is_empty());
     drop(store(&mut next));
     assert_eq!(next.state("00000000000000a1"), Some(State::Failed));
 }
@@ -185,10 +185,10 @@
     let first = run(&mut pool, 1_000).remove(0);
     restart(&mut pool, 2_000, &first, 1);
     others_answer(&mut pool, 2_100, &first);
-    let second = starts(pool.plan(2_110, UNIX + 2_110)).remove(0);
+    let second = starts(pool.schedule(2_110, UNIX + 2_110)).remove(0);
     pool.answered(2_120, &second, Answer::Lost);
     for now in (2_120..3_000).step_by(20) {
-        let more = starts(pool.plan(now, UNIX + now));
+        let more = starts(pool.schedule(now, UNIX + now));
         assert!(more.is_empty(), "{now}: {more:?}");
     }
 }
@@ -209,12 +209,12 @@
     };
     for now in (1_500..10_000).step_by(500) {
         others_answer(&mut pool, now, &first);
-        drop(pool.plan(now, UNIX + now));
+        drop(pool.schedule(now, UNIX + now));
     }
     assert!(noted(&mut pool));
     let lapsed = vec![end(&first, 1, How::Lapsed)];
     hold(&mut pool, 10_000, &first.worker, vec![], lapsed);
-    let running = starts(pool.plan(10_010, UNIX + 10_010));
+    let running = starts(pool.schedule(10_010, UNIX + 10_010));
     hold_all(&mut pool, 10_020, &running);
     let crashed = store(&mut pool).is_some_and(|progress| {
         let course = &progress.open[0].steps[0];
@@ -259,20 +259,20 @@
     );
     let first = run(&mut former, 1_000).remove(0);
     former.mark_unresponsive(&first.worker);
-    let silent = former.silent(1_100);
+    let silent = former.unavailable_workers(1_100);
     assert_eq!(silent.len(), 1);
     let mut next = Pool::new(Options::default());
     let again = Arc::new(job("00000000000000a1", &[(1, 900, 5_000)]));
     next.adopt(1_200, UNIX + 1_200, again, None, true);
     next.inherit(1_200, former.roster(1_100), &silent);
     for worker in former.workers() {
-        next.listed(1_200, &worker.id, worker.news.clone());
+        next.update_worker(1_200, &worker.id, worker.news.clone());
         if worker.id != first.worker {
             hold(&mut next, 1_250, &worker.id, vec![], vec![]);
         }
     }
     restart(&mut next, 1_300, &first, 1);
-    drop(next.plan(1_400, UNIX + 1_400));
+    drop(next.schedule(1_400, UNIX + 1_400));
     let stored = store(&mut next).expect("there is something to store");
     assert_eq!(stored.open[0].steps[0].crashed, vec![(0, vec![1])]);
 }
@@ -287,10 +287,10 @@
     );
     let mut now = 1_000;
     for crashes in 0..8 {
-        let mut begun = starts(pool.plan(now, UNIX + now));
+        let mut begun = starts(pool.schedule(now, UNIX + now));
         drop(store(&mut pool));
         now += 10;
-        begun.extend(starts(pool.plan(now, UNIX + now)));
+        begun.extend(starts(pool.schedule(now, UNIX + now)));
         let lost = pool
             .workers()
             .find(|worker| worker.free().millicores < 4_000);
@@ -310,8 +310,8 @@
                 asked: now,
                 ..Listing::default()
             };
-            for stop in pool.plan(now, UNIX + now) {
-                if let Order::Stop(stop) = stop {
+            for stop in pool.schedule(now, UNIX + now) {
+                if let Command::Stop(stop) = stop {
                     pool.stopped(now, &stop, StopAnswer::Stopped(20));
                 }
             }
@@ -373,10 +373,10 @@
         .news
         .clone();
     news.draining = Some(2_000);
-    pool.listed(1_100, &first.worker, news);
+    pool.update_worker(1_100, &first.worker, news);
     for now in (1_500..10_000).step_by(500) {
         others_answer(&mut pool, now, &first);
-        drop(pool.plan(now, UNIX + now));
+        drop(pool.schedule(now, UNIX + now));
     }
     assert_eq!(pool.take_lost_runs().len(), 1);
     assert!(notes(&mut pool).is_empty());
--- a/crates/pool/tests/timeline.rs
+++ b/crates/pool/tests/timeline.rs
@@ -3,11 +3,11 @@
 #[allow(dead_code, reason = "other test files use the rest")]
 mod case;
 #[allow(dead_code, reason = "other test files use the rest")]
-mod world;
+mod simulation;
 
 use case::{adopt, end, hold, pool, run};
 use pool::{How, State};
-use world::job;
+use simulation::job;
 
 /// Guards against a step of which the log can't say what it waited for: one line has to tell turn, starts and end.
 #[test]
--- a/crates/pool/tests/misfits.rs
+++ b/crates/pool/tests/unservable.rs
@@ -3,12 +3,12 @@
 #[allow(dead_code, reason = "other test files use the rest")]
 mod case;
 #[allow(dead_code, reason = "other test files use the rest")]
-mod world;
+mod simulation;
 
 use std::sync::Arc;
 
 use case::{hold, hold_all, pool, starts};
-use world::{UNIX, job};
+use simulation::{UNIX, job};
 
 /// A gang needs all four workers, and one of them is lost. After a delay in which the worker could have come back, the job is
 /// to be transferred to another pool. Once it is transferred, an outdated row of it must not bring it back.
@@ -25,10 +25,10 @@
         None,
         false,
     );
-    pool.unlisted("w03");
+    pool.deregister_worker("w03");
     pool.mark_unresponsive(&"w03".into());
     assert!(
-        pool.misfits(1_100).is_empty(),
+        pool.unservable_jobs(1_100).is_empty(),
         "the worker may still come back"
     );
     let mut leaving = Vec::new();
@@ -36,18 +36,18 @@
         for id in ["w00", "w01", "w02"] {
             hold(&mut pool, now, &id.into(), vec![], vec![]);
         }
-        leaving = pool.misfits(now);
+        leaving = pool.unservable_jobs(now);
         if !leaving.is_empty() {
             break;
         }
     }
     assert_eq!(leaving, vec!["wide".into()]);
-    pool.transferred(&"wide".into());
-    assert!(!pool.knows("wide"));
+    pool.remove_transferred(&"wide".into());
+    assert!(!pool.contains_job("wide"));
     let outdated = job("wide", &[(1, 1_000, 500)]);
     pool.adopt(5_000, UNIX + 5_000, Arc::new(outdated), None, false);
     assert!(
-        !pool.knows("wide"),
+        !pool.contains_job("wide"),
         "the outdated row would run the job a second time"
     );
 }
@@ -63,7 +63,7 @@
         None,
         false,
     );
-    let runs = starts(pool.plan(1_010, UNIX + 1_010));
+    let runs = starts(pool.schedule(1_010, UNIX + 1_010));
     assert_eq!(runs.len(), 2);
     pool.adopt(
         1_020,
@@ -74,6 +74,6 @@
     );
     for now in (1_100..9_000).step_by(100) {
         hold_all(&mut pool, now, &runs);
-        assert!(pool.misfits(now).is_empty());
+        assert!(pool.unservable_jobs(now).is_empty());
     }
 }
