--- a/crates/host/src/transfer.rs
+++ b/crates/host/src/transfer.rs
@@ -52,23 +52,23 @@
         return Ok(());
     };
     let Some(header) = row.value.as_deref().and_then(job_row_header) else {
-        lock(&owner.pool).keep(id);
+        lock(&owner.pool).cancel_transfer(id);
         return Ok(());
     };
     if header.pool != owner.pool_number() {
         info!(job = &**id, from = owner.pool_number(), to = header.pool; "an earlier write transferred the job");
-        lock(&owner.pool).transferred(id);
+        lock(&owner.pool).remove_transferred(id);
         return Ok(());
     }
     let mut from = header.moved.map_or_else(Vec::new, |moved| moved.from);
     from.push(owner.pool_number());
     let transferable = lock(&owner.pool).transferable(id);
     let Some((job, progress)) = transferable else {
-        lock(&owner.pool).keep(id);
+        lock(&owner.pool).cancel_transfer(id);
         return Ok(());
     };
     let Some(to) = route::next_pool(&host.pool_map(), &job, &from, &host.pool_loads()) else {
-        lock(&owner.pool).keep(id);
+        lock(&owner.pool).cancel_transfer(id);
         return Ok(());
     };
     let next = JobRow {
@@ -100,11 +100,11 @@
     };
     if let Err(error) = host.store.commit(&transaction).await {
         if matches!(error, StoreError::Rejected { .. }) {
-            lock(&owner.pool).keep(id);
+            lock(&owner.pool).cancel_transfer(id);
         }
         return Err(error);
     }
     info!(job = &**id, from = owner.pool_number(), to = to, epoch = owner.epoch(); "job transferred to another pool");
-    lock(&owner.pool).transferred(&Arc::clone(id));
+    lock(&owner.pool).remove_transferred(&Arc::clone(id));
     Ok(())
 }
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -1,35 +1,35 @@
-//! Which waiting tasks start, and on which workers.
+//! Placement: which waiting tasks start, and on which workers.
 
 use std::sync::Arc;
 
 use resource::Size;
 use rustc_hash::FxHashMap;
 
+use crate::command::{Command, Start};
 use crate::crash::{CRASHES_ALONE, Suspicion};
 use crate::fit::{self, Context};
 use crate::job::{Job, Step};
 use crate::live::Live;
 use crate::mechanism::Mechanism;
-use crate::order::{Order, Start};
 use crate::pool::Pool;
-use crate::rank::{Claim, Rank, rank};
-use crate::scarce::Scarce;
+use crate::rank::{Rank, RankInput, rank};
+use crate::service_capacity::ServiceCapacity;
 use crate::task::{Ms, Run, StageKey, TaskKey, WorkerId};
 
-/// Starts in one plan: more would keep answers waiting while they are written.
-const STARTS_MOST: usize = 64;
-/// Work is ranked in whole numbers: a millionth of all room for a millisecond.
+/// Maximum number of starts in one scheduling pass. With more, answers would wait while the starts are written.
+const MAX_STARTS: usize = 64;
+/// Resolution of [`Rank::work`], which is an integer: one unit is a millionth of the total capacity for a millisecond.
 const WORK_UNIT: f64 = 1e6;
-/// A ticket that runs out sooner than this is not used: the order needs time to arrive.
+/// A ticket that expires sooner than this is not used: the start command needs time to arrive.
 pub(crate) const TICKET_SLACK: Ms = 120;
 
-/// Tasks that serve and tasks that fill, on one worker.
-type Mix = FxHashMap<WorkerId, (u32, u32)>;
+/// Number of latency-sensitive and of best-effort tasks on each worker.
+type TaskMix = FxHashMap<WorkerId, (u32, u32)>;
 
 impl Pool {
-    /// Starts what there is room for, in the order of ranks.
+    /// Starts waiting tasks in the order of their ranks, as far as there is free capacity.
     pub(crate) fn place(&mut self, now: Ms) {
-        let scarce = self.scarce();
+        let scarce = self.service_capacities();
         self.find_trials();
         let mut order: Vec<(Rank, StageKey)> = Vec::new();
         for key in &self.open {
@@ -49,10 +49,10 @@
         }
         order.sort();
         self.ask_overdue(now, &order);
-        let mut mix: Option<Mix> = None;
+        let mut mix: Option<TaskMix> = None;
         let mut starts = 0;
         for (_, key) in &order {
-            if starts >= STARTS_MOST {
+            if starts >= MAX_STARTS {
                 break;
             }
             let Some(live) = self.jobs.get(&key.job) else {
@@ -65,7 +65,7 @@
             if step.fills || step.target > 0 {
                 mix.get_or_insert_with(|| self.mix());
             }
-            let empty = Mix::default();
+            let empty = TaskMix::default();
             let scarce = scarce.get(&job.service).copied().unwrap_or_default();
             let mix = mix.as_ref().unwrap_or(&empty);
             starts += self.place_stage(now, key, &job, step, mix, &scarce);
@@ -81,9 +81,9 @@
         }
     }
 
-    fn rank(&self, now: Ms, live: &Live, key: &StageKey, scarce: &Scarce) -> Rank {
+    fn rank(&self, now: Ms, live: &Live, key: &StageKey, scarce: &ServiceCapacity) -> Rank {
         let job = &live.job;
-        let scale = self.learned.scale(&job.queue);
+        let scale = self.queue_stats.duration_ratio(&job.queue);
         let scaled = |chain: Ms| (chain as f64 * scale) as Ms;
         let course = live.open.get(&key.occurrence);
         let since = if job.schedule.is_some() {
@@ -98,7 +98,7 @@
                 .zip(&job.steps)
                 .map(|(stage, step)| {
                     let left = (stage.tasks.len() - stage.done) as f64;
-                    left * step.estimate as f64 * scarce.share(step.size)
+                    left * step.estimate as f64 * scarce.dominant_share(step.size)
                 })
                 .sum()
         });
@@ -108,28 +108,28 @@
                 ..Rank::default()
             };
         }
-        let rank = rank(&Claim {
+        let rank = rank(&RankInput {
             priority: job.policy.priority,
             age: now.saturating_sub(since),
             objective: self.objective(live),
             chain: scaled(live.chains.get(usize::from(key.step)).copied().unwrap_or(0)),
             work: (work * WORK_UNIT) as u64,
-            lasting: job.lasting(),
+            long_running: job.lasting(),
         });
         rank.without(&self.options.switches)
     }
 
-    /// Time in which a job should be completed, by what its tasks have taken against their estimates.
+    /// Time in which a job should be completed, with its estimates corrected by the observed durations of its queue.
     pub(crate) fn objective(&self, live: &Live) -> Ms {
         let policy = &live.job.policy;
         let longest = live.chains.iter().max().copied().unwrap_or(0);
-        let scaled = (longest as f64 * self.learned.scale(&live.job.queue)) as Ms;
+        let scaled = (longest as f64 * self.queue_stats.duration_ratio(&live.job.queue)) as Ms;
         (scaled as f64 * policy.stretch) as Ms + policy.objective
     }
 
-    /// Counts tasks that serve and tasks that fill on each worker.
-    pub(crate) fn mix(&self) -> Mix {
-        let mut mix = Mix::default();
+    /// Counts the latency-sensitive and the best-effort tasks on each worker.
+    pub(crate) fn mix(&self) -> TaskMix {
+        let mut mix = TaskMix::default();
         for worker in self.workers.values() {
             let mut counts = (0, 0);
             for key in worker.runs.keys() {
@@ -149,15 +149,15 @@
         mix
     }
 
-    /// Starts the waiting tasks of a step as far as there is room; tells how many.
+    /// Starts the waiting tasks of a step as far as there is free capacity, and returns how many.
     fn place_stage(
         &mut self,
         now: Ms,
         key: &StageKey,
         job: &Arc<Job>,
         step: &Step,
-        mix: &Mix,
-        scarce: &Scarce,
+        mix: &TaskMix,
+        scarce: &ServiceCapacity,
     ) -> usize {
         let Some(stage) = self.stage(key) else {
             return 0;
@@ -169,30 +169,30 @@
             .filter(|(_, task)| task.waits(now))
             .map(|(at, _)| at as u32)
             .collect();
-        // Suspects last: a worker that one of them has to itself takes no others.
+        // Suspects last: a worker that gets a suspect which has to run alone takes no other task.
         let suspicion = |index: &u32| stage.tasks[*index as usize].suspicion();
         waiting.sort_by_key(|index| suspicion(index).crashes);
         let suspicions: Vec<Suspicion> = waiting.iter().map(suspicion).collect();
         if step.gang && waiting.len() != stage.tasks.len() {
-            // The members start together, so all must be back first.
+            // The members start together, so all of them have to be waiting.
             return 0;
         }
         let same = stage.spread();
         let places = self.assign(now, key, job, step, &suspicions, &same, mix, scarce);
-        let enough = if step.gang {
+        let all_placed = if step.gang {
             places.len() == waiting.len()
         } else {
             true
         };
         let mut started = 0;
-        if enough {
+        if all_placed {
             let number = if step.gang {
-                stage_top(self, key) + 1
+                highest_run(self, key) + 1
             } else {
                 0
             };
             let saved = if step.gang {
-                self.gang_saved(key)
+                self.gang_checkpoint(key)
             } else {
                 None
             };
@@ -208,14 +208,14 @@
         started
     }
 
-    /// The checkpoint that all members of a gang go on from.
-    fn gang_saved(&self, key: &StageKey) -> Option<String> {
+    /// The checkpoint from which all members of a gang resume.
+    fn gang_checkpoint(&self, key: &StageKey) -> Option<String> {
         let stage = self.stage(key)?;
         let saved = stage.tasks.iter().map(|task| &task.saved).max()?;
         Some(saved.clone())
     }
 
-    /// Finds a worker for each task in turn, given what is held against it, until there is none.
+    /// Finds a worker for each task in turn, given the suspicion against it, until there is none.
     #[expect(clippy::too_many_arguments, reason = "one call, all of it read only")]
     fn assign(
         &self,
@@ -225,8 +225,8 @@
         step: &Step,
         suspicions: &[Suspicion],
         same: &FxHashMap<WorkerId, u32>,
-        mix: &Mix,
-        scarce: &Scarce,
+        mix: &TaskMix,
+        scarce: &ServiceCapacity,
     ) -> Vec<WorkerId> {
         let Some(stage) = self.stage(key) else {
             return Vec::new();
@@ -248,13 +248,17 @@
             let (serving, filling) = mix.get(&worker.id).copied().unwrap_or_default();
             let context = Context {
                 now,
-                far_factor: self.options.far_factor,
+                far_factor: self.options.remote_penalty,
                 same: same.get(&worker.id).copied().unwrap_or(0),
                 placed: 0,
-                serving,
-                filling,
+                latency_sensitive: serving,
+                best_effort: filling,
                 suspicion: Suspicion::default(),
-                trial: self.trials.get(&worker.id).copied().unwrap_or(0),
+                trial: self
+                    .suspects_by_worker
+                    .get(&worker.id)
+                    .copied()
+                    .unwrap_or(0),
                 scarce: *scarce,
                 first_fit: !self.has(Mechanism::BestFit),
             };
@@ -282,7 +286,7 @@
         fill(&mut choices, step, suspicions)
     }
 
-    /// Orders a start.
+    /// Records a run of a task and queues the command that starts it.
     fn start(
         &mut self,
         now: Ms,
@@ -292,14 +296,15 @@
         number: u32,
         saved: Option<&str>,
     ) {
-        let life = self.options.order_life;
+        let life = self.options.command_ttl;
         let live = self.jobs.get(&key.stage.job);
         let inherited = live.is_some_and(|live| live.inherited);
         let Some(host) = self.workers.get_mut(worker) else {
             return;
         };
         let latest = host.clock(now) + life;
-        // The order itself is a lease of that length, and the clock may be 2% slow.
+        // A start acts as a lease until its deadline, and the worker's clock may be 2% slow. 400 ms cover the network,
+        // timers and rounding, as for any lease.
         host.lapses = host.lapses.max(now + life + life / 33 + 400);
         let ticket = self
             .stage(&key.stage)
@@ -317,40 +322,43 @@
         let crashes = task.crashes();
         let noted = task.note_trial(number, inherited);
         task.run = Some(Run {
-            // Such a task starts only on a worker that has answered since the last crash.
+            // A task with so many crashes starts only on a worker that has answered since the last of them.
             proven: crashes >= CRASHES_ALONE,
             ..Run::new(number, Arc::clone(worker), now, latest)
         });
         self.attach(key, worker, number);
         if noted {
             self.suspects.insert(key.clone());
-            self.mark(&key.stage.job);
-            let trial = self.trials.entry(Arc::clone(worker)).or_default();
+            self.mark_dirty(&key.stage.job);
+            let trial = self
+                .suspects_by_worker
+                .entry(Arc::clone(worker))
+                .or_default();
             *trial = (*trial).max(crashes);
         }
-        self.loose.insert(key.clone());
-        self.copies.earn();
+        self.unconfirmed_runs.insert(key.clone());
+        self.retry_budget.earn();
         if let Some(stage) = self.stage_mut(&key.stage) {
             stage.timeline.started(now);
         }
-        self.orders.push(Order::Start(Start {
+        self.commands.push(Command::Start(Start {
             task: key.clone(),
             run: number,
             worker: Arc::clone(worker),
             job: Arc::clone(job),
-            latest,
-            saved,
+            start_deadline: latest,
+            checkpoint: saved,
             ticket,
             crashes,
         }));
     }
 }
 
-fn stage_top(pool: &Pool, key: &StageKey) -> u32 {
+fn highest_run(pool: &Pool, key: &StageKey) -> u32 {
     pool.stage(key).map_or(0, crate::live::Stage::top)
 }
 
-/// Takes the cheapest worker for each task, until none has room.
+/// Assigns each task to the worker with the lowest cost, until none has capacity.
 fn fill(
     choices: &mut [(&crate::worker::Worker, Size, Context)],
     step: &Step,
@@ -376,8 +384,8 @@
         choice.2.same += 1;
         choice.2.placed += 1;
         choice.2.trial = choice.2.trial.max(suspicion.crashes);
-        choice.2.serving += u32::from(step.target > 0);
-        choice.2.filling += u32::from(step.fills);
+        choice.2.latency_sensitive += u32::from(step.target > 0);
+        choice.2.best_effort += u32::from(step.fills);
         places.push(Arc::clone(&choice.0.id));
     }
     places
