--- a/crates/host/src/owner/members.rs
+++ b/crates/host/src/owner/members.rs
@@ -207,7 +207,10 @@
 
     /// How many workers the pool has.
     fn workers(&self) -> u32 {
-        let listed = lock(&self.pool).workers().filter(|it| it.listed).count() as u32;
+        let listed = lock(&self.pool)
+            .workers()
+            .filter(|it| it.registered)
+            .count() as u32;
         listed.max(self.host.pool_map().size(self.number))
     }
 
--- a/crates/host/src/route.rs
+++ b/crates/host/src/route.rs
@@ -81,7 +81,7 @@
     let racks = job
         .steps
         .iter()
-        .flat_map(|step| [step.near.as_str(), step.label.as_str()]);
+        .flat_map(|step| [step.data_rack.as_str(), step.label.as_str()]);
     if let Some(pool) = racks.filter_map(|rack| plan.pool_of(rack)).next() {
         return pool;
     }
--- a/crates/host/src/rows.rs
+++ b/crates/host/src/rows.rs
@@ -129,7 +129,7 @@
     /// them has answered or its lease has expired.
     pub roster: Vec<String>,
     /// Unreachable workers with the runs that may still be executing there. A new owner holds back only these tasks.
-    pub silent: Vec<pool::Silent>,
+    pub silent: Vec<pool::UnavailableWorker>,
 }
 
 impl RosterRow {
@@ -140,7 +140,7 @@
     pub(crate) fn new(
         serial: u64,
         roster: impl IntoIterator<Item = String>,
-        silent: Vec<pool::Silent>,
+        silent: Vec<pool::UnavailableWorker>,
         max_bytes: usize,
     ) -> Self {
         let mut row = Self {
--- a/crates/pool/src/evacuate.rs
+++ b/crates/pool/src/evacuate.rs
@@ -24,7 +24,7 @@
         let leaving: Vec<(WorkerId, Ms)> = self
             .workers
             .values()
-            .filter_map(|worker| Some((Arc::clone(&worker.id), worker.leaves?)))
+            .filter_map(|worker| Some((Arc::clone(&worker.id), worker.leaves_at?)))
             .collect();
         for (id, leaves) in leaving {
             let leaves_soon = now + self.options.stop_grace + STOP_MARGIN >= leaves;
@@ -57,11 +57,11 @@
         if !is_running || step.gang {
             return false;
         }
-        if step.lasting {
+        if step.long_running {
             let has_capacity = |worker: &&crate::Worker| {
                 fit::allowed(worker, &live.job.service, step)
-                    && worker.takes(now)
-                    && step.room().fits(worker.free())
+                    && worker.accepts_starts(now)
+                    && step.demand().fits(worker.free_capacity())
             };
             return leaves_soon || self.workers.values().any(|worker| has_capacity(&worker));
         }
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -7,9 +7,9 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::command::Command;
-use crate::crash::{GivenUp, Trials};
+use crate::crash::{AbandonedTask, SuspectsByWorker};
 use crate::job::Job;
-use crate::live::Live;
+use crate::live::LiveJob;
 use crate::loss::LostRun;
 use crate::mechanism::{Mechanism, Switches};
 use crate::pace::PaceController;
@@ -19,7 +19,7 @@
 use crate::state::State;
 use crate::task::{JobId, Ms, Phase, StageKey, TaskKey, WorkerId};
 use crate::timeline::{JobTimes, StepTimes};
-use crate::worker::{News, Silent, Worker};
+use crate::worker::{UnavailableWorker, Worker, WorkerInfo};
 
 /// Configuration of a pool's decisions.
 #[derive(Clone, Debug)]
@@ -68,7 +68,7 @@
 #[derive(Debug, Default)]
 pub struct Pool {
     pub(crate) options: Options,
-    pub(crate) jobs: FxHashMap<JobId, Live>,
+    pub(crate) jobs: FxHashMap<JobId, LiveJob>,
     pub(crate) workers: FxHashMap<WorkerId, Worker>,
     /// Steps whose dependencies are complete and that are not complete themselves.
     pub(crate) open: BTreeSet<StageKey>,
@@ -105,7 +105,7 @@
     /// Jobs that were cancelled before they became known.
     pub(crate) early_cancels: FxHashSet<JobId>,
     /// Runs that may exist on workers that the former owner could not reach.
-    pub(crate) unavailable: Vec<Silent>,
+    pub(crate) unavailable: Vec<UnavailableWorker>,
     /// Jobs that were transferred to other pools.
     pub(crate) transferred_jobs: FxHashSet<JobId>,
     /// When the jobs were last scanned for unservable ones.
@@ -117,9 +117,9 @@
     /// Tasks suspected of crashing workers; may contain some whose suspicion has been cleared.
     pub(crate) suspects: BTreeSet<TaskKey>,
     /// Workers that a run of a suspect may still crash, as of the current scheduling pass.
-    pub(crate) suspects_by_worker: Trials,
+    pub(crate) suspects_by_worker: SuspectsByWorker,
     /// Tasks that were abandoned, to be logged.
-    pub(crate) abandoned: Vec<GivenUp>,
+    pub(crate) abandoned: Vec<AbandonedTask>,
     /// Runs that workers have lost, to be logged.
     pub(crate) lost_runs: Vec<LostRun>,
     /// Commands collected since the last scheduling pass; the next one returns them.
@@ -168,14 +168,14 @@
             return;
         }
         let ours = job.epoch == self.options.epoch && job.epoch > 0;
-        let mut live = Live::new(job, progress, now, unix);
+        let mut live = LiveJob::new(job, progress, now, unix);
         // The former owner may have known, and started, a job that this owner learns of only now.
-        let former = self.former_orders_end().is_none_or(|end| now < end);
+        let former = self.former_commands_end().is_none_or(|end| now < end);
         live.inherited = !ours && (inherited || former && !self.unconfirmed_workers.is_empty());
         self.jobs.insert(Arc::clone(&id), live);
         self.find_suspects(&id);
         self.advance(&id, now, unix);
-        self.hold_back(now, &id);
+        self.assume_unreported_runs(now, &id);
         self.adopt_observed_runs(now, &id);
         // A former owner may have stored the last end without the state that follows from it.
         self.complete_or_advance(now, unix, &id);
@@ -211,7 +211,7 @@
     pub fn state(&self, id: &str) -> Option<State> {
         self.jobs
             .get(id)
-            .map(|live| match (live.shown, live.state) {
+            .map(|live| match (live.stored_state, live.state) {
                 (shown, _) if shown.is_final() => shown,
                 (_, State::Queued) => State::Queued,
                 _ => State::Running,
@@ -284,25 +284,27 @@
     }
 
     /// Adds a worker that the directory lists, or updates what is known of it.
-    pub fn update_worker(&mut self, now: Ms, id: &WorkerId, news: News) {
+    pub fn update_worker(&mut self, now: Ms, id: &WorkerId, news: WorkerInfo) {
         let worker = self.workers.entry(Arc::clone(id)).or_default();
         if worker.id.is_empty() {
             worker.id = Arc::clone(id);
             worker.slowness = 1.0;
         }
-        worker.listed = true;
-        match (news.draining, worker.leaves) {
-            (Some(left), None) => worker.leaves = Some(now + left),
-            (None, Some(_)) if news.born != worker.news.born => worker.leaves = None,
+        worker.registered = true;
+        match (news.draining, worker.leaves_at) {
+            (Some(left), None) => worker.leaves_at = Some(now + left),
+            (None, Some(_)) if news.incarnation != worker.info.incarnation => {
+                worker.leaves_at = None;
+            }
             _ => {}
         }
-        worker.news = news;
+        worker.info = news;
     }
 
     /// The directory no longer lists a worker. The outcome of its runs is unknown until its lease has lapsed.
     pub fn deregister_worker(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.listed = false;
+            worker.registered = false;
         }
     }
 
@@ -312,7 +314,9 @@
         let mut ids: Vec<WorkerId> = self
             .workers
             .values()
-            .filter(|worker| !worker.silent(now) && (worker.listed || !worker.runs.is_empty()))
+            .filter(|worker| {
+                !worker.is_unavailable(now) && (worker.registered || !worker.runs.is_empty())
+            })
             .map(|worker| Arc::clone(&worker.id))
             .chain(self.unconfirmed_workers.iter().cloned())
             .collect();
@@ -324,23 +328,23 @@
     /// Workers that are unreachable or about to leave, with the runs that may be there. Nothing is started on them
     /// until a roster that names them is stored: a run started in between would be missing from the stored list.
     #[must_use]
-    pub fn unavailable_workers(&mut self, now: Ms) -> Vec<Silent> {
+    pub fn unavailable_workers(&mut self, now: Ms) -> Vec<UnavailableWorker> {
         for worker in self.workers.values_mut() {
-            worker.enrolled &= !worker.silent(now);
+            worker.in_stored_roster &= !worker.is_unavailable(now);
         }
-        let mut silent: Vec<Silent> = self
+        let mut silent: Vec<UnavailableWorker> = self
             .workers
             .values()
-            .filter(|worker| worker.silent(now) || worker.lapses == Ms::MAX)
+            .filter(|worker| worker.is_unavailable(now) || worker.lease_expires_at == Ms::MAX)
             .filter(|worker| !worker.runs.is_empty())
             .map(|worker| {
                 let runs = worker.runs.iter();
                 let mut runs: Vec<_> = runs.map(|(key, run)| (key.clone(), *run)).collect();
                 runs.sort();
-                Silent {
+                UnavailableWorker {
                     worker: Arc::clone(&worker.id),
                     runs,
-                    born: worker.born,
+                    incarnation: worker.incarnation,
                 }
             })
             .collect();
@@ -354,8 +358,8 @@
         let mut more = false;
         for (id, worker) in &mut self.workers {
             let enrolled = ids.binary_search(id).is_ok();
-            more |= enrolled && !worker.enrolled;
-            worker.enrolled = enrolled;
+            more |= enrolled && !worker.in_stored_roster;
+            worker.in_stored_roster = enrolled;
         }
         more
     }
@@ -385,9 +389,9 @@
     pub fn has_quorum(&self, now: Ms) -> bool {
         let mut known = 0;
         let mut answered = 0;
-        for worker in self.workers.values().filter(|worker| worker.listed) {
+        for worker in self.workers.values().filter(|worker| worker.registered) {
             known += 1;
-            if worker.fenced && now.saturating_sub(worker.last_hold) <= self.options.quorum_validity
+            if worker.fenced && now.saturating_sub(worker.last_poll) <= self.options.quorum_validity
             {
                 answered += 1;
             }
@@ -403,6 +407,6 @@
             .job
             .steps
             .get(usize::from(key.step))?;
-        Some(step.room())
+        Some(step.demand())
     }
 }
--- a/crates/pool/src/query.rs
+++ b/crates/pool/src/query.rs
@@ -8,7 +8,7 @@
 use crate::advice::{self, Choice, Wanted, choose};
 use crate::command::{AdvisorQuery, Command};
 use crate::fit;
-use crate::job::{Advice, Job, Step};
+use crate::job::{AdvisorPolicy, Job, Step};
 use crate::mechanism::Mechanism;
 use crate::place::TICKET_SLACK;
 use crate::pool::Pool;
@@ -45,7 +45,7 @@
         overdue.sort();
         let lasts = |key: &StageKey| {
             let live = self.jobs.get(&key.job);
-            live.is_some_and(|live| live.job.lasting())
+            live.is_some_and(|live| live.job.is_long_running())
         };
         let (lasting, others): (Vec<_>, Vec<_>) =
             overdue.into_iter().partition(|(_, key)| lasts(key));
@@ -86,10 +86,12 @@
         self.jobs.get(&key.job)?.job.policy.advice?;
         let stage = self.stage(key)?;
         let mut tickets = stage.advised.allowed.values();
-        if stage.advised.asking.is_some() || tickets.any(|it| it.until > now + TICKET_SLACK) {
+        if stage.advised.query_since.is_some()
+            || tickets.any(|it| it.valid_until > now + TICKET_SLACK)
+        {
             return None;
         }
-        stage.opened.max(stage.advised.asked)
+        stage.opened.max(stage.advised.last_query)
     }
 
     /// Queries the advisor about workers with free capacity for tasks that could not be placed.
@@ -139,7 +141,12 @@
         let cheap = self.cheap(&advice).max(1);
         let takes = advice::takes(&advice, cheap);
         let lasts = |until: Ms| until > now + takes + TICKET_SLACK;
-        if stage.advised.allowed.values().any(|it| lasts(it.until)) {
+        if stage
+            .advised
+            .allowed
+            .values()
+            .any(|it| lasts(it.valid_until))
+        {
             return;
         }
         let choices = self.choices(now, key, job, step, step.count);
@@ -155,7 +162,7 @@
     }
 
     /// Number of workers that a query names in any case.
-    fn cheap(&self, advice: &Advice) -> usize {
+    fn cheap(&self, advice: &AdvisorPolicy) -> usize {
         if self.has(Mechanism::AdviceCheap) {
             advice::cheap(advice)
         } else {
@@ -165,8 +172,9 @@
 
     /// Whether a query about the step is in flight, or must not be sent yet after one that failed.
     fn asks_not(&self, now: Ms, key: &StageKey) -> bool {
-        self.stage(key)
-            .is_none_or(|stage| stage.advised.asking.is_some() || stage.advised.rest > now)
+        self.stage(key).is_none_or(|stage| {
+            stage.advised.query_since.is_some() || stage.advised.no_query_before > now
+        })
     }
 
     /// Workers that may be named in a query: those that are allowed for the step, that the advisor has not denied, and for
@@ -179,14 +187,14 @@
         let mut choices = Vec::new();
         for worker in self.workers.values() {
             if !fit::allowed(worker, &job.service, step)
-                || !worker.takes(now)
+                || !worker.accepts_starts(now)
                 || stage.advised.denied.contains(&worker.id)
             {
                 continue;
             }
             let ticket = stage.advised.allowed.get(&worker.id);
             if ticket.is_some_and(|ticket| {
-                ticket.until > now + TICKET_SLACK && ticket.born == worker.born
+                ticket.valid_until > now + TICKET_SLACK && ticket.incarnation == worker.incarnation
             }) {
                 continue;
             }
@@ -196,19 +204,25 @@
             } else {
                 need
             };
-            if most == 0 || fit::times(step.room(), worker.news.room) == 0 {
+            if most == 0 || fit::times(step.demand(), worker.info.capacity) == 0 {
                 continue;
             }
             choices.push(Choice {
                 worker: Arc::clone(&worker.id),
-                fits: fit::times(step.room(), worker.free()).min(most),
+                fits: fit::times(step.demand(), worker.free_capacity()).min(most),
                 known: ticket.is_some(),
             });
         }
         choices
     }
 
-    fn send_question(&mut self, now: Ms, key: &StageKey, advice: Advice, workers: Vec<WorkerId>) {
+    fn send_question(
+        &mut self,
+        now: Ms,
+        key: &StageKey,
+        advice: AdvisorPolicy,
+        workers: Vec<WorkerId>,
+    ) {
         if workers.is_empty() {
             return;
         }
@@ -216,8 +230,8 @@
         self.open_queries.insert(key.clone());
         self.query_count += 1;
         if let Some(stage) = self.stage_mut(key) {
-            stage.advised.asking = Some(now);
-            stage.advised.asked = Some(now);
+            stage.advised.query_since = Some(now);
+            stage.advised.last_query = Some(now);
             stage.timeline.asked(now);
         }
         self.commands.push(Command::Query(AdvisorQuery {
--- a/crates/pool/tests/advice.rs
+++ b/crates/pool/tests/advice.rs
@@ -5,8 +5,8 @@
 #[allow(dead_code, reason = "other test files use the rest")]
 mod simulation;
 
-use case::{adopt, end, hold, hold_all, list_workers, pool, run};
-use pool::{Advice, Answer, Command, How, Job, Options, Pool, Start};
+use case::{adopt, end, pool, register_workers, report, report_all, run};
+use pool::{AdvisorPolicy, Command, Job, Options, Pool, RunOutcome, Start, StartAnswer};
 use simulation::{UNIX, job};
 
 /// A pool whose two workers are full, and which may have four advisor queries in flight.
@@ -15,7 +15,7 @@
         max_queries: 4,
         ..Options::default()
     });
-    list_workers(&mut pool, 2);
+    register_workers(&mut pool, 2);
     adopt(
         &mut pool,
         1_000,
@@ -29,10 +29,10 @@
 /// A job of one task for which an advisor query takes half a second.
 fn job_with_slow_advice(id: &str, millicores: u64) -> Job {
     let mut advised = job(id, &[(1, millicores, 500)]);
-    advised.policy.advice = Some(Advice {
-        base: 490.0,
-        each: 7.0,
-        valid: 2_000,
+    advised.policy.advice = Some(AdvisorPolicy {
+        base_ms: 490.0,
+        per_worker_ms: 7.0,
+        ticket_lifetime: 2_000,
     });
     advised
 }
@@ -43,10 +43,10 @@
 fn advised_steps_need_a_ticket() {
     let mut pool = pool(3);
     let mut advised = job("00000000000000a1", &[(2, 3_000, 500)]);
-    advised.policy.advice = Some(Advice {
-        base: 20.0,
-        each: 1.0,
-        valid: 2_000,
+    advised.policy.advice = Some(AdvisorPolicy {
+        base_ms: 20.0,
+        per_worker_ms: 1.0,
+        ticket_lifetime: 2_000,
     });
     adopt(&mut pool, 1_000, advised);
     let orders = pool.schedule(1_001, UNIX);
@@ -58,7 +58,7 @@
         "the query is sent only once"
     );
     let rows = vec![(ask.workers[0].clone(), "t1".to_owned())];
-    pool.advised(1_050, ask, Some((&rows, 2_000)));
+    pool.advisor_answered(1_050, ask, Some((&rows, 2_000)));
     let orders = pool.schedule(1_051, UNIX);
     let Some(Command::Start(start)) = orders.first() else {
         panic!("{orders:?}");
@@ -67,9 +67,9 @@
         (start.ticket.as_str(), &start.worker),
         ("t1", &ask.workers[0])
     );
-    pool.answered(1_060, start, Answer::Ticket);
+    pool.start_answered(1_060, start, StartAnswer::Ticket);
     for id in ["w00", "w01", "w02"] {
-        hold(&mut pool, 1_070, &id.into(), vec![], vec![]);
+        report(&mut pool, 1_070, &id.into(), vec![], vec![]);
     }
     let again = pool.schedule(1_080, UNIX);
     let asked: Vec<_> = again
@@ -105,13 +105,13 @@
         "all workers, since each adds little time"
     );
     let first = running[0].worker.clone();
-    pool.advised(
+    pool.advisor_answered(
         1_550,
         ask,
         Some((&[(first.clone(), "t".to_owned())], 2_000)),
     );
-    let done = vec![end(&running[0], 1, How::Done)];
-    hold(&mut pool, 1_600, &first, vec![], done);
+    let done = vec![end(&running[0], 1, RunOutcome::Done)];
+    report(&mut pool, 1_600, &first, vec![], done);
     let started = run(&mut pool, 1_601);
     assert_eq!(started.len(), 1);
     assert_eq!(
@@ -138,10 +138,10 @@
     let mut pool = pool(4);
     let mut spread = job("00000000000000a2", &[(2, 100, 500)]);
     spread.steps[0].per_worker = 1;
-    spread.policy.advice = Some(Advice {
-        base: 20.0,
-        each: 1.0,
-        valid: 2_000,
+    spread.policy.advice = Some(AdvisorPolicy {
+        base_ms: 20.0,
+        per_worker_ms: 1.0,
+        ticket_lifetime: 2_000,
     });
     adopt(&mut pool, 1_000, spread);
     let orders = pool.schedule(1_001, UNIX);
@@ -149,12 +149,12 @@
         panic!("{orders:?}");
     };
     let rows = vec![(first.workers[0].clone(), "t1".to_owned())];
-    pool.advised(1_050, first, Some((&rows, 50)));
+    pool.advisor_answered(1_050, first, Some((&rows, 50)));
     // The first ticket has expired when the start is due; the second one lets the worker run one task.
-    pool.advised(1_051, first, Some((&rows, 2_000)));
+    pool.advisor_answered(1_051, first, Some((&rows, 2_000)));
     let started = run(&mut pool, 1_060);
     assert_eq!(started.len(), 1);
-    hold_all(&mut pool, 3_300, &started);
+    report_all(&mut pool, 3_300, &started);
     let orders = pool.schedule(3_400, UNIX);
     for order in &orders {
         if let Command::Query(ask) = order {
@@ -190,21 +190,21 @@
         max_queries: 4,
         ..Options::default()
     });
-    list_workers(&mut pool, 8);
+    register_workers(&mut pool, 8);
     for at in 0..too_large {
         let mut large = job_with_slow_advice(&format!("{at:016x}"), 1_000);
-        large.steps[0].lasting = true;
+        large.steps[0].long_running = true;
         large.steps[0].size = resource::Size::new(1_000_000, 1, 0);
         large.policy.priority = 1;
         adopt(&mut pool, 1_000, large);
     }
     let mut long_running = job_with_slow_advice("00000000000000c0", 1_000);
-    long_running.steps[0].lasting = true;
+    long_running.steps[0].long_running = true;
     long_running.policy.priority = 1;
     adopt(&mut pool, 1_000, long_running);
     let mut in_flight = Vec::new();
     for now in (1_010..4_010).step_by(100) {
-        hold_all(&mut pool, now, &[]);
+        report_all(&mut pool, now, &[]);
         for at in 0..4 {
             let mut short = job_with_slow_advice(&format!("{now:015x}{at}"), 100);
             short.accepted = UNIX + now;
@@ -213,7 +213,7 @@
         in_flight.retain(|(sent, ask): &(u64, pool::AdvisorQuery)| {
             let due = now - sent >= 300;
             if due {
-                pool.advised(now, ask, Some((&[], 2_000)));
+                pool.advisor_answered(now, ask, Some((&[], 2_000)));
             }
             !due
         });
@@ -237,13 +237,13 @@
         max_queries: 20,
         ..Options::default()
     });
-    list_workers(&mut pool, 60);
+    register_workers(&mut pool, 60);
     for at in 0..3 {
         let mut advised = job(&format!("00000000000000d{at}"), &[(4, 2_000, 500)]);
-        advised.policy.advice = Some(Advice {
-            base: 30.0,
-            each: 0.5,
-            valid: 2_000,
+        advised.policy.advice = Some(AdvisorPolicy {
+            base_ms: 30.0,
+            per_worker_ms: 0.5,
+            ticket_lifetime: 2_000,
         });
         adopt(&mut pool, 1_010, advised);
     }
--- a/crates/pool/tests/owner_changes.rs
+++ b/crates/pool/tests/owner_changes.rs
@@ -14,7 +14,7 @@
 /// A worker that has runs, as far as the first owner knows.
 fn busy_worker(world: &Simulation) -> WorkerId {
     let mut workers = world.owners[0].pool.workers();
-    let busy = workers.find(|worker| worker.free().millicores < 4_000);
+    let busy = workers.find(|worker| worker.free_capacity().millicores < 4_000);
     busy.expect("a task runs").id.clone()
 }
 
@@ -55,7 +55,7 @@
         if world.owners[0]
             .pool
             .worker(&id(at))
-            .is_some_and(|worker| worker.free().millicores < 4_000)
+            .is_some_and(|worker| worker.free_capacity().millicores < 4_000)
         {
             world.disconnect(&id(at), 2);
         }
@@ -89,7 +89,7 @@
     world.run_for(1_500);
     assert_eq!(world.stored("00000000000000bb"), Some(State::Completed));
     assert!(
-        !world.owners[1].pool.unseen().is_empty(),
+        !world.owners[1].pool.unconfirmed_workers().is_empty(),
         "the former owner's worker has still not answered"
     );
     world.run_for(16_000);
@@ -234,7 +234,7 @@
         .pool
         .worker("w00")
         .expect("the worker is known")
-        .news
+        .info
         .clone();
     news.draining = Some(2_000);
     let now = world.now;
@@ -344,7 +344,7 @@
     world.owners[0].stopped = true;
     world.start_owner();
     let now = world.now;
-    world.owners[1].pool.set_partial(now, true);
+    world.owners[1].pool.set_jobs_incomplete(now, true);
     world.conditions.store_up = true;
     world.run_for(5_000);
     for at in 10..14 {
@@ -359,7 +359,7 @@
         world.publish(job);
     }
     let now = world.now;
-    world.owners[1].pool.set_partial(now, false);
+    world.owners[1].pool.set_jobs_incomplete(now, false);
     world.run_for(5_000);
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), 0);
