--- a/crates/pool/src/advice.rs
+++ b/crates/pool/src/advice.rs
@@ -16,27 +16,27 @@
 
 /// A worker that a query may name.
 #[derive(Clone, Debug)]
-pub struct Choice {
+pub struct Candidate {
     /// The worker.
     pub worker: WorkerId,
     /// How many of the waiting tasks fit into its free capacity.
     pub fits: u32,
     /// It was allowed before, and only its ticket has expired.
-    pub known: bool,
+    pub allowed_before: bool,
 }
 
 /// Factor by which a query exceeds what the observed approval rate demands. The rate varies from step to step by about a
 /// third.
-const SPARE: f64 = 1.35;
+const OVERSHOOT: f64 = 1.35;
 
 /// Workers beyond those needed may add up to this share of a query's fixed time.
-const CHEAP: f64 = 0.25;
+const FREE_TIME_SHARE: f64 = 0.25;
 
 /// Number of workers that a query may name in any case: together they add little to its fixed time.
 #[must_use]
-pub fn cheap(advice: &Advice) -> usize {
+pub fn min_query_size(advice: &Advice) -> usize {
     if advice.each > 0.0 {
-        (advice.base * CHEAP / advice.each) as usize
+        (advice.base * FREE_TIME_SHARE / advice.each) as usize
     } else {
         usize::MAX
     }
@@ -44,34 +44,34 @@
 
 /// Time that a query about this many workers takes.
 #[must_use]
-pub fn takes(advice: &Advice, workers: usize) -> Ms {
+pub fn query_duration(advice: &Advice, workers: usize) -> Ms {
     (advice.base + advice.each * workers as f64) as Ms
 }
 
 /// Requirements of a query.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
+pub struct Requirements {
     /// Number of waiting tasks.
-    pub need: u32,
+    pub tasks: u32,
     /// Observed share of workers that the advisor allows.
-    pub yes: f64,
+    pub approval_rate: f64,
     /// Maximum number of workers in the query.
-    pub most: usize,
+    pub max_workers: usize,
     /// Minimum number of workers in the query, if there are so many.
-    pub cheap: usize,
+    pub min_workers: usize,
     /// Seed of the order among equal workers. It differs from step to step, so that queries name different workers.
     pub seed: u64,
 }
 
-impl Wanted {
+impl Requirements {
     /// Number of tasks that should fit on each worker, so that the smallest query is enough.
-    fn each(&self) -> u32 {
-        let allowed = (self.cheap as f64 * self.yes).max(1.0);
-        let each = f64::from(self.need) * SPARE / allowed;
+    fn tasks_per_worker(&self) -> u32 {
+        let approved = (self.min_workers as f64 * self.approval_rate).max(1.0);
+        let each = f64::from(self.tasks) * OVERSHOOT / approved;
         each.ceil().max(1.0) as u32
     }
 
-    fn draw(&self, worker: &WorkerId) -> u64 {
+    fn tie_breaker(&self, worker: &WorkerId) -> u64 {
         FxBuildHasher.hash_one((self.seed, worker))
     }
 }
@@ -82,34 +82,43 @@
 /// capacity taken.
 ///
 /// ```
-/// use pool::advice::{Choice, Wanted, choose};
+/// use pool::advice::{Candidate, Requirements, choose_workers};
 ///
-/// let all: Vec<Choice> = (0..40)
-///     .map(|at| Choice { worker: format!("w{at}").into(), fits: 2, known: false })
+/// let all: Vec<Candidate> = (0..40)
+///     .map(|at| Candidate { worker: format!("w{at}").into(), fits: 2, allowed_before: false })
 ///     .collect();
-/// let wanted = Wanted { need: 4, yes: 0.5, most: 30, cheap: 0, seed: 1 };
-/// assert_eq!(choose(&wanted, &all).len(), 6);
-/// assert_eq!(choose(&Wanted { cheap: 17, ..wanted }, &all).len(), 17);
+/// let required = Requirements { tasks: 4, approval_rate: 0.5, max_workers: 30, min_workers: 0, seed: 1 };
+/// assert_eq!(choose_workers(&required, &all).len(), 6);
+/// assert_eq!(choose_workers(&Requirements { min_workers: 17, ..required }, &all).len(), 17);
 /// ```
 #[must_use]
-pub fn choose(wanted: &Wanted, choices: &[Choice]) -> Vec<WorkerId> {
-    let each = wanted.each();
-    let mut order: Vec<&Choice> = choices.iter().collect();
-    order.sort_by_cached_key(|choice| {
-        let fits = choice.fits.min(each);
-        let known = choice.known && fits > 0;
-        Reverse((known, fits, choice.known, wanted.draw(&choice.worker)))
+pub fn choose_workers(required: &Requirements, candidates: &[Candidate]) -> Vec<WorkerId> {
+    let each = required.tasks_per_worker();
+    let mut sorted: Vec<&Candidate> = candidates.iter().collect();
+    sorted.sort_by_cached_key(|candidate| {
+        let fits = candidate.fits.min(each);
+        let usable = candidate.allowed_before && fits > 0;
+        Reverse((
+            usable,
+            fits,
+            candidate.allowed_before,
+            required.tie_breaker(&candidate.worker),
+        ))
     });
     let mut expected = 0.0;
     let mut chosen = Vec::new();
-    for choice in order {
-        let enough = expected >= f64::from(wanted.need) * SPARE || choice.fits == 0;
-        if chosen.len() >= wanted.most || enough && chosen.len() >= wanted.cheap {
+    for candidate in sorted {
+        let enough = expected >= f64::from(required.tasks) * OVERSHOOT || candidate.fits == 0;
+        if chosen.len() >= required.max_workers || enough && chosen.len() >= required.min_workers {
             break;
         }
-        let yes = if choice.known { 1.0 } else { wanted.yes };
-        expected += f64::from(choice.fits.min(wanted.need)) * yes;
-        chosen.push(choice.worker.clone());
+        let approval = if candidate.allowed_before {
+            1.0
+        } else {
+            required.approval_rate
+        };
+        expected += f64::from(candidate.fits.min(required.tasks)) * approval;
+        chosen.push(candidate.worker.clone());
     }
     chosen
 }
--- a/crates/pool/src/fit.rs
+++ b/crates/pool/src/fit.rs
@@ -22,11 +22,11 @@
     /// The current time.
     pub now: Ms,
     /// Factor by which the task is slower on another rack than that of its data.
-    pub far_factor: f64,
+    pub remote_penalty: f64,
     /// Number of tasks of the step that run on the worker.
-    pub same: u32,
+    pub same_step: u32,
     /// Number of tasks of the step that this scheduling pass has assigned to the worker.
-    pub placed: u32,
+    pub assigned: u32,
     /// Number of latency-sensitive tasks on the worker.
     pub latency_sensitive: u32,
     /// Number of best-effort tasks on the worker.
@@ -34,9 +34,9 @@
     /// The suspicion that the task crashes its workers.
     pub suspicion: Suspicion,
     /// Highest number of crashes of any suspect on the worker that may still crash it; 0 if there is none.
-    pub trial: usize,
+    pub suspect_crashes: usize,
     /// Capacity of the service's workers and its use, which tell what is scarce.
-    pub scarce: ServiceCapacity,
+    pub service_capacity: ServiceCapacity,
     /// All workers with enough free capacity cost the same, so the first one by id is chosen.
     pub first_fit: bool,
 }
@@ -56,19 +56,19 @@
     if !size.fits(free) || !worker.takes(context.now) {
         return None;
     }
-    if step.per_worker > 0 && context.same >= step.per_worker {
+    if step.per_worker > 0 && context.same_step >= step.per_worker {
         return None;
     }
-    if context.trial >= CRASHES_ALONE {
+    if context.suspect_crashes >= CRASHES_ALONE {
         return None;
     }
     let suspicion = context.suspicion;
     // The worker may have been lost in the same event as the one that the task ran on.
     let unproven = worker.last_hold <= suspicion.since;
-    if suspicion.crashes >= CRASHES_ALONE && (context.trial > 0 || unproven) {
+    if suspicion.crashes >= CRASHES_ALONE && (context.suspect_crashes > 0 || unproven) {
         return None;
     }
-    if worker.doubt >= SUSPECT_SCORE && (context.placed > 0 || !worker.runs.is_empty()) {
+    if worker.doubt >= SUSPECT_SCORE && (context.assigned > 0 || !worker.runs.is_empty()) {
         return None;
     }
     if context.first_fit {
@@ -79,7 +79,7 @@
         && worker.news.rack != step.near
         && !worker.news.labels.contains(&step.near)
     {
-        cost *= context.far_factor.max(1.0);
+        cost *= context.remote_penalty.max(1.0);
     }
     if step.fills {
         // Best-effort tasks use only processors that others leave free, and slow down latency-sensitive ones.
@@ -88,29 +88,32 @@
     } else {
         // Best fit keeps large blocks of free capacity for large tasks.
         let left = free.minus(size).unwrap_or_default();
-        cost += 0.2 * context.scarce.weighted_free_share(left, worker.news.room);
+        cost += 0.2
+            * context
+                .service_capacity
+                .weighted_free_share(left, worker.news.room);
     }
     if step.target > 0 {
         cost += 1.0 * f64::from(context.best_effort) + 0.1 * f64::from(context.latency_sensitive);
     }
     if suspicion.crashes > 0 {
         // Prefers workers without other suspects, that are likely to stay up, and where another crash loses least.
-        cost += SUSPECT_COLOCATION_COST * context.trial as f64;
+        cost += SUSPECT_COLOCATION_COST * context.suspect_crashes as f64;
         let new = context.now.saturating_sub(worker.life_since) < STABLE_AFTER;
         cost += UNPROVEN_WORKER_COST * (f64::from(u8::from(unproven)) + f64::from(u8::from(new)));
         cost += 1.0 - free.millicores as f64 / worker.news.room.millicores.max(1) as f64;
     }
     if step.lasting {
-        cost += 0.05 * f64::from(context.same);
+        cost += 0.05 * f64::from(context.same_step);
     }
     Some(cost)
 }
 
 /// How many tasks of this size fit into a capacity.
-pub(crate) fn times(size: Size, room: Size) -> u32 {
-    let part = |size: u64, room: u64| room.checked_div(size).unwrap_or(u64::MAX);
-    part(size.millicores, room.millicores)
-        .min(part(size.memory_mib, room.memory_mib))
-        .min(part(size.accelerators, room.accelerators))
+pub(crate) fn count_fitting(size: Size, capacity: Size) -> u32 {
+    let fitting = |size: u64, capacity: u64| capacity.checked_div(size).unwrap_or(u64::MAX);
+    fitting(size.millicores, capacity.millicores)
+        .min(fitting(size.memory_mib, capacity.memory_mib))
+        .min(fitting(size.accelerators, capacity.accelerators))
         .min(1_000) as u32
 }
--- a/crates/pool/src/load.rs
+++ b/crates/pool/src/load.rs
@@ -25,19 +25,23 @@
     /// The current load of the pool.
     #[must_use]
     pub fn load(&self) -> Load {
-        let (mut used, mut room) = (0, 0);
+        let (mut used, mut total) = (0, 0);
         let mut labels = BTreeSet::new();
         for worker in self.workers.values().filter(|worker| worker.listed) {
             used += worker.used.millicores;
-            room += worker.news.room.millicores;
-            let own = worker.news.labels.iter();
-            labels.extend(own.filter(|label| **label != worker.news.rack));
+            total += worker.news.room.millicores;
+            let labels_of_worker = worker.news.labels.iter();
+            labels.extend(labels_of_worker.filter(|label| **label != worker.news.rack));
         }
-        let waits: u64 = self.open.iter().map(|key| self.waiting(key)).sum();
-        let share = |part: u64| part as f64 / room.max(1) as f64;
+        let waiting: u64 = self
+            .open
+            .iter()
+            .map(|key| self.waiting_millicores(key))
+            .sum();
+        let share = |part: u64| part as f64 / total.max(1) as f64;
         Load {
             used: share(used),
-            demand: share(used + waits),
+            demand: share(used + waiting),
             open_steps: self.open.len(),
             labels: labels.into_iter().cloned().collect(),
             services: self.service_capacities().into_iter().collect(),
@@ -45,7 +49,7 @@
     }
 
     /// Millicores that the tasks of a step that have neither a run nor ended would take.
-    fn waiting(&self, key: &StageKey) -> u64 {
+    fn waiting_millicores(&self, key: &StageKey) -> u64 {
         let (Some(stage), Some(size)) = (self.stage(key), self.size(key)) else {
             return 0;
         };
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -28,10 +28,10 @@
 
 impl Pool {
     /// Starts waiting tasks in the order of their ranks, as far as there is free capacity.
-    pub(crate) fn place(&mut self, now: Ms) {
-        let scarce = self.service_capacities();
+    pub(crate) fn place_tasks(&mut self, now: Ms) {
+        let capacities = self.service_capacities();
         self.find_trials();
-        let mut order: Vec<(Rank, StageKey)> = Vec::new();
+        let mut ranked: Vec<(Rank, StageKey)> = Vec::new();
         for key in &self.open {
             let Some(live) = self.jobs.get(&key.job) else {
                 continue;
@@ -43,15 +43,18 @@
                 continue;
             };
             if stage.opened.is_some() && stage.tasks.iter().any(|task| task.waits(now)) {
-                let scarce = scarce.get(&live.job.service).copied().unwrap_or_default();
-                order.push((self.rank(now, live, key, &scarce), key.clone()));
+                let capacity = capacities
+                    .get(&live.job.service)
+                    .copied()
+                    .unwrap_or_default();
+                ranked.push((self.rank(now, live, key, &capacity), key.clone()));
             }
         }
-        order.sort();
-        self.ask_overdue(now, &order);
+        ranked.sort();
+        self.query_overdue(now, &ranked);
         let mut mix: Option<TaskMix> = None;
         let mut starts = 0;
-        for (_, key) in &order {
+        for (_, key) in &ranked {
             if starts >= MAX_STARTS {
                 break;
             }
@@ -63,46 +66,47 @@
                 continue;
             };
             if step.fills || step.target > 0 {
-                mix.get_or_insert_with(|| self.mix());
+                mix.get_or_insert_with(|| self.count_mix());
             }
             let empty = TaskMix::default();
-            let scarce = scarce.get(&job.service).copied().unwrap_or_default();
+            let capacity = capacities.get(&job.service).copied().unwrap_or_default();
             let mix = mix.as_ref().unwrap_or(&empty);
-            starts += self.place_stage(now, key, &job, step, mix, &scarce);
+            starts += self.place_stage(now, key, &job, step, mix, &capacity);
         }
-        for (_, key) in &order {
+        for (_, key) in &ranked {
             let Some(live) = self.jobs.get(&key.job) else {
                 continue;
             };
             let job = Arc::clone(&live.job);
             if let Some(step) = job.steps.get(usize::from(key.step)) {
-                self.ask_ahead(now, key, &job, step);
+                self.query_ahead(now, key, &job, step);
             }
         }
     }
 
-    fn rank(&self, now: Ms, live: &Live, key: &StageKey, scarce: &ServiceCapacity) -> Rank {
+    fn rank(&self, now: Ms, live: &Live, key: &StageKey, capacity: &ServiceCapacity) -> Rank {
         let job = &live.job;
-        let scale = self.queue_stats.duration_ratio(&job.queue);
-        let scaled = |chain: Ms| (chain as f64 * scale) as Ms;
-        let course = live.open.get(&key.occurrence);
+        let ratio = self.queue_stats.duration_ratio(&job.queue);
+        let scaled = |chain: Ms| (chain as f64 * ratio) as Ms;
+        let occurrence = live.open.get(&key.occurrence);
         let since = if job.schedule.is_some() {
-            course.map_or(live.since, |course| course.due)
+            occurrence.map_or(live.since, |occurrence| occurrence.due)
         } else {
             live.since
         };
-        let work: f64 = course.map_or(0.0, |course| {
-            course
+        let work: f64 = occurrence.map_or(0.0, |occurrence| {
+            occurrence
                 .stages
                 .iter()
                 .zip(&job.steps)
                 .map(|(stage, step)| {
                     let left = (stage.tasks.len() - stage.done) as f64;
-                    left * step.estimate as f64 * scarce.dominant_share(step.size)
+                    left * step.estimate as f64 * capacity.dominant_share(step.size)
                 })
                 .sum()
         });
         if !self.has(Mechanism::Order) {
+            // The rank is the time of arrival.
             return Rank {
                 work: since,
                 ..Rank::default()
@@ -128,7 +132,7 @@
     }
 
     /// Counts the latency-sensitive and the best-effort tasks on each worker.
-    pub(crate) fn mix(&self) -> TaskMix {
+    pub(crate) fn count_mix(&self) -> TaskMix {
         let mut mix = TaskMix::default();
         for worker in self.workers.values() {
             let mut counts = (0, 0);
@@ -157,7 +161,7 @@
         job: &Arc<Job>,
         step: &Step,
         mix: &TaskMix,
-        scarce: &ServiceCapacity,
+        capacity: &ServiceCapacity,
     ) -> usize {
         let Some(stage) = self.stage(key) else {
             return 0;
@@ -177,10 +181,11 @@
             // The members start together, so all of them have to be waiting.
             return 0;
         }
-        let same = stage.spread();
-        let places = self.assign(now, key, job, step, &suspicions, &same, mix, scarce);
+        let same_step = stage.spread();
+        let assigned =
+            self.find_workers(now, key, job, step, &suspicions, &same_step, mix, capacity);
         let all_placed = if step.gang {
-            places.len() == waiting.len()
+            assigned.len() == waiting.len()
         } else {
             true
         };
@@ -191,19 +196,26 @@
             } else {
                 0
             };
-            let saved = if step.gang {
+            let checkpoint = if step.gang {
                 self.gang_checkpoint(key)
             } else {
                 None
             };
-            for (&index, worker) in waiting.iter().zip(&places) {
-                self.start(now, &key.task(index), job, worker, number, saved.as_deref());
+            for (&index, worker) in waiting.iter().zip(&assigned) {
+                self.start_task(
+                    now,
+                    &key.task(index),
+                    job,
+                    worker,
+                    number,
+                    checkpoint.as_deref(),
+                );
                 started += 1;
             }
         }
         let left = (waiting.len() - started) as u32;
         if left > 0 && job.policy.advice.is_some() {
-            self.ask(now, key, job, step, left);
+            self.query_advisor(now, key, job, step, left);
         }
         started
     }
@@ -211,101 +223,101 @@
     /// The checkpoint from which all members of a gang resume.
     fn gang_checkpoint(&self, key: &StageKey) -> Option<String> {
         let stage = self.stage(key)?;
-        let saved = stage.tasks.iter().map(|task| &task.saved).max()?;
-        Some(saved.clone())
+        let checkpoint = stage.tasks.iter().map(|task| &task.saved).max()?;
+        Some(checkpoint.clone())
     }
 
     /// Finds a worker for each task in turn, given the suspicion against it, until there is none.
     #[expect(clippy::too_many_arguments, reason = "one call, all of it read only")]
-    fn assign(
+    fn find_workers(
         &self,
         now: Ms,
         key: &StageKey,
         job: &Job,
         step: &Step,
         suspicions: &[Suspicion],
-        same: &FxHashMap<WorkerId, u32>,
+        same_step: &FxHashMap<WorkerId, u32>,
         mix: &TaskMix,
-        scarce: &ServiceCapacity,
+        capacity: &ServiceCapacity,
     ) -> Vec<WorkerId> {
         let Some(stage) = self.stage(key) else {
             return Vec::new();
         };
-        let mut choices: Vec<(&crate::worker::Worker, Size, Context)> = Vec::new();
+        let mut candidates: Vec<(&crate::worker::Worker, Size, Context)> = Vec::new();
         for worker in self.workers.values() {
             if !fit::allowed(worker, &job.service, step) {
                 continue;
             }
             if job.policy.advice.is_some() {
                 let ticket = stage.advised.allowed.get(&worker.id);
-                let holds = ticket.is_some_and(|ticket| {
+                let valid = ticket.is_some_and(|ticket| {
                     ticket.until > now + TICKET_SLACK && ticket.born == worker.born
                 });
-                if !holds {
+                if !valid {
                     continue;
                 }
             }
-            let (serving, filling) = mix.get(&worker.id).copied().unwrap_or_default();
+            let (latency_sensitive, best_effort) = mix.get(&worker.id).copied().unwrap_or_default();
             let context = Context {
                 now,
-                far_factor: self.options.remote_penalty,
-                same: same.get(&worker.id).copied().unwrap_or(0),
-                placed: 0,
-                latency_sensitive: serving,
-                best_effort: filling,
+                remote_penalty: self.options.remote_penalty,
+                same_step: same_step.get(&worker.id).copied().unwrap_or(0),
+                assigned: 0,
+                latency_sensitive,
+                best_effort,
                 suspicion: Suspicion::default(),
-                trial: self
+                suspect_crashes: self
                     .suspects_by_worker
                     .get(&worker.id)
                     .copied()
                     .unwrap_or(0),
-                scarce: *scarce,
+                service_capacity: *capacity,
                 first_fit: !self.has(Mechanism::BestFit),
             };
-            choices.push((worker, worker.free(), context));
+            candidates.push((worker, worker.free(), context));
         }
         if step.gang && step.same_rack {
-            let mut racks: Vec<&str> = choices
+            let mut racks: Vec<&str> = candidates
                 .iter()
                 .map(|(worker, ..)| worker.news.rack.as_str())
                 .collect();
             racks.sort_unstable();
             racks.dedup();
             for rack in racks {
-                let mut within: Vec<_> = choices
+                let mut in_rack: Vec<_> = candidates
                     .iter()
                     .filter(|(worker, ..)| worker.news.rack == rack)
                     .copied()
                     .collect();
-                let places = fill(&mut within, step, suspicions);
-                if places.len() == suspicions.len() {
-                    return places;
+                let assigned = assign_greedily(&mut in_rack, step, suspicions);
+                if assigned.len() == suspicions.len() {
+                    return assigned;
                 }
             }
         }
-        fill(&mut choices, step, suspicions)
+        assign_greedily(&mut candidates, step, suspicions)
     }
 
     /// Records a run of a task and queues the command that starts it.
-    fn start(
+    fn start_task(
         &mut self,
         now: Ms,
         key: &TaskKey,
         job: &Arc<Job>,
         worker: &WorkerId,
         number: u32,
-        saved: Option<&str>,
+        checkpoint: Option<&str>,
     ) {
-        let life = self.options.command_ttl;
+        let ttl = self.options.command_ttl;
         let live = self.jobs.get(&key.stage.job);
         let inherited = live.is_some_and(|live| live.inherited);
-        let Some(host) = self.workers.get_mut(worker) else {
+        let Some(target) = self.workers.get_mut(worker) else {
             return;
         };
-        let latest = host.clock(now) + life;
+        let start_deadline = target.clock(now) + ttl;
         // A start acts as a lease until its deadline, and the worker's clock may be 2% slow. 400 ms cover the network,
         // timers and rounding, as for any lease.
-        host.lapses = host.lapses.max(now + life + life / 33 + 400);
+        target.lapses = target.lapses.max(now + ttl + ttl / 33 + 400);
         let ticket = self
             .stage(&key.stage)
             .and_then(|stage| stage.advised.allowed.get(worker))
@@ -315,26 +327,26 @@
         };
         let number = number.max(task.top + 1);
         task.top = number;
-        if let Some(saved) = saved {
-            saved.clone_into(&mut task.saved);
+        if let Some(checkpoint) = checkpoint {
+            checkpoint.clone_into(&mut task.saved);
         }
-        let saved = task.saved.clone();
+        let checkpoint = task.saved.clone();
         let crashes = task.crashes();
         let noted = task.note_trial(number, inherited);
         task.run = Some(Run {
             // A task with so many crashes starts only on a worker that has answered since the last of them.
             proven: crashes >= CRASHES_ALONE,
-            ..Run::new(number, Arc::clone(worker), now, latest)
+            ..Run::new(number, Arc::clone(worker), now, start_deadline)
         });
         self.attach(key, worker, number);
         if noted {
             self.suspects.insert(key.clone());
             self.mark_dirty(&key.stage.job);
-            let trial = self
+            let most_crashes = self
                 .suspects_by_worker
                 .entry(Arc::clone(worker))
                 .or_default();
-            *trial = (*trial).max(crashes);
+            *most_crashes = (*most_crashes).max(crashes);
         }
         self.unconfirmed_runs.insert(key.clone());
         self.retry_budget.earn();
@@ -346,8 +358,8 @@
             run: number,
             worker: Arc::clone(worker),
             job: Arc::clone(job),
-            start_deadline: latest,
-            checkpoint: saved,
+            start_deadline,
+            checkpoint,
             ticket,
             crashes,
         }));
@@ -359,34 +371,34 @@
 }
 
 /// Assigns each task to the worker with the lowest cost, until none has capacity.
-fn fill(
-    choices: &mut [(&crate::worker::Worker, Size, Context)],
+fn assign_greedily(
+    candidates: &mut [(&crate::worker::Worker, Size, Context)],
     step: &Step,
     suspicions: &[Suspicion],
 ) -> Vec<WorkerId> {
     let size = step.room();
-    let mut places = Vec::new();
+    let mut assigned = Vec::new();
     for &suspicion in suspicions {
-        let best = choices
+        let best = candidates
             .iter_mut()
             .filter(|(_, free, _)| size.fits(*free))
-            .filter_map(|choice| {
+            .filter_map(|candidate| {
                 let context = Context {
                     suspicion,
-                    ..choice.2
+                    ..candidate.2
                 };
-                let cost = fit::cost(choice.0, step, choice.1, &context)?;
-                Some((cost, choice))
+                let cost = fit::cost(candidate.0, step, candidate.1, &context)?;
+                Some((cost, candidate))
             })
             .min_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.0.id.cmp(&b.1.0.id)));
-        let Some((_, choice)) = best else { break };
-        choice.1 = choice.1.minus(size).unwrap_or_default();
-        choice.2.same += 1;
-        choice.2.placed += 1;
-        choice.2.trial = choice.2.trial.max(suspicion.crashes);
-        choice.2.latency_sensitive += u32::from(step.target > 0);
-        choice.2.best_effort += u32::from(step.fills);
-        places.push(Arc::clone(&choice.0.id));
+        let Some((_, candidate)) = best else { break };
+        candidate.1 = candidate.1.minus(size).unwrap_or_default();
+        candidate.2.same_step += 1;
+        candidate.2.assigned += 1;
+        candidate.2.suspect_crashes = candidate.2.suspect_crashes.max(suspicion.crashes);
+        candidate.2.latency_sensitive += u32::from(step.target > 0);
+        candidate.2.best_effort += u32::from(step.fills);
+        assigned.push(Arc::clone(&candidate.0.id));
     }
-    places
+    assigned
 }
--- a/crates/pool/src/query.rs
+++ b/crates/pool/src/query.rs
@@ -5,7 +5,7 @@
 
 use rustc_hash::FxBuildHasher;
 
-use crate::advice::{self, Choice, Wanted, choose};
+use crate::advice::{self, Candidate, Requirements, choose_workers};
 use crate::command::{AdvisorQuery, Command};
 use crate::fit;
 use crate::job::{Advice, Job, Step};
@@ -16,14 +16,14 @@
 use crate::task::{Ms, StageKey, WorkerId};
 
 /// Queries ahead of need may take only one in this many of the queries that may be in flight at once.
-const LEFT_TO_OTHERS: usize = 2;
+const AHEAD_DIVISOR: usize = 2;
 /// A step that has waited this long for a query may be queried out of rank order.
-const OVERDUE_MS: Ms = 1_000;
+const OVERDUE_AFTER: Ms = 1_000;
 /// One in this many queries may be sent out of rank order.
-const OVERDUE_SHARE: usize = 4;
+const OVERDUE_DIVISOR: usize = 4;
 /// Maximum number of steps that a scheduling pass considers for a query out of rank order, of long-running and of other
 /// jobs each. Without free capacity no query results, and thousands of steps may be waiting.
-const OVERDUE_LOOKS: usize = 32;
+const MAX_OVERDUE_CANDIDATES: usize = 32;
 
 impl Pool {
     /// Queries the advisor, out of rank order, about steps that have waited too long for a query: those of long-running
@@ -31,28 +31,29 @@
     ///
     /// Highly ranked work can take all of the advisor's time while most of the capacity is free. If queries followed the
     /// ranks alone, other work would wait for as long as that lasts.
-    pub(crate) fn ask_overdue(&mut self, now: Ms, order: &[(Rank, StageKey)]) {
-        if !self.may_ask_out_of_turn() {
+    pub(crate) fn query_overdue(&mut self, now: Ms, order: &[(Rank, StageKey)]) {
+        if !self.may_query_overdue() {
             return;
         }
         let mut overdue: Vec<_> = order
             .iter()
             .filter_map(|(_, key)| {
-                let since = self.unasked_since(now, key)?;
-                (since + OVERDUE_MS <= now).then_some((since, key))
+                let since = self.awaiting_query_since(now, key)?;
+                (since + OVERDUE_AFTER <= now).then_some((since, key))
             })
             .collect();
         overdue.sort();
-        let lasts = |key: &StageKey| {
+        let is_long_running = |key: &StageKey| {
             let live = self.jobs.get(&key.job);
             live.is_some_and(|live| live.job.lasting())
         };
-        let (lasting, others): (Vec<_>, Vec<_>) =
-            overdue.into_iter().partition(|(_, key)| lasts(key));
-        let turn = self.overdue_considered;
-        self.overdue_considered += OVERDUE_LOOKS;
-        for (_, key) in in_turn(lasting, turn).chain(in_turn(others, turn)) {
-            if !self.may_ask_out_of_turn() {
+        let (long_running, others): (Vec<_>, Vec<_>) = overdue
+            .into_iter()
+            .partition(|(_, key)| is_long_running(key));
+        let start = self.overdue_considered;
+        self.overdue_considered += MAX_OVERDUE_CANDIDATES;
+        for (_, key) in rotated(long_running, start).chain(rotated(others, start)) {
+            if !self.may_query_overdue() {
                 return;
             }
             let Some(live) = self.jobs.get(&key.job) else {
@@ -63,26 +64,26 @@
             else {
                 continue;
             };
-            let need = stage.tasks.iter().filter(|task| task.waits(now)).count();
-            self.ask(now, key, &job, step, need as u32);
+            let waiting = stage.tasks.iter().filter(|task| task.waits(now)).count();
+            self.query_advisor(now, key, &job, step, waiting as u32);
             if self.open_queries.contains(key) {
                 self.overdue_queries.insert(key.clone());
             }
         }
     }
 
-    fn may_ask_out_of_turn(&self) -> bool {
-        let most = self.options.max_queries / OVERDUE_SHARE;
-        if most > 0 {
-            self.overdue_queries.len() < most
+    fn may_query_overdue(&self) -> bool {
+        let max_queries = self.options.max_queries / OVERDUE_DIVISOR;
+        if max_queries > 0 {
+            self.overdue_queries.len() < max_queries
         } else {
-            self.query_count.is_multiple_of(OVERDUE_SHARE)
+            self.query_count.is_multiple_of(OVERDUE_DIVISOR)
         }
     }
 
     /// Since when a step has been waiting for a query; `None` if it isn't waiting, as it has a valid ticket, has a query in
     /// flight, or needs no ticket.
-    fn unasked_since(&self, now: Ms, key: &StageKey) -> Option<Ms> {
+    fn awaiting_query_since(&self, now: Ms, key: &StageKey) -> Option<Ms> {
         self.jobs.get(&key.job)?.job.policy.advice?;
         let stage = self.stage(key)?;
         let mut tickets = stage.advised.allowed.values();
@@ -93,90 +94,109 @@
     }
 
     /// Queries the advisor about workers with free capacity for tasks that could not be placed.
-    pub(crate) fn ask(&mut self, now: Ms, key: &StageKey, job: &Job, step: &Step, need: u32) {
+    pub(crate) fn query_advisor(
+        &mut self,
+        now: Ms,
+        key: &StageKey,
+        job: &Job,
+        step: &Step,
+        tasks: u32,
+    ) {
         let Some(advice) = job.policy.advice else {
             return;
         };
-        if self.open_queries.len() >= self.options.max_queries || self.asks_not(now, key) {
+        if self.open_queries.len() >= self.options.max_queries || self.is_query_blocked(now, key) {
             return;
         }
-        let choices = self.choices(now, key, job, step, need);
-        if choices.iter().all(|choice| choice.fits == 0) {
+        let candidates = self.candidates(now, key, job, step, tasks);
+        if candidates.iter().all(|candidate| candidate.fits == 0) {
             return;
         }
-        let yes = self.queue_stats.approval_rate(&job.queue);
-        let need = if self.has(Mechanism::AdviceShare) {
-            need
+        let approval_rate = self.queue_stats.approval_rate(&job.queue);
+        let tasks = if self.has(Mechanism::AdviceShare) {
+            tasks
         } else {
             u32::MAX
         };
-        let wanted = Wanted {
-            need,
-            yes,
-            most: self.options.max_query_workers,
-            cheap: self.cheap(&advice),
+        let required = Requirements {
+            tasks,
+            approval_rate,
+            max_workers: self.options.max_query_workers,
+            min_workers: self.min_query_size(&advice),
             seed: FxBuildHasher.hash_one(key),
         };
-        let workers = choose(&wanted, &choices);
-        self.send_question(now, key, advice, workers);
+        let workers = choose_workers(&required, &candidates);
+        self.send_query(now, key, advice, workers);
     }
 
     /// Queries the advisor about a step before any worker has free capacity for it, if the advisor has time. With the answer
     /// and a ticket at hand, capacity is used as soon as it becomes free; otherwise it would stay idle for as long as a query
     /// takes.
-    pub(crate) fn ask_ahead(&mut self, now: Ms, key: &StageKey, job: &Job, step: &Step) {
+    pub(crate) fn query_ahead(&mut self, now: Ms, key: &StageKey, job: &Job, step: &Step) {
         let Some(advice) = job.policy.advice else {
             return;
         };
         if !self.has(Mechanism::AdviceAhead) {
             return;
         }
-        let most = self.options.max_queries / LEFT_TO_OTHERS;
-        if self.open_queries.len() >= most || self.asks_not(now, key) {
+        let max_queries = self.options.max_queries / AHEAD_DIVISOR;
+        if self.open_queries.len() >= max_queries || self.is_query_blocked(now, key) {
             return;
         }
         let Some(stage) = self.stage(key) else { return };
-        let cheap = self.cheap(&advice).max(1);
-        let takes = advice::takes(&advice, cheap);
-        let lasts = |until: Ms| until > now + takes + TICKET_SLACK;
-        if stage.advised.allowed.values().any(|it| lasts(it.until)) {
+        let min_workers = self.min_query_size(&advice).max(1);
+        let duration = advice::query_duration(&advice, min_workers);
+        let outlasts_query = |until: Ms| until > now + duration + TICKET_SLACK;
+        if stage
+            .advised
+            .allowed
+            .values()
+            .any(|it| outlasts_query(it.until))
+        {
             return;
         }
-        let choices = self.choices(now, key, job, step, step.count);
-        let wanted = Wanted {
-            need: 0,
-            yes: 1.0,
-            most: self.options.max_query_workers,
-            cheap,
+        let candidates = self.candidates(now, key, job, step, step.count);
+        let required = Requirements {
+            tasks: 0,
+            approval_rate: 1.0,
+            max_workers: self.options.max_query_workers,
+            min_workers,
             seed: FxBuildHasher.hash_one(key),
         };
-        let workers = choose(&wanted, &choices);
-        self.send_question(now, key, advice, workers);
+        let workers = choose_workers(&required, &candidates);
+        self.send_query(now, key, advice, workers);
     }
 
     /// Number of workers that a query names in any case.
-    fn cheap(&self, advice: &Advice) -> usize {
+    fn min_query_size(&self, advice: &Advice) -> usize {
         if self.has(Mechanism::AdviceCheap) {
-            advice::cheap(advice)
+            advice::min_query_size(advice)
         } else {
             0
         }
     }
 
     /// Whether a query about the step is in flight, or must not be sent yet after one that failed.
-    fn asks_not(&self, now: Ms, key: &StageKey) -> bool {
+    fn is_query_blocked(&self, now: Ms, key: &StageKey) -> bool {
         self.stage(key)
             .is_none_or(|stage| stage.advised.asking.is_some() || stage.advised.rest > now)
     }
 
     /// Workers that may be named in a query: those that are allowed for the step, that the advisor has not denied, and for
     /// which there is no valid ticket.
-    fn choices(&self, now: Ms, key: &StageKey, job: &Job, step: &Step, need: u32) -> Vec<Choice> {
+    fn candidates(
+        &self,
+        now: Ms,
+        key: &StageKey,
+        job: &Job,
+        step: &Step,
+        tasks: u32,
+    ) -> Vec<Candidate> {
         let Some(stage) = self.stage(key) else {
             return Vec::new();
         };
         let same = stage.spread();
-        let mut choices = Vec::new();
+        let mut candidates = Vec::new();
         for worker in self.workers.values() {
             if !fit::allowed(worker, &job.service, step)
                 || !worker.takes(now)
@@ -191,28 +211,28 @@
                 continue;
             }
             let here = same.get(&worker.id).copied().unwrap_or(0);
-            let most = if step.per_worker > 0 {
+            let limit = if step.per_worker > 0 {
                 step.per_worker.saturating_sub(here)
             } else {
-                need
+                tasks
             };
-            if most == 0 || fit::times(step.room(), worker.news.room) == 0 {
+            if limit == 0 || fit::count_fitting(step.room(), worker.news.room) == 0 {
                 continue;
             }
-            choices.push(Choice {
+            candidates.push(Candidate {
                 worker: Arc::clone(&worker.id),
-                fits: fit::times(step.room(), worker.free()).min(most),
-                known: ticket.is_some(),
+                fits: fit::count_fitting(step.room(), worker.free()).min(limit),
+                allowed_before: ticket.is_some(),
             });
         }
-        choices
+        candidates
     }
 
-    fn send_question(&mut self, now: Ms, key: &StageKey, advice: Advice, workers: Vec<WorkerId>) {
+    fn send_query(&mut self, now: Ms, key: &StageKey, advice: Advice, workers: Vec<WorkerId>) {
         if workers.is_empty() {
             return;
         }
-        let takes = advice::takes(&advice, workers.len());
+        let expected_duration = advice::query_duration(&advice, workers.len());
         self.open_queries.insert(key.clone());
         self.query_count += 1;
         if let Some(stage) = self.stage_mut(key) {
@@ -223,17 +243,17 @@
         self.commands.push(Command::Query(AdvisorQuery {
             stage: key.clone(),
             workers,
-            expected_duration: takes,
+            expected_duration,
         }));
     }
 }
 
 /// The part of the list that one scheduling pass considers. If the list is longer, its start rotates from pass to pass, so
 /// that each element is considered in one of them.
-fn in_turn<T>(mut list: Vec<T>, turn: usize) -> impl Iterator<Item = T> {
-    if list.len() > OVERDUE_LOOKS {
-        let from = turn % list.len();
+fn rotated<T>(mut list: Vec<T>, start: usize) -> impl Iterator<Item = T> {
+    if list.len() > MAX_OVERDUE_CANDIDATES {
+        let from = start % list.len();
         list.rotate_left(from);
     }
-    list.into_iter().take(OVERDUE_LOOKS)
+    list.into_iter().take(MAX_OVERDUE_CANDIDATES)
 }
--- a/crates/pool/src/rank.rs
+++ b/crates/pool/src/rank.rs
@@ -73,52 +73,56 @@
 /// ```
 /// use pool::rank::{RankInput, rank};
 ///
-/// let fresh = RankInput { age: 100, objective: 2_000, chain: 800, ..RankInput::default() };
-/// let lost = RankInput { age: 9_000, ..fresh };
-/// assert!(rank(&fresh) < rank(&lost));
+/// let new = RankInput { age: 100, objective: 2_000, chain: 800, ..RankInput::default() };
+/// let hopeless = RankInput { age: 9_000, ..new };
+/// assert!(rank(&new) < rank(&hopeless));
 /// ```
 #[must_use]
-pub fn rank(claim: &RankInput) -> Rank {
-    let end = claim.age + claim.chain;
+pub fn rank(input: &RankInput) -> Rank {
+    let end = input.age + input.chain;
     Rank {
-        hopeless: !claim.long_running && end > claim.objective * MAX_OBJECTIVE_RATIO,
-        priority: claim.priority,
-        late: !claim.long_running && end > claim.objective,
-        work: claim.work,
+        hopeless: !input.long_running && end > input.objective * MAX_OBJECTIVE_RATIO,
+        priority: input.priority,
+        late: !input.long_running && end > input.objective,
+        work: input.work,
     }
 }
 
 /// Observed task durations and advisor answers, per queue.
 #[derive(Clone, Debug, Default)]
 pub struct QueueStats {
-    scale: FxHashMap<String, f64>,
-    yes: FxHashMap<String, f64>,
+    duration_ratios: FxHashMap<String, f64>,
+    approval_rates: FxHashMap<String, f64>,
 }
 
 impl QueueStats {
     /// Records how long a task of a queue took, and its estimate.
     pub fn record_duration(&mut self, queue: &str, took: Ms, estimate: Ms) {
         let ratio = (took as f64 / estimate.max(1) as f64).clamp(0.1, 10.0);
-        let mean = self.scale.entry(queue.to_owned()).or_insert(1.0);
+        let mean = self.duration_ratios.entry(queue.to_owned()).or_insert(1.0);
         *mean += EMA_WEIGHT * 0.2 * (ratio - *mean);
     }
 
     /// Average ratio of observed to estimated duration of a queue's tasks.
     #[must_use]
     pub fn duration_ratio(&self, queue: &str) -> f64 {
-        self.scale.get(queue).copied().unwrap_or(1.0)
+        self.duration_ratios.get(queue).copied().unwrap_or(1.0)
     }
 
     /// Records an advisor answer: how many workers were in the query, and how many of them it allowed.
     pub fn record_answer(&mut self, queue: &str, asked: usize, allowed: usize) {
         let share = allowed as f64 / asked.max(1) as f64;
-        let mean = self.yes.entry(queue.to_owned()).or_insert(share);
+        let mean = self.approval_rates.entry(queue.to_owned()).or_insert(share);
         *mean += EMA_WEIGHT * (share - *mean);
     }
 
     /// Average share of workers that the advisor allows for a step of this queue.
     #[must_use]
     pub fn approval_rate(&self, queue: &str) -> f64 {
-        self.yes.get(queue).copied().unwrap_or(0.5).max(0.05)
+        self.approval_rates
+            .get(queue)
+            .copied()
+            .unwrap_or(0.5)
+            .max(0.05)
     }
 }
--- a/crates/pool/src/schedule.rs
+++ b/crates/pool/src/schedule.rs
@@ -32,14 +32,14 @@
         for id in due {
             self.advance(&id, now, unix);
         }
-        self.lapse(now, unix);
-        self.watch(now);
-        self.chase(now);
+        self.expire_leases(now, unix);
+        self.check_runs(now);
+        self.resend_commands(now);
         self.stop_strays(now);
         self.settle_inheritance(now);
         if !self.deposed && self.has_quorum(now) {
             self.review_suspects(now, unix);
-            self.place(now);
+            self.place_tasks(now);
         }
         std::mem::take(&mut self.commands)
     }
@@ -52,14 +52,14 @@
     }
 
     /// Ends the runs on workers whose lease has certainly expired, and drops workers that are no longer needed.
-    fn lapse(&mut self, now: Ms, unix: u64) {
-        let lapsed: Vec<(WorkerId, Vec<TaskKey>)> = self
+    fn expire_leases(&mut self, now: Ms, unix: u64) {
+        let expired: Vec<(WorkerId, Vec<TaskKey>)> = self
             .workers
             .values()
             .filter(|worker| {
-                let held =
+                let affected =
                     !worker.runs.is_empty() || self.jobs_awaiting_worker.contains_key(&worker.id);
-                worker.lapses < now && held
+                worker.lapses < now && affected
             })
             .map(|worker| {
                 (
@@ -68,7 +68,7 @@
                 )
             })
             .collect();
-        for (id, keys) in lapsed {
+        for (id, keys) in expired {
             for job in self.jobs_awaiting_worker.remove(&id).unwrap_or_default() {
                 if let Some(live) = self.jobs.get_mut(&job) {
                     live.awaits = live.awaits.saturating_sub(1);
@@ -90,19 +90,19 @@
                 }
             }
         }
-        let unseen = &self.unconfirmed_workers;
-        let silent = &self.unavailable;
+        let unconfirmed = &self.unconfirmed_workers;
+        let unavailable = &self.unavailable;
         self.workers.retain(|id, worker| {
             worker.listed
-                || unseen.contains(id)
-                || silent.iter().any(|silent| silent.worker == *id)
+                || unconfirmed.contains(id)
+                || unavailable.iter().any(|other| other.worker == *id)
                 || !worker.runs.is_empty()
                 || !worker.strays.is_empty()
         });
     }
 
     /// Resends unanswered starts and sends stops for runs that are to be stopped.
-    fn chase(&mut self, now: Ms) {
+    fn resend_commands(&mut self, now: Ms) {
         let keys: Vec<TaskKey> = self.unconfirmed_runs.iter().cloned().collect();
         let resend_enabled = self.has(Mechanism::RepeatOrders);
         for key in keys {
@@ -127,7 +127,7 @@
             };
             let since = now.saturating_sub(run.stop_sent);
             let answers = self.workers.get(&run.worker).map_or(0, |it| it.answers);
-            let order = match run.phase {
+            let command = match run.phase {
                 Phase::Stopping => {
                     let retry_delay = if run.stop_confirmed > 0 {
                         CONFIRMED_STOP_RETRY_DELAY
@@ -166,7 +166,7 @@
                 }
                 _ => None,
             };
-            let Some(order) = order else { continue };
+            let Some(command) = command else { continue };
             if let Some(run) = self.task_mut(&key).and_then(|task| task.run.as_mut()) {
                 if run.phase == Phase::Stopping {
                     run.stop_sent = now.max(1);
@@ -176,7 +176,7 @@
                     run.sent = now;
                 }
             }
-            self.commands.push(order);
+            self.commands.push(command);
         }
     }
 }
--- a/crates/pool/src/service_capacity.rs
+++ b/crates/pool/src/service_capacity.rs
@@ -45,25 +45,25 @@
     /// ```
     #[must_use]
     pub fn dominant_share(&self, size: Size) -> f64 {
-        let room = dimensions(self.total);
+        let total = dimensions(self.total);
         let shares = dimensions(size)
             .into_iter()
-            .zip(room)
-            .map(|(part, all)| ratio(part, all));
+            .zip(total)
+            .map(|(part, whole)| ratio(part, whole));
         shares.fold(0.0, f64::max)
     }
 
     /// Free share of a worker's capacity, between 0 and 1. Each dimension is weighted by its used share on all workers.
     #[must_use]
-    pub fn weighted_free_share(&self, free: Size, room: Size) -> f64 {
-        let (all, used) = (dimensions(self.total), dimensions(self.used));
-        let (free, room) = (dimensions(free), dimensions(room));
+    pub fn weighted_free_share(&self, free: Size, capacity: Size) -> f64 {
+        let (total, used) = (dimensions(self.total), dimensions(self.used));
+        let (free, capacity) = (dimensions(free), dimensions(capacity));
         let (mut sum, mut weighted) = (0.0, 0.0);
-        for at in 0..all.len() {
-            if all[at] > 0.0 && room[at] > 0.0 {
-                let weight = ratio(used[at], all[at]) + IDLE_WEIGHT;
+        for at in 0..total.len() {
+            if total[at] > 0.0 && capacity[at] > 0.0 {
+                let weight = ratio(used[at], total[at]) + IDLE_WEIGHT;
                 sum += weight;
-                weighted += weight * free[at] / room[at];
+                weighted += weight * free[at] / capacity[at];
             }
         }
         ratio(weighted, sum)
@@ -74,9 +74,9 @@
     /// Total and used capacity of the listed workers, by service.
     pub(crate) fn service_capacities(&self) -> FxHashMap<String, ServiceCapacity> {
         let mut services: FxHashMap<String, ServiceCapacity> = FxHashMap::default();
-        let all = self.has(Mechanism::Scarcity);
+        let all_dimensions = self.has(Mechanism::Scarcity);
         let counted = |size: Size| {
-            if all {
+            if all_dimensions {
                 size
             } else {
                 Size::new(size.millicores, 0, 0)
--- a/crates/pool/src/unservable.rs
+++ b/crates/pool/src/unservable.rs
@@ -21,8 +21,8 @@
 const SCAN_INTERVAL: Ms = 500;
 
 impl Pool {
-    /// Jobs that should be transferred to another pool. None of their tasks is started here until [`Pool::cancel_transfer`] or
-    /// [`Pool::remove_transferred`] reports what became of the transfer.
+    /// Jobs that should be transferred to another pool. None of their tasks is started here until the transfer is cancelled
+    /// with [`Pool::cancel_transfer`] or completed with [`Pool::remove_transferred`].
     pub fn unservable_jobs(&mut self, now: Ms) -> Vec<JobId> {
         if now < self.scanned_at + SCAN_INTERVAL
             || !self.has_quorum(now)
@@ -37,7 +37,7 @@
                 !live.state.is_final() && live.awaits == 0 && live.is_idle() && {
                     let job = &live.job;
                     let left = live.steps_left();
-                    left.iter().any(|&step| !self.could_serve(job, step))
+                    left.iter().any(|&step| !self.could_run(job, step))
                 }
             });
             if let Some(live) = self.jobs.get_mut(&id) {
@@ -46,23 +46,23 @@
                 live.leaves |= unservable && now.saturating_sub(since) >= UNSERVABLE_DELAY;
             }
         }
-        let leaving = self.jobs.iter().filter(|(_, live)| live.leaves);
-        leaving.map(|(id, _)| Arc::clone(id)).collect()
+        let transferring = self.jobs.iter().filter(|(_, live)| live.leaves);
+        transferring.map(|(id, _)| Arc::clone(id)).collect()
     }
 
     /// Whether the pool's workers could run a step if they were empty.
-    fn could_serve(&self, job: &Job, step: usize) -> bool {
+    fn could_run(&self, job: &Job, step: usize) -> bool {
         let Some(step) = job.steps.get(step) else {
             return true;
         };
-        let together = step.gang || step.lasting;
-        let need = if together { step.count } else { 1 };
-        let mut room = 0;
+        let all_at_once = step.gang || step.lasting;
+        let required = if all_at_once { step.count } else { 1 };
+        let mut fitting = 0;
         for worker in self.workers.values() {
             let present = worker.listed || worker.fenced && !worker.unresponsive;
             if present && worker.leaves.is_none() && fit::allowed(worker, &job.service, step) {
-                room += count_fitting(worker, step);
-                if room >= need {
+                fitting += count_fitting(worker, step);
+                if fitting >= required {
                     return true;
                 }
             }
@@ -74,8 +74,8 @@
     #[must_use]
     pub fn transferable(&self, id: &str) -> Option<(Arc<Job>, Progress)> {
         let live = self.jobs.get(id)?;
-        let ready = live.leaves && live.is_idle() && !live.state.is_final();
-        ready.then(|| (Arc::clone(&live.job), live.progress()))
+        let is_ready = live.leaves && live.is_idle() && !live.state.is_final();
+        is_ready.then(|| (Arc::clone(&live.job), live.progress()))
     }
 
     /// Keeps a job in this pool after all: its caller has cancelled it, or no other pool can take it.
@@ -100,10 +100,10 @@
 
 /// How many tasks of a step the worker could run if it were empty.
 fn count_fitting(worker: &Worker, step: &Step) -> u32 {
-    let fits = fit::times(step.room(), worker.news.room);
+    let fitting = fit::count_fitting(step.room(), worker.news.room);
     if step.per_worker > 0 {
-        fits.min(step.per_worker)
+        fitting.min(step.per_worker)
     } else {
-        fits
+        fitting
     }
 }
--- a/crates/pool/src/watch.rs
+++ b/crates/pool/src/watch.rs
@@ -66,17 +66,19 @@
         let Some(step) = job.steps.get(usize::from(key.stage.step)) else {
             return;
         };
-        let before = self.task_mut(key).map_or(0, |task| {
+        let other_failures = self.task_mut(key).map_or(0, |task| {
             task.failed
                 .iter()
                 .filter(|&&number| number != run.number)
                 .count()
         });
-        let took = now.saturating_sub(run.ordered);
-        let plain = !step.fills && !step.gang && run.latest > 0;
-        if how == How::Done && plain && !lasting {
+        let duration = now.saturating_sub(run.ordered);
+        // Durations of best-effort tasks and gang members depend on other tasks, and the start of an adopted run, which has
+        // no deadline, isn't known.
+        let is_comparable = !step.fills && !step.gang && run.latest > 0;
+        if how == How::Done && is_comparable && !lasting {
             self.queue_stats
-                .record_duration(&job.queue, took, step.estimate);
+                .record_duration(&job.queue, duration, step.estimate);
         }
         let expected = step.estimate as f64 * self.queue_stats.duration_ratio(&job.queue);
         let scoring = self.has(Mechanism::Doubt);
@@ -86,14 +88,14 @@
         match how {
             How::Done => {
                 worker.doubt = (worker.doubt - SUCCESS_CREDIT).max(0.0);
-                if plain && !lasting {
-                    let ratio = (took as f64 / expected.max(1.0)).clamp(0.2, 8.0);
+                if is_comparable && !lasting {
+                    let ratio = (duration as f64 / expected.max(1.0)).clamp(0.2, 8.0);
                     worker.slowness += 0.1 * (ratio - worker.slowness);
                 }
             }
             How::Failed if lasting || !scoring => {}
             How::Failed => {
-                worker.doubt += if before > 0 {
+                worker.doubt += if other_failures > 0 {
                     REPEATED_FAILURE_SCORE
                 } else {
                     FIRST_FAILURE_SCORE
@@ -107,7 +109,7 @@
     }
 
     /// Stops stalled tasks, paces best-effort tasks, and moves tasks away from workers that are about to leave.
-    pub(crate) fn watch(&mut self, now: Ms) {
+    pub(crate) fn check_runs(&mut self, now: Ms) {
         if now < self.checked_at + CHECK_INTERVAL {
             return;
         }
@@ -120,7 +122,7 @@
                 continue;
             }
             let mut max_ratio = 0.0_f64;
-            let mut fills = Vec::new();
+            let mut best_effort = Vec::new();
             for key in worker.runs.keys() {
                 let Some(live) = self.jobs.get(&key.stage.job) else {
                     continue;
@@ -142,7 +144,7 @@
                     max_ratio = max_ratio.max(f64::from(run.load) / step.target as f64);
                 }
                 if step.fills {
-                    fills.push((key.clone(), run.number, run.pace));
+                    best_effort.push((key.clone(), run.number, run.pace));
                 } else if !step.lasting {
                     // One percent of a long task may take longer than the fixed limit.
                     let timeout = STALL_TIMEOUT.max(step.estimate / 10);
@@ -151,8 +153,8 @@
                     }
                 }
             }
-            if !fills.is_empty() {
-                paces.push((Arc::clone(&worker.id), max_ratio, fills));
+            if !best_effort.is_empty() {
+                paces.push((Arc::clone(&worker.id), max_ratio, best_effort));
             }
         }
         if !self.has(Mechanism::Standstill) {
@@ -170,9 +172,9 @@
                 }
             }
         }
-        for (id, max_ratio, fills) in paces {
+        for (id, max_ratio, best_effort) in paces {
             let percent = self.pace_controller.update(now, &id, max_ratio);
-            for (task, run, pace) in fills {
+            for (task, run, pace) in best_effort {
                 if pace == percent {
                     continue;
                 }
--- a/crates/pool/tests/owner_changes.rs
+++ b/crates/pool/tests/owner_changes.rs
@@ -12,8 +12,8 @@
 }
 
 /// A worker that has runs, as far as the first owner knows.
-fn busy_worker(world: &Simulation) -> WorkerId {
-    let mut workers = world.owners[0].pool.workers();
+fn busy_worker(sim: &Simulation) -> WorkerId {
+    let mut workers = sim.owners[0].pool.workers();
     let busy = workers.find(|worker| worker.free().millicores < 4_000);
     busy.expect("a task runs").id.clone()
 }
@@ -22,51 +22,51 @@
 /// runs and starts them again: callers would see their work done twice, and workers would run more than their capacity.
 #[test]
 fn runs_continue_under_a_new_owner() {
-    let mut world = Simulation::new(1, 6);
-    world.start_owner();
-    world.run_for(500);
+    let mut sim = Simulation::new(1, 6);
+    sim.start_owner();
+    sim.run_for(500);
     for at in 0..6 {
-        world.accept(job(&format!("{at:016}"), &[(4, 1_000, 3_000)]));
+        sim.accept(job(&format!("{at:016}"), &[(4, 1_000, 3_000)]));
     }
-    world.run_for(1_000);
-    world.owners[0].stopped = true;
-    world.start_owner();
-    world.run_for(5_000);
-    assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.starts, 24, "nothing was started a second time");
-    assert_eq!(world.unfinished(), 0);
+    sim.run_for(1_000);
+    sim.owners[0].stopped = true;
+    sim.start_owner();
+    sim.run_for(5_000);
+    assert_eq!(sim.violations, Vec::<String>::new());
+    assert_eq!(sim.starts, 24, "nothing was started a second time");
+    assert_eq!(sim.unfinished(), 0);
 }
 
 /// The former owner starts a job that it was notified of directly. The new owner learns of the job only after its takeover,
 /// while it can't reach the worker that runs it: starting the job elsewhere would run it twice.
 #[test]
 fn a_job_known_only_to_the_former_owner_waits_for_its_worker() {
-    let mut world = Simulation::new(2, 5);
-    world.start_owner();
-    world.run_for(500);
-    world.accept(job("00000000000000aa", &[(1, 1_000, 4_000)]));
-    world.run_for(100);
-    let job = world
+    let mut sim = Simulation::new(2, 5);
+    sim.start_owner();
+    sim.run_for(500);
+    sim.accept(job("00000000000000aa", &[(1, 1_000, 4_000)]));
+    sim.run_for(100);
+    let job = sim
         .jobs
         .remove("00000000000000aa")
         .expect("it was accepted");
     for at in 0..5 {
         // The new owner can't reach the workers with runs.
-        if world.owners[0]
+        if sim.owners[0]
             .pool
             .worker(&id(at))
             .is_some_and(|worker| worker.free().millicores < 4_000)
         {
-            world.disconnect(&id(at), 2);
+            sim.disconnect(&id(at), 2);
         }
     }
-    world.owners[0].paused_until = u64::MAX;
-    world.start_owner();
-    world.run_for(300);
-    world.publish(&job);
-    world.run_for(16_000);
-    assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.stored("00000000000000aa"), Some(State::Completed));
+    sim.owners[0].paused_until = u64::MAX;
+    sim.start_owner();
+    sim.run_for(300);
+    sim.publish(&job);
+    sim.run_for(16_000);
+    assert_eq!(sim.violations, Vec::<String>::new());
+    assert_eq!(sim.stored("00000000000000aa"), Some(State::Completed));
 }
 
 /// A worker can't be reached when the owner is replaced, so jobs that the former owner may have known wait for that worker.
@@ -74,27 +74,27 @@
 /// former owner, which is still running but cut off from most workers, must not start them.
 #[test]
 fn a_job_accepted_for_the_new_owner_waits_for_no_worker_of_the_former() {
-    let mut world = Simulation::new(9, 6);
-    world.start_owner();
-    world.run_for(500);
-    world.accept(job("00000000000000aa", &[(6, 1_000, 3_000)]));
-    world.run_for(100);
-    world.disconnect(&id(0), 2);
+    let mut sim = Simulation::new(9, 6);
+    sim.start_owner();
+    sim.run_for(500);
+    sim.accept(job("00000000000000aa", &[(6, 1_000, 3_000)]));
+    sim.run_for(100);
+    sim.disconnect(&id(0), 2);
     for at in 1..6 {
-        world.disconnect(&id(at), 1);
+        sim.disconnect(&id(at), 1);
     }
-    world.start_owner();
-    world.run_for(200);
-    world.accept(job("00000000000000bb", &[(3, 1_000, 500)]));
-    world.run_for(1_500);
-    assert_eq!(world.stored("00000000000000bb"), Some(State::Completed));
+    sim.start_owner();
+    sim.run_for(200);
+    sim.accept(job("00000000000000bb", &[(3, 1_000, 500)]));
+    sim.run_for(1_500);
+    assert_eq!(sim.stored("00000000000000bb"), Some(State::Completed));
     assert!(
-        !world.owners[1].pool.unseen().is_empty(),
+        !sim.owners[1].pool.unseen().is_empty(),
         "the former owner's worker has still not answered"
     );
-    world.run_for(16_000);
-    assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.unfinished(), 0);
+    sim.run_for(16_000);
+    assert_eq!(sim.violations, Vec::<String>::new());
+    assert_eq!(sim.unfinished(), 0);
 }
 
 /// An owner is paused in the middle of its work, is replaced, and resumes with its old state. Its commands arrive after their
@@ -102,21 +102,21 @@
 #[test]
 fn a_paused_owner_that_resumes_starts_nothing() {
     for seed in 0..20 {
-        let mut world = Simulation::new(seed, 6);
-        world.start_owner();
-        world.run_for(500);
+        let mut sim = Simulation::new(seed, 6);
+        sim.start_owner();
+        sim.run_for(500);
         for at in 0..30 {
-            world.accept(job(&format!("{at:016}"), &[(3, 900, 700), (2, 900, 700)]));
-            let time = world.rng.random_range(5..60);
-            world.run_for(time);
+            sim.accept(job(&format!("{at:016}"), &[(3, 900, 700), (2, 900, 700)]));
+            let time = sim.rng.random_range(5..60);
+            sim.run_for(time);
         }
-        world.owners[0].paused_until = world.now + 4_000;
-        world.run_for(1_200);
-        world.disconnect(&id(0), 2);
-        world.start_owner();
-        world.run_for(25_000);
-        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
-        assert_eq!(world.unfinished(), 0, "seed {seed}: {}", world.report());
+        sim.owners[0].paused_until = sim.now + 4_000;
+        sim.run_for(1_200);
+        sim.disconnect(&id(0), 2);
+        sim.start_owner();
+        sim.run_for(25_000);
+        assert_eq!(sim.violations, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(sim.unfinished(), 0, "seed {seed}: {}", sim.report());
     }
 }
 
@@ -125,22 +125,22 @@
 #[test]
 fn a_job_that_becomes_known_after_its_runs_is_not_started_again() {
     for pause in [30, 400] {
-        let mut world = Simulation::new(9, 3);
-        world.start_owner();
-        world.run_for(500);
+        let mut sim = Simulation::new(9, 3);
+        sim.start_owner();
+        sim.run_for(500);
         let job = job("00000000000000dd", &[(2, 500, 200)]);
-        world.accept(job.clone());
-        world.run_for(30);
-        assert_eq!(world.starts, 2);
-        world.jobs.clear();
-        world.owners[0].stopped = true;
-        world.start_owner();
-        world.run_for(pause);
-        world.accept(job);
-        world.run_for(2_000);
-        assert_eq!(world.violations, Vec::<String>::new(), "after {pause} ms");
-        assert_eq!(world.starts, 2, "after {pause} ms");
-        assert_eq!(world.unfinished(), 0);
+        sim.accept(job.clone());
+        sim.run_for(30);
+        assert_eq!(sim.starts, 2);
+        sim.jobs.clear();
+        sim.owners[0].stopped = true;
+        sim.start_owner();
+        sim.run_for(pause);
+        sim.accept(job);
+        sim.run_for(2_000);
+        assert_eq!(sim.violations, Vec::<String>::new(), "after {pause} ms");
+        assert_eq!(sim.starts, 2, "after {pause} ms");
+        assert_eq!(sim.unfinished(), 0);
     }
 }
 
@@ -150,19 +150,19 @@
 #[test]
 fn a_worker_that_answers_nothing_keeps_no_lease_that_the_owner_does_not_know() {
     for mute in [4_000, 12_000, 20_000] {
-        let mut world = Simulation::new(10, 4);
-        world.start_owner();
-        world.run_for(500);
+        let mut sim = Simulation::new(10, 4);
+        sim.start_owner();
+        sim.run_for(500);
         for at in 0..4 {
-            world.accept(job(&format!("{at:016}"), &[(2, 1_000, 15_000)]));
+            sim.accept(job(&format!("{at:016}"), &[(2, 1_000, 15_000)]));
         }
-        world.run_for(300);
-        world.mute = [id(0), id(1)].into();
-        world.run_for(mute);
-        world.mute.clear();
-        world.run_for(40_000);
-        assert_eq!(world.violations, Vec::<String>::new(), "mute for {mute} ms");
-        assert_eq!(world.unfinished(), 0, "mute for {mute} ms");
+        sim.run_for(300);
+        sim.mute = [id(0), id(1)].into();
+        sim.run_for(mute);
+        sim.mute.clear();
+        sim.run_for(40_000);
+        assert_eq!(sim.violations, Vec::<String>::new(), "mute for {mute} ms");
+        assert_eq!(sim.unfinished(), 0, "mute for {mute} ms");
     }
 }
 
@@ -170,90 +170,90 @@
 /// worker's lease: the new one waits until it has expired, then starts the tasks elsewhere.
 #[test]
 fn an_owner_without_a_majority_renews_no_lease() {
-    let mut world = Simulation::new(11, 4);
-    world.start_owner();
-    world.run_for(500);
+    let mut sim = Simulation::new(11, 4);
+    sim.start_owner();
+    sim.run_for(500);
     for at in 0..4 {
-        world.accept(job(&format!("{at:016}"), &[(2, 1_000, 15_000)]));
+        sim.accept(job(&format!("{at:016}"), &[(2, 1_000, 15_000)]));
     }
-    world.run_for(300);
+    sim.run_for(300);
     for at in 1..4 {
-        world.disconnect(&id(at), 1);
+        sim.disconnect(&id(at), 1);
     }
-    world.disconnect(&id(0), 2);
-    world.start_owner();
-    world.run_for(50_000);
-    assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.unfinished(), 0);
+    sim.disconnect(&id(0), 2);
+    sim.start_owner();
+    sim.run_for(50_000);
+    assert_eq!(sim.violations, Vec::<String>::new());
+    assert_eq!(sim.unfinished(), 0);
 }
 
 /// A worker with a long task becomes unreachable; later the owner is replaced. The new owner holds back only the tasks in the
 /// stored list of runs that may be there: other jobs go on at once, and only the long task waits for the lease.
 #[test]
 fn a_worker_that_was_unreachable_before_holds_back_only_its_own_tasks() {
-    let mut world = Simulation::new(3, 6);
-    world.start_owner();
-    world.run_for(500);
+    let mut sim = Simulation::new(3, 6);
+    sim.start_owner();
+    sim.run_for(500);
     for at in 0..6 {
-        world.accept(job(&format!("{at:016}"), &[(1, 3_000, 30_000)]));
+        sim.accept(job(&format!("{at:016}"), &[(1, 3_000, 30_000)]));
     }
-    world.run_for(200);
+    sim.run_for(200);
     for epoch in 1..3 {
-        world.disconnect(&id(0), epoch);
+        sim.disconnect(&id(0), epoch);
     }
-    world.run_for(2_500);
+    sim.run_for(2_500);
     for at in 1..6 {
-        world.crash(&id(at), 0);
+        sim.crash(&id(at), 0);
     }
-    world.run_for(200);
-    world.owners[0].stopped = true;
-    world.accept(job("00000000000000bb", &[(2, 100, 300)]));
-    world.start_owner();
-    world.run_for(1_500);
-    assert_eq!(world.stored("00000000000000bb"), Some(State::Completed));
-    world.run_for(60_000);
-    assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.unfinished(), 0);
+    sim.run_for(200);
+    sim.owners[0].stopped = true;
+    sim.accept(job("00000000000000bb", &[(2, 100, 300)]));
+    sim.start_owner();
+    sim.run_for(1_500);
+    assert_eq!(sim.stored("00000000000000bb"), Some(State::Completed));
+    sim.run_for(60_000);
+    assert_eq!(sim.violations, Vec::<String>::new());
+    assert_eq!(sim.unfinished(), 0);
 }
 
 /// A worker drains, gets no new tasks, and leaves; in the same second the owner is lost. The worker's runs have been stored
 /// with the owner's row since it began to drain, so the new owner starts all other inherited jobs at once.
 #[test]
 fn a_draining_worker_does_not_delay_a_new_owner() {
-    let mut world = Simulation::new(6, 4);
-    world.start_owner();
-    world.run_for(500);
+    let mut sim = Simulation::new(6, 4);
+    sim.start_owner();
+    sim.run_for(500);
     for at in 0..4 {
-        world.accept(job(
+        sim.accept(job(
             &format!("{at:016}"),
             &[(1, 3_000, 1_500), (1, 500, 200)],
         ));
     }
-    world.run_for(300);
-    let mut news = world.owners[0]
+    sim.run_for(300);
+    let mut news = sim.owners[0]
         .pool
         .worker("w00")
         .expect("the worker is known")
         .news
         .clone();
     news.draining = Some(2_000);
-    let now = world.now;
-    world.owners[0].pool.update_worker(now, &id(0), news);
-    world.run_for(100);
+    let now = sim.now;
+    sim.owners[0].pool.update_worker(now, &id(0), news);
+    sim.run_for(100);
     for epoch in 1..3 {
-        world.disconnect(&id(0), epoch);
+        sim.disconnect(&id(0), epoch);
     }
-    world.owners[0].stopped = true;
-    world.start_owner();
-    world.run_for(3_000);
+    sim.owners[0].stopped = true;
+    sim.start_owner();
+    sim.run_for(3_000);
     assert_eq!(
-        world.unfinished(),
+        sim.unfinished(),
         1,
         "all but the job on the worker that left"
     );
-    world.run_for(12_000);
-    assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.unfinished(), 0);
+    sim.run_for(12_000);
+    assert_eq!(sim.violations, Vec::<String>::new());
+    assert_eq!(sim.unfinished(), 0);
 }
 
 /// Commands without an answer are carried out up to 12 s later, while workers crash, owners change and the store is
@@ -261,38 +261,38 @@
 #[test]
 fn late_commands_crashes_and_changes_of_owner_together() {
     for seed in 100..130 {
-        let mut world = Simulation::new(seed, 8);
-        world.conditions.lost_answer_rate = 0.05;
-        world.conditions.failure_rate = 0.02;
-        world.start_owner();
-        world.run_for(500);
+        let mut sim = Simulation::new(seed, 8);
+        sim.conditions.lost_answer_rate = 0.05;
+        sim.conditions.failure_rate = 0.02;
+        sim.start_owner();
+        sim.run_for(500);
         for at in 0..60 {
-            world.accept(job(&format!("{at:016}"), &[(4, 800, 600), (2, 1_500, 900)]));
-            let time = world.rng.random_range(20..200);
-            world.run_for(time);
-            if world.rng.random_bool(0.05) {
-                let victim = id(world.rng.random_range(0..8));
-                let time = world.rng.random_range(200..4_000);
-                world.crash(&victim, time);
+            sim.accept(job(&format!("{at:016}"), &[(4, 800, 600), (2, 1_500, 900)]));
+            let time = sim.rng.random_range(20..200);
+            sim.run_for(time);
+            if sim.rng.random_bool(0.05) {
+                let victim = id(sim.rng.random_range(0..8));
+                let time = sim.rng.random_range(200..4_000);
+                sim.crash(&victim, time);
             }
-            if world.rng.random_bool(0.04) {
-                let last = world.owners.len() - 1;
-                let pause = world.rng.random_range(0..3_000);
-                world.owners[last].paused_until = world.now + pause;
-                let epoch = world.owners.len() as u64 + 1;
-                if world.rng.random_bool(0.5) {
-                    let victim = id(world.rng.random_range(0..8));
-                    world.disconnect(&victim, epoch);
+            if sim.rng.random_bool(0.04) {
+                let last = sim.owners.len() - 1;
+                let pause = sim.rng.random_range(0..3_000);
+                sim.owners[last].paused_until = sim.now + pause;
+                let epoch = sim.owners.len() as u64 + 1;
+                if sim.rng.random_bool(0.5) {
+                    let victim = id(sim.rng.random_range(0..8));
+                    sim.disconnect(&victim, epoch);
                 }
-                world.start_owner();
+                sim.start_owner();
             }
-            world.conditions.store_up = world.rng.random_bool(0.8);
+            sim.conditions.store_up = sim.rng.random_bool(0.8);
         }
-        world.conditions.store_up = true;
-        world.conditions.lost_answer_rate = 0.0;
-        world.run_for(40_000);
-        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
-        assert_eq!(world.unfinished(), 0, "seed {seed}: {}", world.report());
+        sim.conditions.store_up = true;
+        sim.conditions.lost_answer_rate = 0.0;
+        sim.run_for(40_000);
+        assert_eq!(sim.violations, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(sim.unfinished(), 0, "seed {seed}: {}", sim.report());
     }
 }
 
@@ -301,18 +301,18 @@
 /// the work done twice.
 #[test]
 fn an_end_that_is_not_stored_is_not_reported() {
-    let mut world = Simulation::new(4, 3);
-    world.start_owner();
-    world.run_for(500);
-    world.accept(job("00000000000000cc", &[(1, 1_000, 300)]));
-    world.run_for(50);
-    world.conditions.store_up = false;
-    world.run_for(600);
-    let pool = &world.owners[0].pool;
+    let mut sim = Simulation::new(4, 3);
+    sim.start_owner();
+    sim.run_for(500);
+    sim.accept(job("00000000000000cc", &[(1, 1_000, 300)]));
+    sim.run_for(50);
+    sim.conditions.store_up = false;
+    sim.run_for(600);
+    let pool = &sim.owners[0].pool;
     assert_eq!(pool.state("00000000000000cc"), Some(State::Running));
-    world.conditions.store_up = true;
-    world.run_for(100);
-    let pool = &world.owners[0].pool;
+    sim.conditions.store_up = true;
+    sim.run_for(100);
+    let pool = &sim.owners[0].pool;
     assert_eq!(pool.state("00000000000000cc"), Some(State::Completed));
 }
 
@@ -320,103 +320,100 @@
 /// left alone. Known jobs don't wait for them, even if a worker has listed an end of an unknown job before theirs.
 #[test]
 fn known_jobs_do_not_wait_for_unknown_ones() {
-    let mut world = Simulation::new(11, 4);
-    world.start_owner();
-    world.run_for(500);
+    let mut sim = Simulation::new(11, 4);
+    sim.start_owner();
+    sim.run_for(500);
     for at in 0..4 {
-        world.accept(job(
+        sim.accept(job(
             &format!("{at:016}"),
             &[(2, 1_000, 500), (2, 1_000, 500)],
         ));
-        world.accept(job(
+        sim.accept(job(
             &format!("{:016}", at + 10),
             &[(2, 1_000, 700), (2, 1_000, 500)],
         ));
     }
-    world.run_for(300);
-    world.conditions.store_up = false;
+    sim.run_for(300);
+    sim.conditions.store_up = false;
     let hidden: Vec<_> = (0..4)
         .map(|at| {
             let id = format!("{at:016}");
-            world.jobs.remove(&id).expect("it was accepted")
+            sim.jobs.remove(&id).expect("it was accepted")
         })
         .collect();
-    world.owners[0].stopped = true;
-    world.start_owner();
-    let now = world.now;
-    world.owners[1].pool.set_partial(now, true);
-    world.conditions.store_up = true;
-    world.run_for(5_000);
+    sim.owners[0].stopped = true;
+    sim.start_owner();
+    let now = sim.now;
+    sim.owners[1].pool.set_partial(now, true);
+    sim.conditions.store_up = true;
+    sim.run_for(5_000);
     for at in 10..14 {
-        assert_eq!(world.stored(&format!("{at:016}")), Some(State::Completed));
+        assert_eq!(sim.stored(&format!("{at:016}")), Some(State::Completed));
     }
     assert_eq!(
-        world.starts,
+        sim.starts,
         8 + 8 + 8,
         "all tasks of the known jobs, and the first steps of the others"
     );
     for job in &hidden {
-        world.publish(job);
+        sim.publish(job);
     }
-    let now = world.now;
-    world.owners[1].pool.set_partial(now, false);
-    world.run_for(5_000);
-    assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.unfinished(), 0);
-    assert_eq!(world.starts, 32, "nothing was started a second time");
+    let now = sim.now;
+    sim.owners[1].pool.set_partial(now, false);
+    sim.run_for(5_000);
+    assert_eq!(sim.violations, Vec::<String>::new());
+    assert_eq!(sim.unfinished(), 0);
+    assert_eq!(sim.starts, 32, "nothing was started a second time");
 }
 
 /// Guards against tasks that run twice after the owner is lost while the store takes no writes: the stored list still has an
 /// unreachable worker with runs that were lost and started elsewhere since.
 #[test]
 fn runs_elsewhere_override_an_outdated_list_of_unreachable_workers() {
-    let mut world = Simulation::new(12, 5);
-    world.start_owner();
-    world.run_for(500);
-    world.accept(job("00000000000000ee", &[(2, 1_000, 9_000)]));
-    world.run_for(200);
-    let lost = busy_worker(&world);
-    world.crash(&lost, 2_500);
-    world.run_for(2_000);
-    world.conditions.store_up = false;
-    world.run_for(2_000);
-    assert_eq!(world.starts, 4, "both run elsewhere");
-    world.owners[0].stopped = true;
-    world.start_owner();
-    world.conditions.store_up = true;
-    world.run_for(20_000);
-    assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.starts, 4);
-    assert_eq!(world.unfinished(), 0);
+    let mut sim = Simulation::new(12, 5);
+    sim.start_owner();
+    sim.run_for(500);
+    sim.accept(job("00000000000000ee", &[(2, 1_000, 9_000)]));
+    sim.run_for(200);
+    let lost = busy_worker(&sim);
+    sim.crash(&lost, 2_500);
+    sim.run_for(2_000);
+    sim.conditions.store_up = false;
+    sim.run_for(2_000);
+    assert_eq!(sim.starts, 4, "both run elsewhere");
+    sim.owners[0].stopped = true;
+    sim.start_owner();
+    sim.conditions.store_up = true;
+    sim.run_for(20_000);
+    assert_eq!(sim.violations, Vec::<String>::new());
+    assert_eq!(sim.starts, 4);
+    assert_eq!(sim.unfinished(), 0);
 }
 
 /// Guards against a job that never ends: its owner stores that all tasks are done, is still waiting for a run on a worker that
 /// is lost, and is then lost itself.
 #[test]
 fn a_job_whose_tasks_are_all_done_is_completed_by_the_next_owner() {
-    let mut world = Simulation::new(13, 4);
-    world.start_owner();
-    world.run_for(500);
-    world.accept(job("00000000000000ee", &[(1, 1_000, 3_000)]));
-    world.run_for(200);
-    let lost = busy_worker(&world);
+    let mut sim = Simulation::new(13, 4);
+    sim.start_owner();
+    sim.run_for(500);
+    sim.accept(job("00000000000000ee", &[(1, 1_000, 3_000)]));
+    sim.run_for(200);
+    let lost = busy_worker(&sim);
     for epoch in 1..10 {
-        world.disconnect(&lost, epoch);
+        sim.disconnect(&lost, epoch);
     }
-    world.run_for(2_500);
-    world.conditions.store_up = false;
-    world.run_for(9_500);
-    world.owners[0].stopped = true;
-    world.start_owner();
-    world.conditions.store_up = true;
-    world.run_for(300);
-    assert_eq!(
-        world.starts, 2,
-        "the task was started elsewhere, and is done"
-    );
-    world.owners[1].stopped = true;
-    world.start_owner();
-    world.run_for(20_000);
-    assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.stored("00000000000000ee"), Some(State::Completed));
+    sim.run_for(2_500);
+    sim.conditions.store_up = false;
+    sim.run_for(9_500);
+    sim.owners[0].stopped = true;
+    sim.start_owner();
+    sim.conditions.store_up = true;
+    sim.run_for(300);
+    assert_eq!(sim.starts, 2, "the task was started elsewhere, and is done");
+    sim.owners[1].stopped = true;
+    sim.start_owner();
+    sim.run_for(20_000);
+    assert_eq!(sim.violations, Vec::<String>::new());
+    assert_eq!(sim.stored("00000000000000ee"), Some(State::Completed));
 }
--- a/crates/pool/tests/policies.rs
+++ b/crates/pool/tests/policies.rs
@@ -286,26 +286,26 @@
 /// time, so that few attempts are spent there.
 #[test]
 fn a_worker_that_fails_every_task_is_detected_soon() {
-    let mut world = Simulation::new(5, 4);
-    world.start_owner();
-    world.run_for(500);
-    world.faulty.insert("w00".into());
+    let mut sim = Simulation::new(5, 4);
+    sim.start_owner();
+    sim.run_for(500);
+    sim.faulty.insert("w00".into());
     for at in 0..40 {
-        world.accept(job(&format!("{at:016}"), &[(2, 500, 200)]));
-        world.run_for(60);
+        sim.accept(job(&format!("{at:016}"), &[(2, 500, 200)]));
+        sim.run_for(60);
     }
-    world.run_for(8_000);
-    assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.unfinished(), 0);
+    sim.run_for(8_000);
+    assert_eq!(sim.violations, Vec::<String>::new());
+    assert_eq!(sim.unfinished(), 0);
     assert!(
-        world.failures <= 10,
+        sim.failures <= 10,
         "{} tasks failed on the worker",
-        world.failures
+        sim.failures
     );
-    let completed = world
+    let completed = sim
         .jobs
         .keys()
-        .filter(|id| world.stored(id) == Some(State::Completed))
+        .filter(|id| sim.stored(id) == Some(State::Completed))
         .count();
     assert_eq!(completed, 40);
 }
--- a/crates/pool/tests/simulation/mod.rs
+++ b/crates/pool/tests/simulation/mod.rs
@@ -28,38 +28,39 @@
 struct Run {
     number: u32,
     size: Size,
-    ends: Ms,
+    ends_at: Ms,
     fails: bool,
-    stopping: Option<Ms>,
+    stops_at: Option<Ms>,
 }
 
 /// A simulated worker.
 #[derive(Debug, Default)]
 pub(crate) struct SimWorker {
-    born: u64,
+    incarnation: u64,
     epoch: u64,
     lease: Ms,
     runs: BTreeMap<TaskKey, Run>,
-    highest: HashMap<TaskKey, u32>,
-    ended: Vec<End>,
-    ends: u64,
+    highest_runs: HashMap<TaskKey, u32>,
+    unstored_ends: Vec<End>,
+    end_count: u64,
     /// Owners with these epochs can't reach it.
     pub(crate) disconnected_owners: BTreeSet<u64>,
     /// It is down until this time.
-    pub(crate) down: Ms,
+    pub(crate) down_until: Ms,
     /// Its capacity and since when, if it differs from the default.
-    room: Option<(Size, Ms)>,
+    capacity: Option<(Size, Ms)>,
 }
 
 /// A message or event that is due at a later time.
 #[derive(Clone, Debug)]
 enum Message {
+    /// A start command of the owner with this index arrives; the flag tells whether the answer reaches the owner.
     Start(usize, Start, bool),
     Started(usize, Start, Answer),
     Stop(usize, Stop),
     Stopped(usize, Stop, StopAnswer),
     Listing(usize, WorkerId, Listing),
-    /// A task that was started crashes its worker.
+    /// A task crashes its worker, if that still has this incarnation.
     Crash(WorkerId, u64, TaskKey),
     /// The owners read the directory's row of a worker.
     Row(WorkerId),
@@ -106,7 +107,7 @@
     pub(crate) faulty: BTreeSet<WorkerId>,
     /// Number of runs on them.
     pub(crate) failures: usize,
-    room: Size,
+    capacity: Size,
     /// Tasks that crash each worker that starts them.
     pub(crate) crashers: BTreeMap<TaskKey, crashes::Crashes>,
     /// Number of workers that crashed while they ran a task, whatever the cause.
@@ -145,20 +146,20 @@
 
 impl Simulation {
     pub(crate) fn new(seed: u64, workers: usize) -> Self {
-        let room = Size::new(4_000, 10_000, 0);
-        let machines = (0..workers)
+        let capacity = Size::new(4_000, 10_000, 0);
+        let workers = (0..workers)
             .map(|at| {
-                let machine = SimWorker {
-                    born: 1,
+                let worker = SimWorker {
+                    incarnation: 1,
                     ..SimWorker::default()
                 };
-                (format!("w{at:02}").into(), machine)
+                (format!("w{at:02}").into(), worker)
             })
             .collect();
         Self {
             now: 1_000_000,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            workers: machines,
+            workers,
             owners: Vec::new(),
             conditions: Conditions {
                 lost_answer_rate: 0.0,
@@ -176,7 +177,7 @@
             mute: BTreeSet::new(),
             faulty: BTreeSet::new(),
             failures: 0,
-            room,
+            capacity,
             crashers: BTreeMap::new(),
             crashed_under: BTreeMap::new(),
             replace_crashed: false,
@@ -189,7 +190,7 @@
 
     /// The clock of a worker. It differs from the owners' clock, and changes with each incarnation.
     fn clock(&self, id: &WorkerId) -> Ms {
-        self.now - 900_000 + self.workers[id].born * 7
+        self.now - 900_000 + self.workers[id].incarnation * 7
     }
 
     /// Starts a new owner, which takes over the pool.
@@ -199,15 +200,22 @@
             epoch,
             ..Options::default()
         });
-        for (id, machine) in self.workers.iter().filter(|(_, it)| it.down < Ms::MAX) {
-            pool.update_worker(self.now, id, self.worker_info(id, machine));
+        for (id, worker) in self
+            .workers
+            .iter()
+            .filter(|(_, it)| it.down_until < Ms::MAX)
+        {
+            pool.update_worker(self.now, id, self.worker_info(id, worker));
         }
         for job in self.jobs.values() {
             let progress = self.stored.get(&*job.id);
             pool.adopt(self.now, self.unix(), Arc::clone(job), progress, true);
         }
-        let there = self.workers.iter().filter(|(_, it)| it.down < Ms::MAX);
-        let mut roster: Vec<WorkerId> = there.map(|(id, _)| Arc::clone(id)).collect();
+        let present = self
+            .workers
+            .iter()
+            .filter(|(_, it)| it.down_until < Ms::MAX);
+        let mut roster: Vec<WorkerId> = present.map(|(id, _)| Arc::clone(id)).collect();
         roster.extend(self.roster.iter().cloned());
         roster.sort();
         roster.dedup();
@@ -245,35 +253,37 @@
 
     /// From now on the owner with this epoch can't reach a worker.
     pub(crate) fn disconnect(&mut self, id: &WorkerId, epoch: u64) {
-        if let Some(machine) = self.workers.get_mut(id) {
-            machine.disconnected_owners.insert(epoch);
+        if let Some(worker) = self.workers.get_mut(id) {
+            worker.disconnected_owners.insert(epoch);
         }
     }
 
     /// Crashes a worker, which restarts after this time.
     pub(crate) fn crash(&mut self, id: &WorkerId, time: Ms) {
-        let down = self.now + time;
-        if let Some(machine) = self.workers.get_mut(id) {
-            for task in machine.runs.keys() {
+        let down_until = self.now + time;
+        if let Some(worker) = self.workers.get_mut(id) {
+            for task in worker.runs.keys() {
                 *self.crashed_under.entry(task.clone()).or_default() += 1;
             }
-            *machine = SimWorker {
-                born: machine.born + 1,
-                down,
-                disconnected_owners: machine.disconnected_owners.clone(),
-                room: machine.room,
+            *worker = SimWorker {
+                incarnation: worker.incarnation + 1,
+                down_until,
+                disconnected_owners: worker.disconnected_owners.clone(),
+                capacity: worker.capacity,
                 ..SimWorker::default()
             };
         }
     }
 
     /// The directory's information about a worker.
-    fn worker_info(&self, id: &WorkerId, machine: &SimWorker) -> News {
+    fn worker_info(&self, id: &WorkerId, worker: &SimWorker) -> News {
         News {
             address: id.to_string(),
             service: "s".into(),
-            room: machine.room.map_or(self.room, |(room, _)| room),
-            born: machine.born,
+            room: worker
+                .capacity
+                .map_or(self.capacity, |(capacity, _)| capacity),
+            born: worker.incarnation,
             ..News::default()
         }
     }
@@ -319,16 +329,16 @@
                         .pool
                         .apply_listing(now, unix, &id, &listing);
                 }
-                Message::Crash(id, born, task) => self.crash_under(&id, born, &task),
+                Message::Crash(id, incarnation, task) => self.crash_under(&id, incarnation, &task),
                 Message::Row(id) => self.publish_row(&id),
             }
         }
     }
 
     fn reaches(&self, owner: usize, id: &WorkerId) -> bool {
-        let machine = &self.workers[id];
-        machine.down <= self.now
-            && !machine
+        let worker = &self.workers[id];
+        worker.down_until <= self.now
+            && !worker
                 .disconnected_owners
                 .contains(&self.owners[owner].epoch)
     }
@@ -339,12 +349,12 @@
                 continue;
             }
             let (now, unix) = (self.now, self.unix());
-            let orders = self.owners[owner].pool.schedule(now, unix);
+            let commands = self.owners[owner].pool.schedule(now, unix);
             if self.owners[owner].pool.deposed() {
                 self.owners[owner].stopped = true;
             }
-            for order in orders {
-                match order {
+            for command in commands {
+                match command {
                     Command::Start(start) => {
                         if self.rng.random_bool(self.conditions.lost_answer_rate) {
                             let delay = self.rng.random_range(2_000..12_000);
@@ -392,7 +402,7 @@
                 !self
                     .stored
                     .get(*id)
-                    .is_some_and(|course| course.state.is_final())
+                    .is_some_and(|progress| progress.state.is_final())
             })
             .count()
     }
@@ -406,7 +416,7 @@
             .filter(|id| !self.stored(id).is_some_and(State::is_final))
             .collect();
         format!(
-            "{open:?} unseen {} proved {} {:?}",
+            "open jobs {open:?}, unconfirmed workers {}, quorum {}, workers {:?}",
             pool.unseen().len(),
             pool.has_quorum(self.now),
             pool.workers().collect::<Vec<_>>()
@@ -414,19 +424,19 @@
     }
 
     /// Number of jobs that, as stored, did not reach a final state within this time after they were accepted.
-    pub(crate) fn count_late(&self, most: Ms) -> usize {
+    pub(crate) fn count_late(&self, limit: Ms) -> usize {
         let times = self.jobs.values().map(|job| {
-            let course = self.stored.get(&*job.id)?;
-            let took = course.closed.saturating_sub(job.accepted);
-            course.state.is_final().then_some(took)
+            let progress = self.stored.get(&*job.id)?;
+            let took = progress.closed.saturating_sub(job.accepted);
+            progress.state.is_final().then_some(took)
         });
         times
-            .filter(|took| took.is_none_or(|took| took > most))
+            .filter(|took| took.is_none_or(|took| took > limit))
             .count()
     }
 
     /// The stored state of a job.
     pub(crate) fn stored(&self, id: &str) -> Option<pool::State> {
-        self.stored.get(id).map(|course| course.state)
+        self.stored.get(id).map(|progress| progress.state)
     }
 }
--- a/crates/pool/tests/simulation/workers.rs
+++ b/crates/pool/tests/simulation/workers.rs
@@ -14,75 +14,75 @@
         let (now, clock) = (self.now, self.clock(&start.worker));
         let epoch = self.owners[owner].epoch;
         let size = start.job.steps[usize::from(start.task.stage.step)].room();
-        let takes = start.job.steps[usize::from(start.task.stage.step)].estimate;
-        let bad = self.faulty.contains(&start.worker);
-        let fails = bad || self.rng.random_bool(self.conditions.failure_rate);
-        self.failures += usize::from(bad);
+        let duration = start.job.steps[usize::from(start.task.stage.step)].estimate;
+        let faulty = self.faulty.contains(&start.worker);
+        let fails = faulty || self.rng.random_bool(self.conditions.failure_rate);
+        self.failures += usize::from(faulty);
         let elsewhere = self
             .workers
             .iter()
-            .any(|(id, machine)| *id != start.worker && machine.runs.contains_key(&start.task));
-        let noted = self.stored_ends.contains(&start.task);
-        let Some(machine) = self.workers.get_mut(&start.worker) else {
+            .any(|(id, worker)| *id != start.worker && worker.runs.contains_key(&start.task));
+        let end_stored = self.stored_ends.contains(&start.task);
+        let Some(worker) = self.workers.get_mut(&start.worker) else {
             return;
         };
-        let answer = if epoch < machine.epoch {
+        let answer = if epoch < worker.epoch {
             Answer::Fenced
-        } else if machine
+        } else if worker
             .runs
             .get(&start.task)
             .is_some_and(|run| run.number == start.run)
         {
             Answer::Running
-        } else if machine
-            .highest
+        } else if worker
+            .highest_runs
             .get(&start.task)
-            .is_some_and(|&high| high >= start.run)
+            .is_some_and(|&highest| highest >= start.run)
         {
             Answer::Old
         } else if clock > start.start_deadline {
             Answer::Late
         } else {
-            machine.epoch = epoch;
-            machine.lease = machine.lease.max(start.start_deadline);
-            let used = machine
+            worker.epoch = epoch;
+            worker.lease = worker.lease.max(start.start_deadline);
+            let used = worker
                 .runs
                 .values()
                 .fold(Size::ZERO, |sum, run| sum.plus(run.size));
             // A smaller capacity counts once the directory and a poll must have reported it.
-            let room = match machine.room {
-                Some((room, since))
+            let capacity = match worker.capacity {
+                Some((capacity, since))
                     if now.saturating_sub(since) > super::crashes::CAPACITY_DELAY =>
                 {
-                    room
+                    capacity
                 }
-                _ => self.room,
+                _ => self.capacity,
             };
-            if !used.plus(size).fits(room) {
+            if !used.plus(size).fits(capacity) {
                 self.violations
                     .push(format!("{now}: capacity of {} exceeded", start.worker));
             }
-            if elsewhere || machine.runs.contains_key(&start.task) {
+            if elsewhere || worker.runs.contains_key(&start.task) {
                 self.violations
                     .push(format!("{now}: {:?} runs twice", start.task));
             }
-            if noted {
+            if end_stored {
                 self.violations
                     .push(format!("{now}: {:?} started after its end", start.task));
             }
-            machine.highest.insert(start.task.clone(), start.run);
+            worker.highest_runs.insert(start.task.clone(), start.run);
             let run = Run {
                 number: start.run,
                 size,
-                ends: now + takes,
+                ends_at: now + duration,
                 fails,
-                stopping: None,
+                stops_at: None,
             };
-            machine.runs.insert(start.task.clone(), run);
+            worker.runs.insert(start.task.clone(), run);
             self.starts += 1;
-            let born = machine.born;
+            let incarnation = worker.incarnation;
             if self.count_start(&start.task) {
-                let crash = Message::Crash(start.worker.clone(), born, start.task.clone());
+                let crash = Message::Crash(start.worker.clone(), incarnation, start.task.clone());
                 self.send_after(2 * STEP, crash);
             }
             Answer::Running
@@ -99,19 +99,19 @@
         }
         let (now, clock) = (self.now, self.clock(&stop.worker));
         let epoch = self.owners[owner].epoch;
-        let Some(machine) = self.workers.get_mut(&stop.worker) else {
+        let Some(worker) = self.workers.get_mut(&stop.worker) else {
             return;
         };
-        let answer = if epoch < machine.epoch {
+        let answer = if epoch < worker.epoch {
             StopAnswer::Fenced
         } else {
-            machine.epoch = epoch;
-            let high = machine.highest.entry(stop.task.clone()).or_default();
-            *high = (*high).max(stop.run);
-            if let Some(run) = machine.runs.get_mut(&stop.task)
+            worker.epoch = epoch;
+            let highest = worker.highest_runs.entry(stop.task.clone()).or_default();
+            *highest = (*highest).max(stop.run);
+            if let Some(run) = worker.runs.get_mut(&stop.task)
                 && run.number == stop.run
             {
-                run.stopping.get_or_insert(now + 100);
+                run.stops_at.get_or_insert(now + 100);
             }
             StopAnswer::Stopped(clock)
         };
@@ -122,17 +122,17 @@
     pub(super) fn end_runs(&mut self) {
         let now = self.now;
         let clocks: Vec<Ms> = self.workers.keys().map(|id| self.clock(id)).collect();
-        for (machine, clock) in self.workers.values_mut().zip(clocks) {
-            let lapsed = clock > machine.lease;
-            let over: Vec<(TaskKey, How)> = machine
+        for (worker, clock) in self.workers.values_mut().zip(clocks) {
+            let expired = clock > worker.lease;
+            let ended: Vec<(TaskKey, How)> = worker
                 .runs
                 .iter()
                 .filter_map(|(key, run)| {
-                    let how = if lapsed {
+                    let how = if expired {
                         How::Lapsed
-                    } else if run.stopping.is_some_and(|at| now >= at) {
+                    } else if run.stops_at.is_some_and(|at| now >= at) {
                         How::Stopped
-                    } else if now >= run.ends {
+                    } else if now >= run.ends_at {
                         if run.fails { How::Failed } else { How::Done }
                     } else {
                         return None;
@@ -140,11 +140,11 @@
                     Some((key.clone(), how))
                 })
                 .collect();
-            for (task, how) in over {
-                let run = machine.runs.remove(&task).map_or(0, |run| run.number);
-                machine.ends += 1;
-                machine.ended.push(End {
-                    number: machine.ends,
+            for (task, how) in ended {
+                let run = worker.runs.remove(&task).map_or(0, |run| run.number);
+                worker.end_count += 1;
+                worker.unstored_ends.push(End {
+                    number: worker.end_count,
                     task,
                     run,
                     how,
@@ -170,36 +170,40 @@
                 }
                 let clock = self.clock(id);
                 let epoch = self.owners[owner].epoch;
-                let Some((born, _, noted)) =
+                let Some((incarnation, _, stored)) =
                     self.owners[owner].pool.worker(id).map(pool::Worker::ends)
                 else {
                     continue;
                 };
                 let now = self.now;
                 let lease = self.owners[owner].pool.holding(now, id);
-                let Some(machine) = self.workers.get_mut(id) else {
+                let Some(worker) = self.workers.get_mut(id) else {
                     continue;
                 };
-                if epoch < machine.epoch {
+                if epoch < worker.epoch {
                     self.owners[owner].stopped = true;
                     break;
                 }
-                machine.epoch = epoch;
-                machine.lease = machine.lease.max(lease.unwrap_or(0));
-                if born == machine.born {
-                    for end in machine.ended.iter().filter(|end| end.number <= noted) {
+                worker.epoch = epoch;
+                worker.lease = worker.lease.max(lease.unwrap_or(0));
+                if incarnation == worker.incarnation {
+                    for end in worker
+                        .unstored_ends
+                        .iter()
+                        .filter(|end| end.number <= stored)
+                    {
                         if end.how == How::Done {
                             self.stored_ends.insert(end.task.clone());
                         }
                     }
-                    machine.ended.retain(|end| end.number > noted);
+                    worker.unstored_ends.retain(|end| end.number > stored);
                 }
                 let listing = Listing {
                     clock,
-                    born: machine.born,
+                    born: worker.incarnation,
                     lease: lease.unwrap_or(0),
                     asked: self.now,
-                    running: machine
+                    running: worker
                         .runs
                         .iter()
                         .map(|(task, run)| Running {
@@ -210,7 +214,7 @@
                             load: 0,
                         })
                         .collect(),
-                    ended: machine.ended.clone(),
+                    ended: worker.unstored_ends.clone(),
                 };
                 if self.mute.contains(id) {
                     self.owners[owner].pool.mark_unresponsive(id);
