--- a/crates/host/src/advisor_proxies.rs
+++ b/crates/host/src/advisor_proxies.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdvisorProxy {
     /// Expected time at which the advisor has served all queries assigned to this host.
-    pub busy: Ms,
+    pub busy_until: Ms,
     /// Mean delay of its answers beyond the expected duration of the queries; `None` before the first answer.
     delay: Option<Ms>,
 }
@@ -44,12 +44,12 @@
 pub struct ExpectedAt(pub Ms);
 
 impl AdvisorProxy {
-    /// Rank of this host for a query of the duration `takes`. `away` is the round trip between the host and the platform, in
+    /// Rank of this host for a query of the duration `takes`. `round_trip` is the round trip between the host and the platform, in
     /// milliseconds. Before the first answer, the delay between owner and host is assumed to be the same again.
     #[must_use]
-    pub fn score(&self, now: Ms, away: Ms, takes: Ms) -> Score {
-        let delay = self.delay.unwrap_or(away.min(MAX_DELAY) * 2);
-        let free_at = self.busy.max(now);
+    pub fn score(&self, now: Ms, round_trip: Ms, takes: Ms) -> Score {
+        let delay = self.delay.unwrap_or(round_trip.min(MAX_DELAY) * 2);
+        let free_at = self.busy_until.max(now);
         if takes > delay * LONG_QUERY_DELAYS && takes > MAX_SHORT_QUERY {
             return Score {
                 ready_at: free_at,
@@ -64,8 +64,8 @@
 
     /// Assigns a query of the duration `takes` to this host.
     pub fn assign(&mut self, now: Ms, takes: Ms) -> ExpectedAt {
-        self.busy = self.busy.max(now) + takes;
-        ExpectedAt(self.busy)
+        self.busy_until = self.busy_until.max(now) + takes;
+        ExpectedAt(self.busy_until)
     }
 
     /// Records that an assigned query was answered or failed.
--- a/crates/host/src/catalog_sync.rs
+++ b/crates/host/src/catalog_sync.rs
@@ -184,7 +184,7 @@
             };
             for value in rows.iter().filter_map(|row| row.value.as_deref()) {
                 match serde_json::from_slice::<PoolMap>(value) {
-                    Ok(plan) => self.update_pool_map(plan),
+                    Ok(map) => self.update_pool_map(map),
                     Err(error) => warn!(error:% = error; "pool map can't be parsed"),
                 }
             }
@@ -231,9 +231,9 @@
             self.catalog_sync.newer_pool_map.notified().await;
             let mine = self.pool_map.load().version;
             if let Some(link) = self.ahead(|beat| beat.pool_map > mine)
-                && let Some(Reply::PoolMap(plan)) = link.fetch(Call::PoolMap).await
+                && let Some(Reply::PoolMap(map)) = link.fetch(Call::PoolMap).await
             {
-                self.update_pool_map(*plan);
+                self.update_pool_map(*map);
             }
         }
     }
--- a/crates/host/src/front.rs
+++ b/crates/host/src/front.rs
@@ -46,7 +46,7 @@
     Known(State),
     /// There is no such job.
     NotFound,
-    /// Neither the owner nor the store could give the state.
+    /// The state, or the outcome of the cancellation, is unknown.
     Unsure,
 }
 
@@ -88,9 +88,9 @@
             return Submitted::Refused(RETRY_AFTER);
         }
         match self.insert_both_ways(pool, &job, until).await {
-            (Inserted::Present(place), by_owner) => {
+            (Inserted::Present(location), by_owner) => {
                 if !by_owner {
-                    self.notify_accepted(place, job);
+                    self.notify_accepted(location, job);
                 }
                 Submitted::Accepted
             }
@@ -105,20 +105,20 @@
     /// The store may be available to the owner although it is not to this host. Both write the same row, so the first that finds
     /// it there decides; the job is refused only if both are.
     async fn insert_both_ways(&self, pool: u32, job: &Job, until: Instant) -> (Inserted, bool) {
-        let patience = self.store_retry_delay();
+        let retry_delay = self.store_retry_delay();
         if !self.has(Mechanism::JointInserts) && self.store_available() {
-            let inserted = insert(self.store.as_ref(), pool, job, until, patience, false).await;
+            let inserted = insert(self.store.as_ref(), pool, job, until, retry_delay, false).await;
             return (inserted, false);
         }
         let refused = Notify::new();
         let own = async {
-            let inserted = insert(self.store.as_ref(), pool, job, until, patience, false).await;
+            let inserted = insert(self.store.as_ref(), pool, job, until, retry_delay, false).await;
             refused.notify_one();
             inserted
         };
         let by_owner = async {
             if self.store_available() {
-                drop(timeout(patience, refused.notified()).await);
+                drop(timeout(retry_delay, refused.notified()).await);
             }
             self.insert_by_owner(pool, job, until).await
         };
@@ -149,7 +149,7 @@
         let left = until.saturating_duration_since(Instant::now());
         let call = Call::Insert(pool, Box::new(job.clone()));
         match link.call(call, left).await {
-            Some(Reply::Inserted(place)) => Inserted::Present(place),
+            Some(Reply::Inserted(location)) => Inserted::Present(location),
             Some(Reply::Refused) => Inserted::Refused,
             _ => Inserted::Unsure,
         }
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -34,7 +34,7 @@
 const MIN_STORE_RETRY_DELAY: Duration = Duration::from_millis(160);
 /// Upper bound of the same delay. Callers wait three seconds, so a third call would come too late.
 const MAX_STORE_RETRY_DELAY: Duration = Duration::from_millis(900);
-/// Delay before the store is probe_finished. An answer given before the store began to refuse proves nothing, and a store that has just
+/// Delay before the store is probed. An answer given before the store began to refuse proves nothing, and a store that has just
 /// begun to refuse all hosts may have answered this one a moment ago.
 const PROBE_DELAY: Duration = Duration::from_millis(100);
 /// Minimum time between two probes of the store while an owner has lost it.
@@ -200,11 +200,11 @@
     }
 
     /// Puts a pool map into force unless this host knows one at least as new.
-    pub(crate) fn update_pool_map(&self, plan: PoolMap) {
+    pub(crate) fn update_pool_map(&self, map: PoolMap) {
         let before = self.pool_map.load();
-        if plan.version > before.version {
-            info!(version = plan.version, pools = plan.pool_count(), racks = plan.racks.len(); "pool map in force");
-            self.pool_map.store(Arc::new(plan));
+        if map.version > before.version {
+            info!(version = map.version, pools = map.pool_count(), racks = map.racks.len(); "pool map in force");
+            self.pool_map.store(Arc::new(map));
             self.pool_map_changed.notify_waiters();
             self.owner_missing.notify_one();
         }
@@ -224,12 +224,12 @@
         if beat.store_failing && self.owns() == 0 {
             self.probe_requested.notify_one();
         }
-        let (pool, catalog, plan) = (beat.pool, beat.catalog, beat.pool_map);
+        let (pool, catalog, pool_map) = (beat.pool, beat.catalog, beat.pool_map);
         self.change(pool, |state| state.heard = Heard { at: now, beat });
         if catalog > mine {
             self.catalog_sync.newer.notify_one();
         }
-        if plan > self.pool_map.load().version {
+        if pool_map > self.pool_map.load().version {
             self.catalog_sync.newer_pool_map.notify_one();
         }
     }
--- a/crates/host/src/insert.rs
+++ b/crates/host/src/insert.rs
@@ -14,7 +14,7 @@
 /// Delay before an insert whose outcome is unknown is repeated after a refusal.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// The pool of a job, as its row says.
+/// Pool of a job and version of its row.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobLocation {
     /// The pool that the job is in.
@@ -97,11 +97,11 @@
             }
             Err(StoreError::Conflict { rows }) => {
                 let found = rows.iter().find_map(|row| {
-                    let place = job_row_header(row.value.as_deref()?)?;
+                    let header = job_row_header(row.value.as_deref()?)?;
                     Some(JobLocation {
-                        pool: place.pool,
+                        pool: header.pool,
                         version: row.version,
-                        moved: place.moved.is_some(),
+                        moved: header.moved.is_some(),
                     })
                 });
                 if let Some(found) = found {
--- a/crates/host/src/interfaces.rs
+++ b/crates/host/src/interfaces.rs
@@ -71,7 +71,7 @@
     pub other_parts: Vec<Transaction>,
 }
 
-/// A consistent set of rows.
+/// Rows as of one version of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Page {
     /// The rows; in a feed, the newest last.
--- a/crates/host/src/route.rs
+++ b/crates/host/src/route.rs
@@ -33,13 +33,13 @@
 
 /// The candidate pools of a new job with this id, the more likely one first.
 #[must_use]
-pub fn candidates(plan: &PoolMap, id: &str) -> Vec<u32> {
-    ranked(plan, id).into_iter().take(2).collect()
+pub fn candidates(map: &PoolMap, id: &str) -> Vec<u32> {
+    ranked(map, id).into_iter().take(2).collect()
 }
 
 /// All pools, ordered by the weighted rendezvous hash of this id.
-fn ranked(plan: &PoolMap, id: &str) -> Vec<u32> {
-    let mut pools: Vec<(f64, u32)> = plan
+fn ranked(map: &PoolMap, id: &str) -> Vec<u32> {
+    let mut pools: Vec<(f64, u32)> = map
         .sizes
         .iter()
         .enumerate()
@@ -57,15 +57,13 @@
 /// The next pool for a job that the pools in `tried` could not serve; `None` if it was in all of them.
 #[must_use]
 pub fn next_pool(
-    plan: &PoolMap,
+    map: &PoolMap,
     job: &Job,
     tried: &[u32],
     loads: &FxHashMap<u32, Load>,
 ) -> Option<u32> {
-    let first = choose_pool(plan, job, loads);
-    let others = ranked(plan, &job.id)
-        .into_iter()
-        .chain(0..plan.pool_count());
+    let first = choose_pool(map, job, loads);
+    let others = ranked(map, &job.id).into_iter().chain(0..map.pool_count());
     std::iter::once(first)
         .chain(others)
         .find(|pool| !tried.contains(pool))
@@ -73,8 +71,8 @@
 
 /// The pool for a new job.
 #[must_use]
-pub fn choose_pool(plan: &PoolMap, job: &Job, loads: &FxHashMap<u32, Load>) -> u32 {
-    if plan.pool_count() == 1 {
+pub fn choose_pool(map: &PoolMap, job: &Job, loads: &FxHashMap<u32, Load>) -> u32 {
+    if map.pool_count() == 1 {
         return 0;
     }
     // The label of a step may be the name of a rack.
@@ -82,7 +80,7 @@
         .steps
         .iter()
         .flat_map(|step| [step.near.as_str(), step.label.as_str()]);
-    if let Some(pool) = racks.filter_map(|rack| plan.pool_of(rack)).next() {
+    if let Some(pool) = racks.filter_map(|rack| map.pool_of(rack)).next() {
         return pool;
     }
     let label = job
@@ -96,9 +94,9 @@
             load.is_none_or(|load| load.labels.iter().any(|has| has == label))
         })
     };
-    let mut pools = candidates(plan, &job.id);
+    let mut pools = candidates(map, &job.id);
     if !pools.iter().any(may_have_label) {
-        pools = (0..plan.pool_count()).collect();
+        pools = (0..map.pool_count()).collect();
     }
     pools.retain(may_have_label);
     let known_load = |pool: u32| {
--- a/crates/host/tests/follow.rs
+++ b/crates/host/tests/follow.rs
@@ -1,4 +1,4 @@
-//! A table that changes faster than it is told.
+//! Following a table, and reading one, while the store or the network is slow or fails.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -8,25 +8,25 @@
 use host::{Feed, Page, Row, Store, StoreError, Transaction};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Most rows that the store tells at once.
-const PAGE: u64 = 500;
-/// Rows that are written each second: 3,000 workers that beat each 1.5 s.
-const WRITES: u64 = 2_000;
+/// Maximum number of rows that the store returns at once.
+const PAGE_ROWS: u64 = 500;
+/// Rows written per second: heartbeats of 3,000 workers, one every 1.5 s each.
+const WRITES_PER_SECOND: u64 = 2_000;
 
-/// A store in which one row after the other is written, and which tells at most a page of them at once.
-struct Busy {
+/// A store with a constant rate of writes that returns at most one page of changes at once.
+struct BusyStore {
     began: Instant,
-    told: Mutex<u64>,
+    returned: Mutex<u64>,
 }
 
-impl Busy {
+impl BusyStore {
     fn written(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64 * WRITES / 1_000
+        self.began.elapsed().as_millis() as u64 * WRITES_PER_SECOND / 1_000
     }
 }
 
 #[async_trait]
-impl Store for Busy {
+impl Store for BusyStore {
     async fn commit(&self, _: &Transaction) -> Result<u64, StoreError> {
         Ok(0)
     }
@@ -44,7 +44,7 @@
         while self.written() == after {
             sleep(Duration::from_millis(1)).await;
         }
-        let version = self.written().min(after + PAGE);
+        let version = self.written().min(after + PAGE_ROWS);
         let rows = (after..version).map(|key| Row {
             table: table.to_owned(),
             part: String::new(),
@@ -52,7 +52,7 @@
             value: Some(Vec::new()),
             version: key + 1,
         });
-        *self.told.lock().expect("not poisoned") = version;
+        *self.returned.lock().expect("not poisoned") = version;
         Ok(Feed {
             rows: rows.collect(),
             version,
@@ -62,79 +62,80 @@
     }
 }
 
-/// Workers write more rows in a second than an owner that pauses after each answer is told. It fell further and further
-/// behind, and went on giving tasks to workers that had said that they leave.
+/// Guards against an owner that falls ever further behind because workers write more rows per second than it receives when it
+/// pauses after each answer: it went on giving tasks to workers that had reported that they were leaving.
 #[tokio::test(start_paused = true)]
 async fn a_follower_keeps_up_with_a_table_that_changes_fast() {
-    let store = Busy {
+    let store = BusyStore {
         began: Instant::now(),
-        told: Mutex::new(0),
+        returned: Mutex::new(0),
     };
     let parts = [String::new()];
-    let pace = Duration::from_millis(350);
-    let mut most = 0;
+    let pause = Duration::from_millis(350);
+    let mut max_rows = 0;
     let following = follow(
         &store,
         "workers",
         &parts,
         Some(0),
-        PollTiming::default().pause(pace),
+        PollTiming::default().pause(pause),
         |change| {
             if let Change::Update(feed) = change {
-                most = most.max(feed.rows.len());
+                max_rows = max_rows.max(feed.rows.len());
             }
         },
     );
     drop(timeout(Duration::from_secs(20), following).await);
-    let behind = store.written() - *store.told.lock().expect("not poisoned");
-    assert!(behind < WRITES, "{behind} rows behind");
-    assert!(most as u64 <= PAGE);
+    let behind = store.written() - *store.returned.lock().expect("not poisoned");
+    assert!(behind < WRITES_PER_SECOND, "{behind} rows behind");
+    assert!(max_rows as u64 <= PAGE_ROWS);
 }
 
-/// What a line or a store in trouble does to reads.
-enum Trouble {
-    /// One call in three is refused.
-    Refuses,
-    /// All calls are refused for this long.
-    RefusesAll(Duration),
-    /// Pages are of an older moment than asked for, for this long.
-    Lags(Duration),
-    /// The line carries this many pages a second, and a call is given up after 900 ms.
-    Thin(u64),
+/// Fault of the store or the network that affects reads.
+enum Fault {
+    /// One call in three fails.
+    FailsSome,
+    /// All calls fail for this long.
+    FailsAll(Duration),
+    /// Pages are older than required for this long.
+    Stale(Duration),
+    /// The link carries this many pages per second, and calls time out after 900 ms.
+    SlowLink(u64),
 }
 
-/// A table of 64 parts with two pages each.
-struct Troubled {
+/// A store with the fault; its table has 64 parts with two pages each.
+struct FaultyStore {
     began: Instant,
-    trouble: Trouble,
+    fault: Fault,
     calls: Mutex<u64>,
-    under_way: Mutex<u64>,
+    in_flight: Mutex<u64>,
 }
 
-impl Troubled {
-    fn new(trouble: Trouble) -> Self {
+impl FaultyStore {
+    fn new(fault: Fault) -> Self {
         Self {
             began: Instant::now(),
-            trouble,
+            fault,
             calls: Mutex::new(0),
-            under_way: Mutex::new(0),
+            in_flight: Mutex::new(0),
         }
     }
 
-    async fn travel(&self, call: u64) -> Result<(), StoreError> {
+    /// Applies the fault to the call with this number.
+    async fn transmit(&self, call: u64) -> Result<(), StoreError> {
         let lost = || StoreError::Lost {
             why: "no answer".to_owned(),
         };
-        match self.trouble {
-            Trouble::Refuses if call.is_multiple_of(3) => Err(lost()),
-            Trouble::RefusesAll(time) if self.began.elapsed() < time => Err(lost()),
-            Trouble::Refuses | Trouble::RefusesAll(_) | Trouble::Lags(_) => Ok(()),
-            Trouble::Thin(pages) => {
-                *self.under_way.lock().expect("not poisoned") += 1;
-                let share = *self.under_way.lock().expect("not poisoned");
+        match self.fault {
+            Fault::FailsSome if call.is_multiple_of(3) => Err(lost()),
+            Fault::FailsAll(time) if self.began.elapsed() < time => Err(lost()),
+            Fault::FailsSome | Fault::FailsAll(_) | Fault::Stale(_) => Ok(()),
+            Fault::SlowLink(pages) => {
+                *self.in_flight.lock().expect("not poisoned") += 1;
+                let share = *self.in_flight.lock().expect("not poisoned");
                 let takes = Duration::from_millis(share * 1_000 / pages);
                 let done = timeout(Duration::from_millis(900), sleep(takes)).await;
-                *self.under_way.lock().expect("not poisoned") -= 1;
+                *self.in_flight.lock().expect("not poisoned") -= 1;
                 done.map_err(|_| lost())
             }
         }
@@ -142,7 +143,7 @@
 }
 
 #[async_trait]
-impl Store for Troubled {
+impl Store for FaultyStore {
     async fn commit(&self, _: &Transaction) -> Result<u64, StoreError> {
         Ok(0)
     }
@@ -153,7 +154,7 @@
             *calls += 1;
             *calls
         };
-        self.travel(call).await?;
+        self.transmit(call).await?;
         let row = Row {
             table: table.to_owned(),
             part: part.to_owned(),
@@ -161,10 +162,10 @@
             value: Some(Vec::new()),
             version: 1,
         };
-        let lags = matches!(self.trouble, Trouble::Lags(time) if self.began.elapsed() < time);
+        let stale = matches!(self.fault, Fault::Stale(time) if self.began.elapsed() < time);
         Ok(Page {
             rows: vec![row],
-            version: if lags { 6 } else { 7 },
+            version: if stale { 6 } else { 7 },
             next: from.is_empty().then(|| "m".to_owned()),
             at: 0,
         })
@@ -179,8 +180,9 @@
     }
 }
 
-async fn read_through(trouble: Trouble) -> (usize, u64, Duration) {
-    let store = Troubled::new(trouble);
+/// Reads the table; returns the number of distinct rows and of calls, and the time taken.
+async fn read_with(fault: Fault) -> (usize, u64, Duration) {
+    let store = FaultyStore::new(fault);
     let parts: Vec<String> = (0..64).map(|part| part.to_string()).collect();
     let began = Instant::now();
     let page = read(&store, "jobs", &parts, 7).await;
@@ -191,44 +193,44 @@
     (keys.len(), calls, began.elapsed())
 }
 
-/// All hosts are back after a loss of power, while the store fails a third of all calls. A new owner that began its list of
-/// 64 parts anew with each failure knew the jobs 1.5 s later than it could; callers saw nothing move.
+/// Guards against a read of 64 parts that starts anew with each failed call: with a third of all calls failing after a loss of
+/// power, a new owner knew its jobs 1.5 s later than it could, and no job made progress.
 #[tokio::test(start_paused = true)]
-async fn what_was_read_is_kept_when_other_reads_fail() {
-    let (rows, calls, took) = read_through(Trouble::Refuses).await;
+async fn pages_are_kept_when_other_reads_fail() {
+    let (rows, calls, took) = read_with(Fault::FailsSome).await;
     assert_eq!(rows, 128);
     assert!(calls < 128 * 2, "{calls} calls");
     assert!(took < Duration::from_secs(1), "{took:?}");
 }
 
-/// Guards against readers that repeat all their reads as fast as the store refuses them, or tells what is too old.
+/// Guards against readers that repeat all their reads as fast as the store fails them or returns stale pages.
 #[tokio::test(start_paused = true)]
 async fn reads_that_fail_again_are_repeated_less_often() {
     let time = Duration::from_secs(3);
-    for trouble in [Trouble::RefusesAll(time), Trouble::Lags(time)] {
-        let (rows, calls, took) = read_through(trouble).await;
+    for fault in [Fault::FailsAll(time), Fault::Stale(time)] {
+        let (rows, calls, took) = read_with(fault).await;
         assert_eq!(rows, 128);
         assert!(calls < 64 * 20, "{calls} calls");
         assert!(took < time + Duration::from_millis(500), "{took:?}");
     }
 }
 
-/// A host on a thin line takes a pool. Sixty-four reads at once share the line, all are given up and begun again: it never
-/// knew the jobs, and leases lapsed.
+/// Guards against a new owner on a slow link that never loads its jobs, so that leases expire: sixty-four concurrent reads shared
+/// the link, and all of them timed out and started again.
 #[tokio::test(start_paused = true)]
-async fn a_thin_line_is_not_shared_by_more_reads_than_it_carries() {
-    let (rows, _, took) = read_through(Trouble::Thin(20)).await;
+async fn a_slow_link_is_not_shared_by_more_reads_than_it_carries() {
+    let (rows, _, took) = read_with(Fault::SlowLink(20)).await;
     assert_eq!(rows, 128);
     assert!(took < Duration::from_secs(30), "{took:?}");
 }
 
-/// A store that is silent until some moment, and then tells changes only when there are any.
-struct Away {
+/// A store that doesn't answer before the given time, and has no changes after it.
+struct StoreInOutage {
     back: Instant,
 }
 
 #[async_trait]
-impl Store for Away {
+impl Store for StoreInOutage {
     async fn commit(&self, _: &Transaction) -> Result<u64, StoreError> {
         Ok(0)
     }
@@ -253,13 +255,13 @@
     }
 }
 
-/// An outage of the store ends. All hosts go on refusing callers until an answer tells them: those that waited 0.9 s for a
-/// change, of which there was none, did so for up to two seconds.
+/// Guards against hosts that refuse callers for up to two seconds after the end of an outage, because their first poll waits 0.9 s
+/// for a change before it is answered.
 #[tokio::test(start_paused = true)]
 async fn the_end_of_an_outage_is_noticed_at_once() {
     for outage in (2_000..4_000).step_by(70) {
         let back = Instant::now() + Duration::from_millis(outage);
-        let store = Away { back };
+        let store = StoreInOutage { back };
         let parts = [String::new()];
         let mut answered = None;
         let following = follow(
@@ -280,20 +282,20 @@
     }
 }
 
-/// A store whose answers take this long to come back; a change is there from the start, or never.
-struct Distant {
-    back: Duration,
+/// A store whose answers are in transit for this long. It has a change from the start, or none.
+struct DistantStore {
+    transit: Duration,
     row: Option<Row>,
 }
 
 #[async_trait]
-impl Store for Distant {
+impl Store for DistantStore {
     async fn commit(&self, _: &Transaction) -> Result<u64, StoreError> {
         Ok(0)
     }
 
     async fn page(&self, _: &str, _: &str, _: &str) -> Result<Page, StoreError> {
-        sleep(self.back).await;
+        sleep(self.transit).await;
         Ok(Page::default())
     }
 
@@ -302,13 +304,13 @@
     }
 
     async fn feed(&self, _: &str, _: u64, wait: Duration) -> Result<Feed, StoreError> {
-        let told = self.row.is_some();
-        if !told {
+        let changed = self.row.is_some();
+        if !changed {
             sleep(wait).await;
         }
-        // The answer's age is reckoned on a clock that no test can pause.
-        let back = self.back;
-        drop(tokio::task::spawn_blocking(move || std::thread::sleep(back)).await);
+        // The age of an answer is measured on a clock that tests can't pause, so this takes real time.
+        let transit = self.transit;
+        drop(tokio::task::spawn_blocking(move || std::thread::sleep(transit)).await);
         Ok(Feed {
             rows: self.row.iter().cloned().collect(),
             ..Feed::default()
@@ -316,10 +318,10 @@
     }
 }
 
-/// Guards against an answer that was long on its way and counts as of its arrival.
+/// Guards against an answer that was in transit for long and counts as up to date at its arrival.
 #[tokio::test]
-async fn an_answer_that_arrives_late_is_not_newer_than_its_question() {
-    let back = Duration::from_millis(400);
+async fn an_answer_that_arrives_late_is_not_newer_than_its_request() {
+    let transit = Duration::from_millis(400);
     let row = Row {
         table: "op".to_owned(),
         part: String::new(),
@@ -328,7 +330,7 @@
         version: 1,
     };
     for row in [None, Some(row)] {
-        let store = Distant { back, row };
+        let store = DistantStore { transit, row };
         let parts = [String::new()];
         let mut ages = Vec::new();
         let following = follow(
@@ -343,21 +345,21 @@
                 }
             },
         );
-        drop(timeout(back * 4, following).await);
+        drop(timeout(transit * 4, following).await);
         assert!(!ages.is_empty());
-        let least = back.as_millis() as u64 - 1;
-        assert!(ages.iter().all(|age| *age >= least), "{ages:?}");
+        let min_age = transit.as_millis() as u64 - 1;
+        assert!(ages.iter().all(|age| *age >= min_age), "{ages:?}");
     }
 }
 
-/// A store that counts questions for changes, and waits or refuses.
-struct Counted {
-    asked: Mutex<u32>,
+/// A store that counts polls for changes, and has none or refuses.
+struct CountingStore {
+    polls: Mutex<u32>,
     refuses: bool,
 }
 
 #[async_trait]
-impl Store for Counted {
+impl Store for CountingStore {
     async fn commit(&self, _: &Transaction) -> Result<u64, StoreError> {
         Ok(0)
     }
@@ -371,7 +373,7 @@
     }
 
     async fn feed(&self, _: &str, after: u64, wait: Duration) -> Result<Feed, StoreError> {
-        *self.asked.lock().expect("not poisoned") += 1;
+        *self.polls.lock().expect("not poisoned") += 1;
         if self.refuses {
             let why = "down".to_owned();
             return Err(StoreError::Refused { why });
@@ -384,25 +386,26 @@
     }
 }
 
-async fn questions(refuses: bool, rhythm: PollTiming) -> u32 {
-    let store = Counted {
-        asked: Mutex::default(),
+/// Number of polls in a minute.
+async fn polls(refuses: bool, timing: PollTiming) -> u32 {
+    let store = CountingStore {
+        polls: Mutex::default(),
         refuses,
     };
     let parts = [String::new()];
-    let following = follow(&store, "plan", &parts, Some(0), rhythm, |_| {});
+    let following = follow(&store, "plan", &parts, Some(0), timing, |_| {});
     drop(timeout(Duration::from_secs(60), following).await);
-    let asked = store.asked.lock().expect("not poisoned");
-    *asked
+    let polls = store.polls.lock().expect("not poisoned");
+    *polls
 }
 
-/// Guards against hundreds of hosts that ask the store for changes of a table that hardly changes, and all the more while it is
-/// down: half of all calls of a quiet day were such questions.
+/// Guards against hundreds of hosts that poll a table that hardly ever changes, and more often while the store is down: on a
+/// quiet day such polls were half of all calls.
 #[tokio::test(start_paused = true)]
-async fn a_table_that_hardly_changes_is_asked_about_seldom() {
+async fn a_table_that_hardly_changes_is_polled_seldom() {
     let seldom = PollTiming::default()
         .wait(Duration::from_secs(2))
         .retry(Duration::from_millis(400));
-    assert!(questions(false, seldom).await <= 32);
-    assert!(questions(true, seldom).await <= 151);
+    assert!(polls(false, seldom).await <= 32);
+    assert!(polls(true, seldom).await <= 151);
 }
--- a/crates/host/tests/insert.rs
+++ b/crates/host/tests/insert.rs
@@ -1,4 +1,4 @@
-//! A job's row is written once, and "not accepted" is said only when that is certain.
+//! A job's row is written once, and a job is refused only if it is certain that its row is not written.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use pool::Job;
 use tokio::time::{Instant, sleep};
 
-/// The pool that the inserts choose.
+/// The pool of the inserts.
 const POOL: u32 = 3;
 
-/// The row is there for a job that has always been in this pool, written by the fake's only transaction.
-const fn there(pool: u32) -> Inserted {
+/// Result for a job that has always been in this pool, whose row was written by the only transaction of the fake store.
+const fn present(pool: u32) -> Inserted {
     Inserted::Present(JobLocation {
         pool,
         version: 1,
@@ -21,82 +21,82 @@
     })
 }
 
-/// What the store does with one call.
+/// Behaviour of the store for one call.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    /// Answers after this time.
+enum Behaviour {
+    /// Executes the call and answers after this many milliseconds.
     Slow(u64),
-    /// Does it and never answers.
+    /// Executes the call, but the answer is lost.
     DoneUnanswered,
-    /// Does nothing and never answers.
+    /// Doesn't execute the call, and the answer is lost.
     Silent,
-    /// Refuses.
+    /// Refuses the call.
     Refuses,
-    /// Says that it will never take this.
+    /// Rejects the call for good.
     Rejects,
 }
 
-/// A store with one row at most.
-struct Fake {
-    fates: Mutex<Vec<Fate>>,
-    /// What the row holds, if it is there.
-    there: Mutex<Option<Vec<u8>>>,
+/// A store with at most one row. Calls beyond the given behaviours are answered after 4 ms.
+struct FakeStore {
+    behaviours: Mutex<Vec<Behaviour>>,
+    /// Content of the row, if it exists.
+    row: Mutex<Option<Vec<u8>>>,
     calls: Mutex<usize>,
 }
 
-impl Fake {
-    fn new(fates: &[Fate]) -> Self {
+impl FakeStore {
+    fn new(behaviours: &[Behaviour]) -> Self {
         Self {
-            fates: Mutex::new(fates.iter().rev().copied().collect()),
-            there: Mutex::default(),
+            behaviours: Mutex::new(behaviours.iter().rev().copied().collect()),
+            row: Mutex::default(),
             calls: Mutex::new(0),
         }
     }
 
     fn put(&self, transaction: &Transaction) -> Result<u64, StoreError> {
         let (table, key, value) = transaction.puts.first().expect("it writes a row").clone();
-        let mut there = self.there.lock().expect("not poisoned");
-        if there.is_some() {
+        let mut stored = self.row.lock().expect("not poisoned");
+        if stored.is_some() {
             let row = Row {
                 table,
                 part: transaction.part.clone(),
                 key,
-                value: there.clone(),
+                value: stored.clone(),
                 version: 1,
             };
             return Err(StoreError::Conflict { rows: vec![row] });
         }
-        *there = Some(value);
+        *stored = Some(value);
         Ok(1)
     }
 }
 
 #[async_trait]
-impl Store for Fake {
+impl Store for FakeStore {
     async fn commit(&self, transaction: &Transaction) -> Result<u64, StoreError> {
         *self.calls.lock().expect("not poisoned") += 1;
-        let fate = self.fates.lock().expect("not poisoned").pop();
+        let behaviour = self.behaviours.lock().expect("not poisoned").pop();
         let lost = || StoreError::Lost {
             why: "silence".to_owned(),
         };
-        match fate.unwrap_or(Fate::Slow(4)) {
-            Fate::Slow(ms) => {
+        match behaviour.unwrap_or(Behaviour::Slow(4)) {
+            Behaviour::Slow(ms) => {
                 sleep(Duration::from_millis(ms)).await;
                 self.put(transaction)
             }
-            Fate::DoneUnanswered => {
+            Behaviour::DoneUnanswered => {
                 let _ = self.put(transaction);
                 sleep(Duration::from_millis(900)).await;
                 Err(lost())
             }
-            Fate::Silent => {
+            Behaviour::Silent => {
                 sleep(Duration::from_millis(900)).await;
                 Err(lost())
             }
-            Fate::Rejects => Err(StoreError::Rejected {
+            Behaviour::Rejects => Err(StoreError::Rejected {
                 why: "too long".to_owned(),
             }),
-            Fate::Refuses => Err(StoreError::Refused {
+            Behaviour::Refuses => Err(StoreError::Refused {
                 why: "busy".to_owned(),
             }),
         }
@@ -115,12 +115,16 @@
     }
 }
 
-async fn try_insert(fates: &[Fate], doubt: bool) -> (Inserted, Duration, usize) {
-    insert_again(fates, 160, doubt).await
+async fn try_insert(behaviours: &[Behaviour], may_exist: bool) -> (Inserted, Duration, usize) {
+    insert_with_delay(behaviours, 160, may_exist).await
 }
 
-async fn insert_again(fates: &[Fate], again: u64, doubt: bool) -> (Inserted, Duration, usize) {
-    let store = Fake::new(fates);
+async fn insert_with_delay(
+    behaviours: &[Behaviour],
+    retry_delay: u64,
+    may_exist: bool,
+) -> (Inserted, Duration, usize) {
+    let store = FakeStore::new(behaviours);
     let began = Instant::now();
     let until = began + Duration::from_secs(2);
     let inserted = insert(
@@ -128,92 +132,96 @@
         POOL,
         &Job::default(),
         until,
-        Duration::from_millis(again),
-        doubt,
+        Duration::from_millis(retry_delay),
+        may_exist,
     )
     .await;
     let calls = *store.calls.lock().expect("not poisoned");
     (inserted, began.elapsed(), calls)
 }
 
-/// The store does the insert and its answer is lost. The caller should not wait for the time-out of that call: the same
-/// insert, sent again, finds the row.
+/// Guards against callers that wait for the time-out of a call whose answer is lost: the same insert, repeated, finds the row.
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_is_found_out_by_the_next_try() {
-    let (inserted, took, calls) = try_insert(&[Fate::DoneUnanswered], false).await;
-    assert_eq!(inserted, there(POOL));
+async fn a_lost_answer_is_detected_by_the_next_attempt() {
+    let (inserted, took, calls) = try_insert(&[Behaviour::DoneUnanswered], false).await;
+    assert_eq!(inserted, present(POOL));
     assert_eq!(calls, 2);
     assert!(took < Duration::from_millis(250), "{took:?}");
 }
 
-/// The store answers after 270 ms, as it does when it is 40 times slower than usual. Taking that for a lost answer and
-/// flooding it with tries made it slower still, until it refused.
+/// Guards against retries that overload a slow store: when it answered after 270 ms, 40 times slower than usual, slow answers
+/// were taken for lost ones, and the repeated calls slowed it down further until it refused.
 #[tokio::test(start_paused = true)]
 async fn a_slow_store_is_waited_for() {
-    let (inserted, took, calls) = try_insert(&[Fate::Slow(270), Fate::Slow(270)], false).await;
-    assert_eq!(inserted, there(POOL));
+    let (inserted, took, calls) =
+        try_insert(&[Behaviour::Slow(270), Behaviour::Slow(270)], false).await;
+    assert_eq!(inserted, present(POOL));
     assert!(took <= Duration::from_millis(270), "{took:?}");
     assert!(calls <= 2, "{calls} calls");
-    let (inserted, _, calls) = insert_again(&[Fate::Slow(270)], 810, false).await;
+    let (inserted, _, calls) = insert_with_delay(&[Behaviour::Slow(270)], 810, false).await;
     assert_eq!(
         (inserted, calls),
-        (there(POOL), 1),
-        "known to be slow, it is asked once"
+        (present(POOL), 1),
+        "a store that is known to be slow is called once"
     );
 }
 
-/// The first call goes unanswered, later ones are refused. The first may still be carried out, so callers must not be told
-/// that the job was not accepted: they would send it elsewhere, and it would run as well.
+/// Guards against a job that runs twice: if the first call is not answered and later ones are refused, the first may still take
+/// effect. A caller that is refused sends the job elsewhere.
 #[tokio::test(start_paused = true)]
-async fn a_refusal_after_an_unanswered_call_leaves_it_open() {
-    let mut fates = vec![Fate::Silent];
-    fates.extend([Fate::Refuses; 200]);
-    let (inserted, _, _) = try_insert(&fates, false).await;
+async fn a_refusal_after_an_unanswered_call_leaves_the_outcome_unknown() {
+    let mut behaviours = vec![Behaviour::Silent];
+    behaviours.extend([Behaviour::Refuses; 200]);
+    let (inserted, _, _) = try_insert(&behaviours, false).await;
     assert_eq!(inserted, Inserted::Unsure);
 }
 
-/// A refusal of the only call is certain, and is told at once.
+/// A refusal of the only call is certain and is returned at once.
 #[tokio::test(start_paused = true)]
-async fn a_refusal_alone_is_told_at_once() {
-    let (inserted, took, calls) = try_insert(&[Fate::Refuses], false).await;
+async fn a_refusal_of_the_only_call_is_returned_at_once() {
+    let (inserted, took, calls) = try_insert(&[Behaviour::Refuses], false).await;
     assert_eq!((inserted, calls), (Inserted::Refused, 1));
     assert!(took < Duration::from_millis(10), "{took:?}");
 }
 
-/// Guards against an insert that the store will never take being sent again until the caller's time is over.
+/// Guards against an insert that the store rejects for good and that is repeated until the caller's time-out.
 #[tokio::test(start_paused = true)]
-async fn a_rejected_insert_is_refused_at_once_and_not_sent_again() {
-    let (inserted, took, calls) = try_insert(&[Fate::Rejects], false).await;
+async fn a_rejected_insert_is_refused_at_once_and_not_repeated() {
+    let (inserted, took, calls) = try_insert(&[Behaviour::Rejects], false).await;
     assert_eq!((inserted, calls), (Inserted::Refused, 1));
     assert!(took < Duration::from_millis(10), "{took:?}");
 }
 
-/// Guards against a rejection that is taken for certain while an earlier call may have written the row, and against sending
-/// the insert again after it.
+/// Guards against a rejection that counts as certain although an earlier call may have written the row, and against repeating the
+/// insert after it.
 #[tokio::test(start_paused = true)]
-async fn a_rejection_in_doubt_leaves_it_open_and_ends_the_insert() {
-    let (inserted, _, calls) = try_insert(&[Fate::Rejects, Fate::Rejects], true).await;
+async fn a_rejection_leaves_an_unknown_outcome_unknown_and_ends_the_insert() {
+    let (inserted, _, calls) = try_insert(&[Behaviour::Rejects, Behaviour::Rejects], true).await;
     assert_eq!((inserted, calls), (Inserted::Unsure, 1));
 }
 
-/// An insert that is in doubt from elsewhere stays in doubt until the row is found.
+/// If an earlier call elsewhere may have written the row, the outcome is unknown until the row is found.
 #[tokio::test(start_paused = true)]
-async fn doubt_from_elsewhere_is_ended_by_the_row_only() {
-    let (inserted, _, _) = try_insert(&[Fate::Refuses, Fate::Refuses, Fate::Slow(4)], true).await;
-    assert_eq!(inserted, there(POOL));
-    let (inserted, _, _) = try_insert(&[Fate::Refuses; 200], true).await;
+async fn an_unknown_outcome_is_settled_by_the_row_only() {
+    let (inserted, _, _) = try_insert(
+        &[Behaviour::Refuses, Behaviour::Refuses, Behaviour::Slow(4)],
+        true,
+    )
+    .await;
+    assert_eq!(inserted, present(POOL));
+    let (inserted, _, _) = try_insert(&[Behaviour::Refuses; 200], true).await;
     assert_eq!(inserted, Inserted::Unsure);
 }
 
-/// A caller sends a job twice, through two hosts that chose different pools, since the loads had changed. The second must
-/// hand the job to the owner that the row names: the other one would start all of it a second time.
+/// Guards against a job that runs in two pools: a caller sends it through two hosts that choose different pools because the loads
+/// have changed. The second host must notify the owner of the pool that the row names.
 #[tokio::test(start_paused = true)]
-async fn a_repeated_insert_tells_the_pool_that_the_row_names() {
-    let store = Fake::new(&[]);
+async fn a_repeated_insert_returns_the_pool_that_the_row_names() {
+    let store = FakeStore::new(&[]);
     let until = Instant::now() + Duration::from_secs(2);
-    let again = Duration::from_millis(160);
+    let retry_delay = Duration::from_millis(160);
     let job = Job::default();
-    let first = insert(&store, 0, &job, until, again, false).await;
-    let second = insert(&store, 1, &job, until, again, false).await;
-    assert_eq!((first, second), (there(0), there(0)));
+    let first = insert(&store, 0, &job, until, retry_delay, false).await;
+    let second = insert(&store, 1, &job, until, retry_delay, false).await;
+    assert_eq!((first, second), (present(0), present(0)));
 }
--- a/crates/host/tests/packed.rs
+++ b/crates/host/tests/packed.rs
@@ -1,4 +1,4 @@
-//! Configurations that can't be unpacked.
+//! Packed configurations that can't be unpacked.
 
 use std::io::Write as _;
 
@@ -18,9 +18,9 @@
     }
 }
 
-/// Guards against hosts that take up, or end at, what they can't read.
+/// Guards against hosts that accept an invalid configuration, or crash because of it.
 #[test]
-fn what_can_t_be_read_is_told() {
+fn an_invalid_configuration_is_an_error() {
     let text = |text: &str| Packed {
         version: 7,
         text: text.to_owned(),
@@ -34,9 +34,9 @@
     assert!(matches!(read(&packed(b"[1")), PackError::Json { .. }));
 }
 
-/// Guards against a short text that unpacks to more than a host has memory for.
+/// Guards against a short text that unpacks to more than the host has memory for.
 #[test]
-fn what_unpacks_to_too_much_is_refused() {
+fn a_configuration_that_unpacks_to_too_many_bytes_is_an_error() {
     let long = packed(&vec![b' '; (64 << 20) + 1]);
     let error = Catalog::try_from(&long).expect_err("it is too long");
     assert!(matches!(error, PackError::TooLarge { .. }), "{error}");
