--- a/crates/host/src/catalog_sync.rs
+++ b/crates/host/src/catalog_sync.rs
@@ -147,7 +147,7 @@
             PollTiming::default(),
             |change| match change {
                 Change::Snapshot(page) | Change::Update(page) => {
-                    self.apply_catalog_rows(&page, key)
+                    self.apply_catalog_rows(&page, key);
                 }
                 Change::Failed(error) => {
                     warn!(error:% = error; "poll for changes of the configuration failed");
--- a/crates/pool/src/watch.rs
+++ b/crates/pool/src/watch.rs
@@ -73,9 +73,9 @@
                 .count()
         });
         let duration = now.saturating_sub(run.requested_at);
-                // Durations of best-effort tasks and gang members depend on other tasks, and the start of an adopted run, which has
+        // Durations of best-effort tasks and gang members depend on other tasks, and the start of an adopted run, which has
         // no deadline, isn't known.
-let is_comparable = !step.best_effort && !step.gang && run.start_deadline > 0;
+        let is_comparable = !step.best_effort && !step.gang && run.start_deadline > 0;
         if how == RunOutcome::Done && is_comparable && !lasting {
             self.queue_stats
                 .record_duration(&job.queue, duration, step.estimate);
--- a/crates/pool/tests/simulation/mod.rs
+++ b/crates/pool/tests/simulation/mod.rs
@@ -280,7 +280,9 @@
         WorkerInfo {
             address: id.to_string(),
             service: "s".into(),
-            capacity: worker.capacity.map_or(self.capacity, |(capacity, _)| capacity),
+            capacity: worker
+                .capacity
+                .map_or(self.capacity, |(capacity, _)| capacity),
             incarnation: worker.incarnation,
             ..WorkerInfo::default()
         }
--- a/crates/pool/tests/simulation/workers.rs
+++ b/crates/pool/tests/simulation/workers.rs
@@ -196,7 +196,11 @@
                 worker.epoch = epoch;
                 worker.lease = worker.lease.max(lease.unwrap_or(0));
                 if incarnation == worker.incarnation {
-                    for end in worker.unstored_ends.iter().filter(|end| end.number <= stored) {
+                    for end in worker
+                        .unstored_ends
+                        .iter()
+                        .filter(|end| end.number <= stored)
+                    {
                         if end.outcome == RunOutcome::Done {
                             self.stored_ends.insert(end.task.clone());
                         }
