--- a/crates/host/src/front.rs
+++ b/crates/host/src/front.rs
@@ -1,4 +1,4 @@
-//! What callers ask.
+//! Requests of callers: submitting, querying and cancelling jobs.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -11,53 +11,55 @@
 
 use crate::clock;
 use crate::host::Host;
-use crate::insert::{Inserted, Place, insert};
-use crate::outside::{Row, StoreError, Transaction};
+use crate::insert::{Inserted, JobLocation, insert};
+use crate::interfaces::{Row, StoreError, Transaction};
 use crate::route;
-use crate::rows::{CANCEL, JOBS, JobPlace, PROGRESS, job_part, place_of, pool_part};
+use crate::rows::{
+    CANCEL_PREFIX, JOBS, JobRowHeader, PROGRESS, job_part, job_row_header, pool_part,
+};
 use crate::wire::{Call, Reply, ToOwner};
 
-/// The owner answers a question about a job within this, or the store is asked.
-const OWNER_WAIT: Duration = Duration::from_millis(500);
-/// An owner waits 1.5 s for the note of a cancel; some more for the way.
-const CANCEL_WAIT: Duration = Duration::from_millis(1_600);
-/// Counts of waiting jobs are told if they are no older than this, in milliseconds; callers may be told what was 2 s ago.
-const PENDING_AGE: Ms = 1_900;
-/// A host that can't accept anything says to come back after this: a takeover takes about as long.
-const RETRY: Duration = Duration::from_secs(1);
+/// Time-out of a query for a job's state to the owner of its pool; after that the store is read.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time-out of a request to cancel. An owner waits 1.5 s until the cancellation is stored; the rest is for the network.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// Counts of pending jobs that are older than this are not returned; callers may get counts that are up to 2 s old.
+const MAX_PENDING_AGE: Ms = 1_900;
+/// Callers of a host that can't accept jobs are asked to retry after this time, which is about as long as a takeover takes.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What became of a job that a caller sent.
+/// Outcome of a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Submitted {
-    /// It is stored and will run.
+    /// The job is stored and will run.
     Accepted,
-    /// It is not stored and will never run; come back after this time.
+    /// The job is not stored and will never run; the caller may retry after this time.
     Refused(Duration),
-    /// It can't be told whether it is stored.
+    /// It is not known whether the job is stored.
     Unsure,
 }
 
-/// What became of a question or a cancel.
+/// Outcome of a query or a cancellation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum JobStatus {
     /// The job's state.
-    State(State),
+    Known(State),
     /// There is no such job.
-    Unknown,
-    /// It can't be told now.
+    NotFound,
+    /// The state, or the outcome of the cancellation, is unknown.
     Unsure,
 }
 
 impl Host {
-    /// Accepts a job, or refuses it.
+    /// Accepts a job, or refuses it. Gives up at `until`.
     pub async fn submit(self: &Arc<Self>, job: Job, until: Instant) -> Submitted {
         let began = clock::now();
         let (id, queue) = (Arc::clone(&job.id), job.queue.clone());
-        let pool = route::choose(&self.plan(), &job, &self.loads());
-        let heard = self.heard(pool);
+        let pool = route::choose_pool(&self.pool_map(), &job, &self.pool_loads());
+        let heard = self.last_heartbeat(pool);
         let job = Job {
             epoch: if self.has(Mechanism::JobEpochs) {
-                self.epoch(pool)
+                self.owner_epoch(pool)
             } else {
                 0
             },
@@ -74,8 +76,8 @@
         metrics::histogram!("lentilyoke_submit_ms", "outcome" => outcome).record(took);
         info!(
             job = &*id, queue = queue, outcome:? = submitted, ms = clock::now().saturating_sub(began),
-            pool = pool, epoch = heard.beat.epoch, beat_age = began.saturating_sub(heard.at),
-            plan = self.plan().version, store_served = self.served();
+            pool = pool, epoch = heard.heartbeat.epoch, beat_age = began.saturating_sub(heard.received_at),
+            plan = self.pool_map().version, store_served = self.store_available();
             "submit"
         );
         submitted
@@ -83,40 +85,40 @@
 
     async fn try_submit(self: &Arc<Self>, pool: u32, job: Job, until: Instant) -> Submitted {
         if self.has(Mechanism::EarlyRefusal) && !self.can_accept() {
-            return Submitted::Refused(RETRY);
+            return Submitted::Refused(RETRY_AFTER);
         }
         match self.insert_both_ways(pool, &job, until).await {
-            (Inserted::There(place), by_owner) => {
+            (Inserted::Present(location), by_owner) => {
                 if !by_owner {
-                    self.tell_accepted(place, job);
+                    self.notify_accepted(location, job);
                 }
                 Submitted::Accepted
             }
-            (Inserted::Refused, _) => Submitted::Refused(RETRY),
+            (Inserted::Refused, _) => Submitted::Refused(RETRY_AFTER),
             (Inserted::Unsure, _) => Submitted::Unsure,
         }
     }
 
-    /// Inserts a job's row by this host and, if its store doesn't answer in the usual time or refuses, by an owner as
-    /// well; tells whether it was the owner.
+    /// Inserts a job's row from this host and, if the store refuses or doesn't answer this host in its usual time, through an
+    /// owner as well. The flag in the result is `true` if the owner inserted it.
     ///
-    /// The store may serve the owner although it doesn't serve this host. Both inserts are the same, so whichever tells of
-    /// the row decides; "refused" needs both.
+    /// The store may be available to the owner although it is not to this host. Both write the same row, so the first that finds
+    /// it there decides; the job is refused only if both are.
     async fn insert_both_ways(&self, pool: u32, job: &Job, until: Instant) -> (Inserted, bool) {
-        let patience = self.patience();
-        if !self.has(Mechanism::JointInserts) && self.served() {
-            let inserted = insert(self.store.as_ref(), pool, job, until, patience, false).await;
+        let retry_delay = self.store_retry_delay();
+        if !self.has(Mechanism::JointInserts) && self.store_available() {
+            let inserted = insert(self.store.as_ref(), pool, job, until, retry_delay, false).await;
             return (inserted, false);
         }
         let refused = Notify::new();
         let own = async {
-            let inserted = insert(self.store.as_ref(), pool, job, until, patience, false).await;
+            let inserted = insert(self.store.as_ref(), pool, job, until, retry_delay, false).await;
             refused.notify_one();
             inserted
         };
         let by_owner = async {
-            if self.served() {
-                drop(timeout(patience, refused.notified()).await);
+            if self.store_available() {
+                drop(timeout(retry_delay, refused.notified()).await);
             }
             self.insert_by_owner(pool, job, until).await
         };
@@ -125,7 +127,7 @@
             inserted = own.as_mut() => (inserted, false),
             inserted = by_owner.as_mut() => (inserted, true),
         };
-        if matches!(first, Inserted::There(_)) {
+        if matches!(first, Inserted::Present(_)) {
             return (first, owner_first);
         }
         let second = if owner_first {
@@ -134,92 +136,107 @@
             by_owner.await
         };
         match (first, second) {
-            (_, Inserted::There(_)) => (second, !owner_first),
+            (_, Inserted::Present(_)) => (second, !owner_first),
             (Inserted::Refused, Inserted::Refused) => (second, false),
             _ => (Inserted::Unsure, false),
         }
     }
 
     async fn insert_by_owner(&self, pool: u32, job: &Job, until: Instant) -> Inserted {
-        let Some(link) = self.served_link().or_else(|| self.link(pool)) else {
+        let Some(link) = self
+            .link_to_owner_with_store()
+            .or_else(|| self.owner_link(pool))
+        else {
             return Inserted::Refused;
         };
         let left = until.saturating_duration_since(Instant::now());
         let call = Call::Insert(pool, Box::new(job.clone()));
         match link.call(call, left).await {
-            Some(Reply::Inserted(place)) => Inserted::There(place),
+            Some(Reply::Inserted(location)) => Inserted::Present(location),
             Some(Reply::Refused) => Inserted::Refused,
             _ => Inserted::Unsure,
         }
     }
 
-    /// A job's row is written: tells the owner of the pool that it names.
-    pub(crate) fn tell_accepted(&self, place: Place, job: Job) {
+    /// Notifies the owner of the pool that a job's row has been written.
+    pub(crate) fn notify_accepted(&self, place: JobLocation, job: Job) {
         let state = self.pool_state(place.pool);
         if let Some(owner) = state.owner {
-            owner.accepted(job, place);
+            owner.add_accepted_job(job, place);
         } else if let Some(link) = state.link {
-            link.tell(ToOwner::Accepted(Box::new(job), place));
+            link.send(ToOwner::Accepted(Box::new(job), place));
         }
     }
 
-    async fn ask_owner(&self, pool: u32, call: Call, time: Duration) -> Option<Reply> {
+    async fn call_owner(&self, pool: u32, call: Call, timeout: Duration) -> Option<Reply> {
         let state = self.pool_state(pool);
         if let Some(owner) = state.owner {
-            return Some(owner.answer(call).await);
+            return Some(owner.handle_call(call).await);
         }
-        state.link?.call(call, time).await
+        state.link?.call(call, timeout).await
     }
 
-    /// The state of a job.
-    pub async fn state(&self, id: &str) -> Taken {
-        let likely = route::candidates(&self.plan(), id);
-        for &pool in &likely {
+    /// The state of a job: asks the owners of its candidate pools first, then reads the store.
+    pub async fn state(&self, id: &str) -> JobStatus {
+        let candidates = route::candidates(&self.pool_map(), id);
+        for &pool in &candidates {
             let call = Call::State(id.to_owned());
-            if let Some(Reply::State(state)) = self.ask_owner(pool, call, OWNER_WAIT).await {
-                return Taken::State(state);
+            if let Some(Reply::State(state)) = self.call_owner(pool, call, OWNER_TIMEOUT).await {
+                return JobStatus::Known(state);
             }
         }
-        match self.home(id).await {
-            Ok(Some(home)) if likely.contains(&home.pool) => self.stored_state(&home, id).await,
-            Ok(Some(home)) => {
+        match self.read_header(id).await {
+            Ok(Some(header)) if candidates.contains(&header.pool) => {
+                self.stored_state(&header, id).await
+            }
+            Ok(Some(header)) => {
                 let call = Call::State(id.to_owned());
-                match self.ask_owner(home.pool, call, OWNER_WAIT).await {
-                    Some(Reply::State(state)) => Taken::State(state),
-                    _ => self.stored_state(&home, id).await,
+                match self.call_owner(header.pool, call, OWNER_TIMEOUT).await {
+                    Some(Reply::State(state)) => JobStatus::Known(state),
+                    _ => self.stored_state(&header, id).await,
                 }
             }
-            Ok(None) => Taken::Unknown,
-            Err(()) => Taken::Unsure,
+            Ok(None) => JobStatus::NotFound,
+            Err(()) => JobStatus::Unsure,
         }
     }
 
-    /// Where a job is by its row; `None` if there is no such row.
-    async fn home(&self, id: &str) -> Result<Option<JobPlace>, ()> {
-        match self.present(JOBS, &job_part(id), id).await? {
+    /// Reads the pool of a job from its row; `None` if there is no row.
+    async fn read_header(&self, id: &str) -> Result<Option<JobRowHeader>, ()> {
+        match self.read_current(JOBS, &job_part(id), id).await? {
             None => Ok(None),
             Some(row) => {
-                let place = row.value.as_deref().and_then(place_of);
+                let place = row.value.as_deref().and_then(job_row_header);
                 place.map(Some).ok_or(())
             }
         }
     }
 
-    async fn stored_state(&self, home: &JobPlace, id: &str) -> Taken {
-        let before = home.moved.as_ref().map(|moved| moved.progress.state);
-        match self.present(PROGRESS, &pool_part(home.pool), id).await {
-            Err(()) => Taken::Unsure,
-            Ok(None) => Taken::State(before.unwrap_or_default()),
+    /// Reads a job's state from the store. A job without progress in its present pool has the state with which it was
+    /// transferred there, if it was.
+    async fn stored_state(&self, header: &JobRowHeader, id: &str) -> JobStatus {
+        let transferred = header.moved.as_ref().map(|moved| moved.progress.state);
+        match self
+            .read_current(PROGRESS, &pool_part(header.pool), id)
+            .await
+        {
+            Err(()) => JobStatus::Unsure,
+            Ok(None) => JobStatus::Known(transferred.unwrap_or_default()),
             Ok(Some(row)) => row
                 .value
                 .and_then(|value| serde_json::from_slice::<pool::Progress>(&value).ok())
-                .map_or(Taken::Unsure, |progress| Taken::State(progress.state)),
+                .map_or(JobStatus::Unsure, |progress| {
+                    JobStatus::Known(progress.state)
+                }),
         }
     }
 
-    /// A row as it is at this moment. Reads may lag behind: a job that was just accepted would look unknown, a completed
-    /// one as if it ran. A transaction sees what is there, so one that demands the row's absence, and writes nothing, tells.
-    pub(crate) async fn present(
+    /// Reads the present version of a row; `None` if there is no such row, an error if the store didn't answer.
+    ///
+    /// Plain reads may be stale: a job that was just accepted would look unknown, and a completed one still running.
+    /// Transactions are not, so this commits one that writes nothing and requires the row to be absent; a conflict returns the
+    /// row.
+    pub(crate) async fn read_current(
         &self,
         table: &str,
         part: &str,
@@ -240,56 +257,61 @@
         }
     }
 
-    /// Cancels a job; the answer means that this is stored.
-    pub async fn cancel(&self, id: &str, until: Instant) -> Taken {
-        let likely = route::candidates(&self.plan(), id);
-        for &pool in &likely {
-            if self.cancel_at(pool, id, until).await {
-                return Taken::State(State::Cancelled);
+    /// Cancels a job. When this returns [`State::Cancelled`], the cancellation is stored.
+    pub async fn cancel(&self, id: &str, until: Instant) -> JobStatus {
+        let candidates = route::candidates(&self.pool_map(), id);
+        for &pool in &candidates {
+            if self.cancel_by_owner(pool, id, until).await {
+                return JobStatus::Known(State::Cancelled);
             }
         }
-        let home = match self.home(id).await {
-            Ok(Some(home)) => home,
-            Ok(None) => return Taken::Unknown,
-            Err(()) => return Taken::Unsure,
+        let header = match self.read_header(id).await {
+            Ok(Some(header)) => header,
+            Ok(None) => return JobStatus::NotFound,
+            Err(()) => return JobStatus::Unsure,
         };
-        if !likely.contains(&home.pool) && self.cancel_at(home.pool, id, until).await {
-            return Taken::State(State::Cancelled);
+        if !candidates.contains(&header.pool) && self.cancel_by_owner(header.pool, id, until).await
+        {
+            return JobStatus::Known(State::Cancelled);
         }
-        match self.stored_state(&home, id).await {
-            Taken::State(state) if state.is_final() => return Taken::State(state),
-            Taken::State(_) => {}
+        match self.stored_state(&header, id).await {
+            JobStatus::Known(state) if state.is_final() => return JobStatus::Known(state),
+            JobStatus::Known(_) => {}
             other => return other,
         }
         let transaction = Transaction {
             part: job_part(id),
-            puts: vec![(JOBS.to_owned(), format!("{CANCEL}{id}"), b"{}".to_vec())],
+            puts: vec![(
+                JOBS.to_owned(),
+                format!("{CANCEL_PREFIX}{id}"),
+                b"{}".to_vec(),
+            )],
             ..Transaction::default()
         };
         loop {
             match self.store.commit(&transaction).await {
-                Ok(_) => return Taken::State(State::Cancelled),
+                Ok(_) => return JobStatus::Known(State::Cancelled),
                 Err(StoreError::Conflict { .. } | StoreError::Rejected { .. }) => {
-                    return Taken::Unsure;
+                    return JobStatus::Unsure;
                 }
-                Err(_) if Instant::now() >= until => return Taken::Unsure,
+                Err(_) if Instant::now() >= until => return JobStatus::Unsure,
                 Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
             }
         }
     }
 
-    /// Has a pool's owner cancel a job; `true` if that is stored.
-    async fn cancel_at(&self, pool: u32, id: &str, until: Instant) -> bool {
+    /// Has the owner of a pool cancel a job; `true` if the cancellation is stored.
+    async fn cancel_by_owner(&self, pool: u32, id: &str, until: Instant) -> bool {
         let left = until.saturating_duration_since(Instant::now());
         let call = Call::Cancel(id.to_owned());
-        let reply = self.ask_owner(pool, call, left.min(CANCEL_WAIT)).await;
+        let reply = self.call_owner(pool, call, left.min(CANCEL_TIMEOUT)).await;
         matches!(reply, Some(Reply::Cancelled))
     }
 
-    /// How many of a queue's jobs have nothing started; `None` if that isn't known well enough.
+    /// Number of jobs of a queue of which nothing has started; `None` if a pool's count is missing or too old.
     #[must_use]
     pub fn pending(&self, queue: &str) -> Option<u64> {
-        self.sum(PENDING_AGE, |beat| {
+        self.sum_over_pools(MAX_PENDING_AGE, |beat| {
             let pending = beat.pending.as_ref()?;
             Some(pending.get(queue).copied().unwrap_or(0))
         })
--- a/crates/host/src/owner.rs
+++ b/crates/host/src/owner.rs
@@ -13,23 +13,23 @@
 
 use log::{info, warn};
 use pool::repeat::Budget;
-use pool::{AbandonedTask, LostRun, Mechanism, Ms, Order, Pool, StepTimes, WorkerId};
+use pool::{AbandonedTask, Command, LostRun, Mechanism, Ms, Pool, StepTimes, WorkerId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
+use crate::advisor_proxies::AdvisorProxy;
 use crate::claim::Claim;
 use crate::clock;
-use crate::follow::{Rhythm, follow};
-use crate::hedge::Lost;
-use crate::helpers::Helper;
+use crate::follow::{PollTiming, follow};
+use crate::hedge::LossRate;
 use crate::host::{Host, lock};
-use crate::outside::Page;
-use crate::owners;
+use crate::interfaces::Page;
+use crate::log_sampling::is_logged_in_full;
+use crate::owner_rows;
 use crate::rows::{JOBS, job_parts};
-use crate::sample::is_told_in_full;
-use crate::unserved::Unserved;
+use crate::store_outage::StoreOutage;
 use crate::writer;
 use advice::Question;
 use directory::Directory;
@@ -71,15 +71,15 @@
     numbers: AtomicU64,
     questions: Mutex<FxHashMap<u64, Question>>,
     /// How this host answers its own questions to the advisor.
-    helper: Mutex<Helper>,
+    helper: Mutex<AdvisorProxy>,
     /// Jobs are known: callers may be told what isn't there.
     loaded: AtomicBool,
     /// The transaction up to which they were read then.
     read_to: AtomicU64,
     /// Since when the store refuses or doesn't answer this owner's writes, if it does.
-    pub(crate) unserved: Mutex<Option<Unserved>>,
+    pub(crate) unserved: Mutex<Option<StoreOutage>>,
     /// How common lost answers of workers are.
-    pub(crate) lost_answers: Mutex<Lost>,
+    pub(crate) lost_answers: Mutex<LossRate>,
     /// Holds that may be asked for again.
     pub(crate) copies: Mutex<Budget>,
     sessions: Mutex<FxHashSet<WorkerId>>,
@@ -138,7 +138,7 @@
 
     /// The pool's number.
     #[must_use]
-    pub fn number(&self) -> u32 {
+    pub fn pool_number(&self) -> u32 {
         self.number
     }
 
@@ -155,7 +155,7 @@
     /// The store did not take a write that was sent then; `refused` if it was surely not done.
     pub(crate) fn note_unserved(&self, asked: Ms, refused: bool) {
         let mut unserved = lock(&self.unserved);
-        *unserved = Some(Unserved::note(*unserved, asked, clock::now(), refused));
+        *unserved = Some(StoreOutage::note(*unserved, asked, clock::now(), refused));
     }
 
     pub(crate) fn is_over(&self) -> bool {
@@ -167,7 +167,7 @@
     async fn look(self: Arc<Self>) {
         loop {
             tokio::time::sleep(LOOK).await;
-            let read = owners::read(&self.host, self.number).await;
+            let read = owner_rows::read(&self.host, self.number).await;
             if let Some((Some((row, _)), _)) = read
                 && row.epoch > self.epoch
             {
@@ -214,13 +214,13 @@
         let parts: Vec<String> = job_parts().collect();
         let common = [String::new()];
         let store = Arc::clone(&self.host.store);
-        let places = self.host.settings.places.clone();
+        let places = self.host.settings.store_tables.clone();
         let on_jobs = follow(
             store.as_ref(),
             JOBS,
             &parts,
             Some(version),
-            Rhythm::default().pause(JOBS_PACE),
+            PollTiming::default().pause(JOBS_PACE),
             |change| {
                 self.jobs_changed(change);
             },
@@ -230,7 +230,7 @@
             &places.workers,
             &common,
             Some(after),
-            Rhythm::default().pause(WORKERS_PACE),
+            PollTiming::default().pause(WORKERS_PACE),
             |change| {
                 self.workers_changed(change);
             },
@@ -263,7 +263,7 @@
             let began = Instant::now();
             let (orders, unsaved, deposed, steps, lost, given_up) = {
                 let mut pool = lock(&self.pool);
-                let orders = pool.plan(clock::now(), clock::unix());
+                let orders = pool.schedule(clock::now(), clock::unix());
                 (
                     orders,
                     pool.has_unstored(),
@@ -307,10 +307,10 @@
             let share = |used: u64, all: u64| used as f64 / all.max(1) as f64;
             info!(
                 pool = self.number, epoch = self.epoch, service = service.as_str(),
-                processors = share(room.used.millicores, room.room.millicores),
-                memory = share(room.used.memory_mib, room.room.memory_mib),
-                accelerators = share(room.used.accelerators, room.room.accelerators),
-                taken = load.taken, steps = load.steps, plans = planned.plans, orders = planned.orders,
+                processors = share(room.used.millicores, room.total.millicores),
+                memory = share(room.used.memory_mib, room.total.memory_mib),
+                accelerators = share(room.used.accelerators, room.total.accelerators),
+                taken = load.demand, steps = load.open_steps, plans = planned.plans, orders = planned.orders,
                 plan_us = planned.mean().as_micros() as u64, longest_us = planned.longest.as_micros() as u64;
                 "load"
             );
@@ -320,7 +320,10 @@
     fn tell_unseen(&self) {
         let pool = lock(&self.pool);
         if let Some(first) = pool.unconfirmed_workers().first() {
-            let (count, proved) = (pool.unconfirmed_workers().len(), pool.proved(clock::now()));
+            let (count, proved) = (
+                pool.unconfirmed_workers().len(),
+                pool.has_quorum(clock::now()),
+            );
             warn!(epoch = self.epoch, workers = count, first = &**first, majority = proved; "inherited jobs wait for workers");
         }
     }
@@ -331,12 +334,12 @@
     }
 
     /// Carries an order out, beside others.
-    fn give(self: &Arc<Self>, order: Order) {
+    fn give(self: &Arc<Self>, order: Command) {
         let owner = Arc::clone(self);
         let workers = Arc::clone(&self.host.workers);
         let epoch = self.epoch;
         match order {
-            Order::Start(start) => {
+            Command::Start(start) => {
                 let Some(address) = self.address(&start.worker) else {
                     return;
                 };
@@ -347,7 +350,7 @@
                     metrics::counter!("lentilyoke_starts_total", "outcome" => answer.name())
                         .increment(1);
                     let key = &start.task;
-                    let in_full = start.crashes > 0 || is_told_in_full(&key.stage.job);
+                    let in_full = start.crashes > 0 || is_logged_in_full(&key.stage.job);
                     if answer != pool::StartAnswer::Running || in_full {
                         info!(
                             job = &*key.stage.job, occurrence = key.stage.occurrence, step = key.stage.step,
@@ -362,7 +365,7 @@
                     }
                 });
             }
-            Order::Stop(stop) => {
+            Command::Stop(stop) => {
                 let Some(address) = self.address(&stop.worker) else {
                     return;
                 };
@@ -372,13 +375,13 @@
                     info!(
                         job = &*key.stage.job, occurrence = key.stage.occurrence, step = key.stage.step,
                         task = key.index, run = stop.run, worker = &*stop.worker, epoch = epoch,
-                        why = stop.why, outcome:? = answer;
+                        why = stop.reason, outcome:? = answer;
                         "stop"
                     );
                     lock(&owner.pool).stop_answered(clock::now(), &stop, answer);
                 });
             }
-            Order::Pace(pace) => {
+            Command::Pace(pace) => {
                 let Some(address) = self.address(&pace.worker) else {
                     return;
                 };
@@ -391,11 +394,11 @@
                         "pace"
                     );
                     if !confirmed {
-                        lock(&owner.pool).pace_lost(&pace);
+                        lock(&owner.pool).pace_unconfirmed(&pace);
                     }
                 });
             }
-            Order::Ask(ask) => self.ask(ask),
+            Command::Query(ask) => self.ask(ask),
         }
     }
 }
--- a/crates/pool/src/batch.rs
+++ b/crates/pool/src/batch.rs
@@ -114,13 +114,13 @@
     /// Handles a batch that could not be stored: marks its jobs to be stored again.
     pub fn batch_failed(&mut self, batch: &Batch) {
         for (id, _) in &batch.rows {
-            self.mark(id);
+            self.mark_dirty(id);
         }
     }
 
     /// Removes jobs whose retention period has passed since they became final; returns them so that their rows can be deleted.
     pub fn remove_expired_jobs(&mut self, unix: u64) -> Vec<JobId> {
-        let remember = self.options.remember;
+        let remember = self.options.retention;
         let expired: Vec<JobId> = self
             .jobs
             .values()
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -180,7 +180,7 @@
         task.clear_crash(run.number);
         task.crashed.push(crash);
         self.suspects.insert(key.clone());
-        self.mark(&key.stage.job);
+        self.mark_dirty(&key.stage.job);
     }
 
     /// Handles a report of the current run of a suspect. When the run has outlived [`CRASH_WINDOW`], its crash record is dropped;
@@ -197,7 +197,7 @@
             ran >= CRASH_WINDOW && task.clear_survived(number)
         };
         if changed {
-            self.mark(&key.stage.job);
+            self.mark_dirty(&key.stage.job);
         }
     }
 
@@ -231,8 +231,8 @@
             if task.is_crash_loop() {
                 let crashed = task.crashed_runs();
                 self.suspects.remove(&key);
-                self.close(unix, &key.stage.job, State::Failed);
-                self.given_up.push(AbandonedTask { task: key, crashed });
+                self.finalize_job(unix, &key.stage.job, State::Failed);
+                self.abandoned.push(AbandonedTask { task: key, crashed });
             } else if task.crashes() >= CRASHES_ALONE
                 && task.announced.is_none()
                 && task.retry <= now
@@ -243,14 +243,14 @@
                     run: next,
                     confirmed: true,
                 });
-                self.mark(&key.stage.job);
+                self.mark_dirty(&key.stage.job);
             }
         }
     }
 
     /// Returns and clears the tasks abandoned since the last call.
     pub fn take_abandoned_tasks(&mut self) -> Vec<AbandonedTask> {
-        std::mem::take(&mut self.given_up)
+        std::mem::take(&mut self.abandoned)
     }
 
     /// Determines which workers run suspects that are still within [`CRASH_WINDOW`].
@@ -268,6 +268,6 @@
                 *max_crashes = (*max_crashes).max(task.crashes());
             }
         }
-        self.trials = suspects;
+        self.suspects_by_worker = suspects;
     }
 }
--- a/crates/pool/src/ends.rs
+++ b/crates/pool/src/ends.rs
@@ -49,9 +49,9 @@
         };
         task.retry = task.retry.max(now + retry);
         if !run.crashed && task.clear_crash(run.number) {
-            self.mark(&key.stage.job);
+            self.mark_dirty(&key.stage.job);
         }
-        self.loose.remove(key);
+        self.unconfirmed_runs.remove(key);
         self.release_capacity(key, &run.worker);
     }
 
@@ -102,7 +102,7 @@
         let other_is_current = task.done && current.is_none() && task.run.is_some();
         let attempts = task.failed.len();
         if let Some(run) = &current {
-            self.judge(now, worker, outcome, run, key, step.long_running);
+            self.score_worker(now, worker, outcome, run, key, step.long_running);
             let retry = match end.outcome {
                 RunOutcome::Failed if step.long_running => LONG_RUNNING_RETRY_DELAY,
                 RunOutcome::Failed => FAILED_RETRY_DELAY,
@@ -114,7 +114,7 @@
             self.stop_run(key);
         }
         if store {
-            self.mark(&id);
+            self.mark_dirty(&id);
         }
         match outcome {
             RunOutcome::Done => self.complete_task(now, unix, &key.stage, end.run, step.gang),
@@ -128,7 +128,7 @@
                 if attempts >= max_failures
                     && !self.jobs.get(&id).is_none_or(|live| live.state.is_final())
                 {
-                    self.close(unix, &id, State::Failed);
+                    self.finalize_job(unix, &id, State::Failed);
                 }
             }
             _ => self.complete_or_advance(now, unix, &key.stage.job),
@@ -235,8 +235,8 @@
         if live.close_occurrences() && !live.state.is_final() {
             live.state = State::Completed;
             live.closed = unix;
-            self.timed.remove(id);
-            self.mark(id);
+            self.scheduled_jobs.remove(id);
+            self.mark_dirty(id);
         }
         self.advance(id, now, unix);
     }
@@ -249,7 +249,7 @@
         {
             run.phase = Phase::Stopping;
             run.stop_sent = 0;
-            self.loose.insert(key.clone());
+            self.unconfirmed_runs.insert(key.clone());
         }
     }
 }
--- a/crates/pool/src/inherit.rs
+++ b/crates/pool/src/inherit.rs
@@ -21,9 +21,9 @@
         workers: impl IntoIterator<Item = WorkerId>,
         unavailable: &[UnavailableWorker],
     ) {
-        self.proved_at = None;
+        self.quorum_since = None;
         let is_unavailable = |id: &WorkerId| unavailable.iter().any(|entry| entry.worker == *id);
-        self.unseen = workers
+        self.unconfirmed_workers = workers
             .into_iter()
             .filter(|id| !is_unavailable(id))
             .filter(|id| self.workers.get(id).is_none_or(|worker| !worker.fenced))
@@ -35,7 +35,7 @@
             worker.lease_expires_at = Ms::MAX;
             worker.incarnation = entry.incarnation;
         }
-        self.silent = unavailable.to_vec();
+        self.unavailable = unavailable.to_vec();
         let jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
         for job in &jobs {
             self.assume_unreported_runs(now, job);
@@ -46,7 +46,7 @@
     /// reached yet.
     pub(crate) fn assume_unreported_runs(&mut self, now: Ms, job: &JobId) {
         let mut runs = Vec::new();
-        for entry in &self.silent {
+        for entry in &self.unavailable {
             let answered = self.workers.get(&entry.worker).is_none_or(|it| it.fenced);
             let of_job = entry.runs.iter().filter(|(key, _)| key.stage.job == *job);
             runs.extend(
@@ -75,11 +75,11 @@
     /// Sets whether jobs accepted before this owner took over may be missing, because a part of the store doesn't answer. As long
     /// as they may be, runs and ends of unknown jobs are left alone.
     pub fn set_jobs_incomplete(&mut self, now: Ms, partial: bool) {
-        self.partial = partial;
+        self.jobs_incomplete = partial;
         if partial {
             return;
         }
-        self.cancels.clear();
+        self.early_cancels.clear();
         for worker in self.workers.values_mut() {
             for orphan in worker.orphaned_runs.values_mut() {
                 orphan.since = now;
@@ -93,24 +93,24 @@
     /// Time after which no command of the previous owner can take effect: it has lost its majority, and its last commands have
     /// expired. `None` until this owner has a majority.
     pub(crate) fn former_commands_end(&self) -> Option<Ms> {
-        let since = self.proved_at?;
-        Some(since + self.options.proof + self.options.order_life)
+        let since = self.quorum_since?;
+        Some(since + self.options.quorum_validity + self.options.command_ttl)
     }
 
     /// Ends the wait for unreported workers once all commands and leases of the previous owner have expired. The time is bounded
     /// only from when this owner first had a majority.
     pub(crate) fn settle_inheritance(&mut self, now: Ms) {
-        if self.proved_at.is_none() && self.proved(now) {
-            self.proved_at = Some(now);
+        if self.quorum_since.is_none() && self.has_quorum(now) {
+            self.quorum_since = Some(now);
         }
         // Clocks of workers may be 2% slow; 400 ms cover network delays and timers.
-        let leases = self.options.lease_most + self.options.lease_most / 33 + 400;
+        let leases = self.options.max_lease + self.options.max_lease / 33 + 400;
         if self
             .former_commands_end()
             .is_some_and(|end| now >= end + leases)
         {
-            self.unseen.clear();
-            self.silent.clear();
+            self.unconfirmed_workers.clear();
+            self.unavailable.clear();
             for worker in self.workers.values_mut() {
                 if !worker.fenced {
                     worker.lease_expires_at = worker.lease_expires_at.min(now);
@@ -122,7 +122,7 @@
     /// Whether an inherited job may be running on a worker that hasn't reported yet. A worker whose service is known runs only
     /// tasks of that service.
     pub(crate) fn may_run_on_unconfirmed(&self, job: &Job) -> bool {
-        self.unseen.iter().any(|id| {
+        self.unconfirmed_workers.iter().any(|id| {
             let service = self.workers.get(id).map(|it| it.info.service.as_str());
             service.is_none_or(|service| service.is_empty() || service == job.service)
         })
@@ -131,6 +131,6 @@
     /// Workers of the previous owner that haven't reported to this one; inherited jobs wait for them.
     #[must_use]
     pub fn unconfirmed_workers(&self) -> &BTreeSet<WorkerId> {
-        &self.unseen
+        &self.unconfirmed_workers
     }
 }
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,5 +1,7 @@
 //! Scheduling decisions of the owner of one pool of workers, without network or clock.
 //!
+//! * [`Pool`]: the live state; news goes in, [`Command`]s come out.
+//! * [`rank`]: who goes first; [`fit`]: on which worker, [`service_capacity`]: by what is short; [`advice`]: which workers to ask about; [`pace`]: when
 //! * [`Job`], [`Step`], [`Policy`]: a job as submitted and stored.
 //! * [`Progress`]: the progress of a job as stored.
 //! * [`Pool`]: the runtime state; updates go in, [`Order`]s come out.
@@ -9,8 +11,8 @@
 
 pub mod advice;
 mod answer;
-mod ask;
 mod batch;
+mod command;
 mod crash;
 mod ends;
 mod evacuate;
@@ -21,33 +23,33 @@
 mod load;
 mod loss;
 mod mechanism;
-mod misfit;
-mod order;
 pub mod pace;
 mod place;
-mod plan;
 mod pool;
 mod progress;
+mod query;
 pub mod rank;
 mod reconcile;
 pub mod repeat;
 mod replies;
 mod report;
-pub mod scarce;
+mod schedule;
+pub mod service_capacity;
 mod state;
 mod task;
 mod timeline;
+mod unservable;
 mod watch;
 mod worker;
 
 pub use answer::{StartAnswer, StopAnswer};
 pub use batch::Batch;
+pub use command::{AdvisorQuery, Command, Pace, Start, Stop};
 pub use crash::{AbandonedTask, Suspicion};
 pub use job::{AdvisorPolicy, InvalidJob, Job, Policy, Schedule, Step};
 pub use load::Load;
 pub use loss::{Loss, LostRun};
-pub use mechanism::{Mechanism, Switches, Unknown};
-pub use order::{Ask, Order, Pace, Start, Stop};
+pub use mechanism::{Mechanism, Switches, UnknownMechanism};
 pub use pool::{Options, Pool};
 pub use progress::{OccurrenceProgress, Progress, StepProgress};
 pub use report::{RunEnd, RunOutcome, RunStatus, WorkerReport};
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -1,4 +1,4 @@
-//! The live state of one pool.
+//! In-memory state of one pool, kept by its owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,45 +6,45 @@
 use resource::Size;
 use rustc_hash::{FxHashMap, FxHashSet};
 
+use crate::command::Command;
 use crate::crash::{AbandonedTask, SuspectsByWorker};
 use crate::job::Job;
 use crate::live::LiveJob;
 use crate::loss::LostRun;
 use crate::mechanism::{Mechanism, Switches};
-use crate::order::Order;
-use crate::pace::Tempo;
+use crate::pace::PaceController;
 use crate::progress::Progress;
-use crate::rank::Learned;
+use crate::rank::QueueStats;
 use crate::repeat::Budget;
 use crate::state::State;
 use crate::task::{JobId, Ms, Phase, StageKey, TaskKey, WorkerId};
 use crate::timeline::{JobTimes, StepTimes};
 use crate::worker::{UnavailableWorker, Worker, WorkerInfo};
 
-/// What the pool's decisions depend on besides jobs and workers.
+/// Configuration of a pool's decisions.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The owner's epoch; 0 if owners have none.
+    /// The owner's epoch; 0 if ownership is not tracked.
     pub epoch: u64,
-    /// Which mechanisms are on.
+    /// Which mechanisms are enabled.
     pub switches: Switches,
-    /// How long an order to start may still be carried out after it was sent, in milliseconds. Longer than any answer
-    /// takes on a sound way; shorter means that room in doubt is free again sooner.
-    pub order_life: Ms,
-    /// Longest lease on a worker, in milliseconds.
-    pub lease_most: Ms,
-    /// How long an owner acts after a majority of its workers has confirmed it, in milliseconds.
-    pub proof: Ms,
-    /// How many questions to the advisor may be under way at once.
-    pub askers: usize,
-    /// Most workers in one question.
-    pub ask_most: usize,
-    /// How much slower a task is on another rack than that of its data.
-    pub far_factor: f64,
-    /// Longest time that a stop takes, in milliseconds.
+    /// Time after which a worker must no longer carry out a start command, in milliseconds. It exceeds every response
+    /// time on a healthy network; a smaller value frees capacity of starts with unknown outcome sooner.
+    pub command_ttl: Ms,
+    /// Maximum length of a worker's lease, in milliseconds.
+    pub max_lease: Ms,
+    /// Time for which an owner may act after a majority of its workers last confirmed it, in milliseconds.
+    pub quorum_validity: Ms,
+    /// Maximum number of concurrent advisor queries.
+    pub max_queries: usize,
+    /// Maximum number of workers in one advisor query.
+    pub max_query_workers: usize,
+    /// Factor by which a task is slower on another rack than that of its data.
+    pub remote_penalty: f64,
+    /// Maximum time that a worker takes to stop a run, in milliseconds.
     pub stop_grace: Ms,
-    /// How long final jobs are remembered, in milliseconds.
-    pub remember: Ms,
+    /// Time for which jobs in a final state are kept, in milliseconds.
+    pub retention: Ms,
 }
 
 impl Default for Options {
@@ -52,84 +52,84 @@
         Self {
             epoch: 0,
             switches: Switches::default(),
-            order_life: 1_000,
-            lease_most: 6_000,
-            proof: 1_600,
-            askers: 1,
-            ask_most: 30,
-            far_factor: 1.5,
+            command_ttl: 1_000,
+            max_lease: 6_000,
+            quorum_validity: 1_600,
+            max_queries: 1,
+            max_query_workers: 30,
+            remote_penalty: 1.5,
             stop_grace: 400,
-            remember: 150_000,
+            retention: 150_000,
         }
     }
 }
 
-/// The live state of one pool: its jobs, its workers, and what is under way between them.
+/// State of one pool: its jobs, its workers, and the commands and queries in flight.
 #[derive(Debug, Default)]
 pub struct Pool {
     pub(crate) options: Options,
     pub(crate) jobs: FxHashMap<JobId, LiveJob>,
     pub(crate) workers: FxHashMap<WorkerId, Worker>,
-    /// Steps whose turn has come and that are not complete.
+    /// Steps whose dependencies are complete and that are not complete themselves.
     pub(crate) open: BTreeSet<StageKey>,
-    /// Jobs that wait until a worker is heard again: it has listed ends of theirs when they weren't known.
-    pub(crate) awaiting: BTreeMap<WorkerId, Vec<JobId>>,
-    /// Runs whose orders are not answered or that are to be stopped.
-    pub(crate) loose: FxHashSet<TaskKey>,
-    /// Copies of orders that may be sent.
-    pub(crate) copies: Budget,
-    /// Jobs with occurrences still to come.
-    pub(crate) timed: BTreeSet<JobId>,
-    /// Jobs whose progress is to be stored.
+    /// Jobs blocked until the worker's next listing: it listed ends of their runs before the jobs were known here.
+    pub(crate) jobs_awaiting_worker: BTreeMap<WorkerId, Vec<JobId>>,
+    /// Tasks whose start command is unanswered or whose run is to be stopped.
+    pub(crate) unconfirmed_runs: FxHashSet<TaskKey>,
+    /// Budget for resending unanswered commands.
+    pub(crate) retry_budget: Budget,
+    /// Jobs with future occurrences.
+    pub(crate) scheduled_jobs: BTreeSet<JobId>,
+    /// Jobs whose progress has unsaved changes.
     pub(crate) dirty: FxHashSet<JobId>,
-    /// Workers of the former owner that have not answered this one.
-    pub(crate) unseen: BTreeSet<WorkerId>,
-    /// When a majority of the workers had confirmed this owner first.
-    pub(crate) proved_at: Option<Ms>,
-    /// Steps about which the advisor is being asked.
-    pub(crate) asking: BTreeSet<StageKey>,
-    /// Those among them that were asked about out of turn.
-    pub(crate) overdue: BTreeSet<StageKey>,
-    /// How many steps plans have looked at for questions out of turn.
-    pub(crate) overdue_looks: usize,
-    /// How many questions were sent.
-    pub(crate) questions: usize,
-    /// Observed durations against estimates.
-    pub(crate) learned: Learned,
-    /// Paces of tasks that fill.
-    pub(crate) tempo: Tempo,
-    /// When workers and paces were looked at last.
-    pub(crate) looked: Ms,
-    /// Not all jobs are known yet that were accepted before this owner came.
-    pub(crate) partial: bool,
-    /// Cancelled jobs that aren't known yet.
-    pub(crate) cancels: FxHashSet<JobId>,
-    /// What may run on workers that the former owner could not reach.
-    pub(crate) silent: Vec<UnavailableWorker>,
-    /// Jobs that went to other pools.
-    pub(crate) given: FxHashSet<JobId>,
-    /// When jobs that don't fit were looked for last.
-    pub(crate) sought: Ms,
-    /// Courses of steps that were completed, for the log.
+    /// Workers of the former owner that have not answered this owner.
+    pub(crate) unconfirmed_workers: BTreeSet<WorkerId>,
+    /// When a majority of the workers first confirmed this owner.
+    pub(crate) quorum_since: Option<Ms>,
+    /// Steps with an advisor query in flight.
+    pub(crate) open_queries: BTreeSet<StageKey>,
+    /// Those of them whose query was sent out of rank order.
+    pub(crate) overdue_queries: BTreeSet<StageKey>,
+    /// Number of steps that scheduling passes have considered for queries out of rank order.
+    pub(crate) overdue_considered: usize,
+    /// Number of advisor queries sent.
+    pub(crate) query_count: usize,
+    /// Observed durations and advisor answers, per queue.
+    pub(crate) queue_stats: QueueStats,
+    /// Paces of best-effort tasks.
+    pub(crate) pace_controller: PaceController,
+    /// When stalled tasks and paces were last checked.
+    pub(crate) checked_at: Ms,
+    /// Some jobs that were accepted before this owner took over have not been read yet.
+    pub(crate) jobs_incomplete: bool,
+    /// Jobs that were cancelled before they became known.
+    pub(crate) early_cancels: FxHashSet<JobId>,
+    /// Runs that may exist on workers that the former owner could not reach.
+    pub(crate) unavailable: Vec<UnavailableWorker>,
+    /// Jobs that were transferred to other pools.
+    pub(crate) transferred_jobs: FxHashSet<JobId>,
+    /// When the jobs were last scanned for unservable ones.
+    pub(crate) scanned_at: Ms,
+    /// Timelines of completed steps, to be logged.
     pub(crate) steps_done: Vec<StepTimes>,
-    /// Courses of jobs whose final states were stored, for the log.
+    /// Timelines of jobs whose final states were stored, to be logged.
     pub(crate) jobs_done: Vec<JobTimes>,
-    /// Tasks with crashes noted against them; may hold some that have none any more.
+    /// Tasks suspected of crashing workers; may contain some whose suspicion has been cleared.
     pub(crate) suspects: BTreeSet<TaskKey>,
-    /// Workers that one of them may yet crash, as of the present plan.
-    pub(crate) trials: SuspectsByWorker,
-    /// Tasks that were given up, for the log.
-    pub(crate) given_up: Vec<AbandonedTask>,
-    /// Runs that workers have lost, for the log.
+    /// Workers that a run of a suspect may still crash, as of the current scheduling pass.
+    pub(crate) suspects_by_worker: SuspectsByWorker,
+    /// Tasks that were abandoned, to be logged.
+    pub(crate) abandoned: Vec<AbandonedTask>,
+    /// Runs that workers have lost, to be logged.
     pub(crate) lost_runs: Vec<LostRun>,
-    /// Orders that came out of news, for the next plan.
-    pub(crate) orders: Vec<Order>,
-    /// Another owner has a higher epoch.
+    /// Commands collected since the last scheduling pass; the next one returns them.
+    pub(crate) commands: Vec<Command>,
+    /// An owner with a higher epoch exists.
     pub(crate) deposed: bool,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(options: Options) -> Self {
         Self {
@@ -138,18 +138,18 @@
         }
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is enabled.
     #[must_use]
     pub fn has(&self, mechanism: Mechanism) -> bool {
         self.options.switches.has(mechanism)
     }
 
-    /// Changes how many questions may be under way at once.
-    pub fn set_askers(&mut self, askers: usize) {
-        self.options.askers = askers.max(1);
+    /// Sets the maximum number of concurrent advisor queries.
+    pub fn set_max_queries(&mut self, askers: usize) {
+        self.options.max_queries = askers.max(1);
     }
 
-    /// Takes up a job. A job that is known already stays as it is, and one that went to another pool stays there.
+    /// Adds a job. Does nothing if the job is known already or was transferred to another pool.
     pub fn adopt(
         &mut self,
         now: Ms,
@@ -159,54 +159,54 @@
         inherited: bool,
     ) {
         let id = Arc::clone(&job.id);
-        if self.jobs.contains_key(&id) || self.given.contains(&id) {
+        if self.jobs.contains_key(&id) || self.transferred_jobs.contains(&id) {
             return;
         }
         if job.epoch > self.options.epoch && self.options.epoch > 0 {
-            // The host that accepted it knows a newer owner.
+            // The host that accepted the job knows a newer owner.
             self.deposed = true;
             return;
         }
         let ours = job.epoch == self.options.epoch && job.epoch > 0;
         let mut live = LiveJob::new(job, progress, now, unix);
-        // The former owner may have been told of a job that this one learns of only now.
+        // The former owner may have known, and started, a job that this owner learns of only now.
         let former = self.former_commands_end().is_none_or(|end| now < end);
-        live.inherited = !ours && (inherited || former && !self.unseen.is_empty());
+        live.inherited = !ours && (inherited || former && !self.unconfirmed_workers.is_empty());
         self.jobs.insert(Arc::clone(&id), live);
         self.find_suspects(&id);
         self.advance(&id, now, unix);
         self.assume_unreported_runs(now, &id);
         self.adopt_observed_runs(now, &id);
-        // A former owner may have stored the last end and not the state that follows from it.
+        // A former owner may have stored the last end without the state that follows from it.
         self.complete_or_advance(now, unix, &id);
-        if self.cancels.remove(&id) {
+        if self.early_cancels.remove(&id) {
             self.cancel(unix, &id);
         }
     }
 
-    /// Lets a job's occurrences and steps begin whose turn has come.
+    /// Opens the occurrences that are due and the steps whose dependencies are complete.
     pub(crate) fn advance(&mut self, id: &JobId, now: Ms, unix: u64) {
         let Some(live) = self.jobs.get_mut(id) else {
             return;
         };
         self.open.extend(live.advance(now, unix));
         if live.next_due().is_some() {
-            self.timed.insert(Arc::clone(id));
+            self.scheduled_jobs.insert(Arc::clone(id));
         } else {
-            self.timed.remove(id);
+            self.scheduled_jobs.remove(id);
         }
     }
 
     /// Whether the job is known.
     #[must_use]
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn contains_job(&self, id: &str) -> bool {
         self.jobs.contains_key(id)
     }
 
-    /// The state of a job that its caller may be told: what is final is told only when it is stored.
+    /// The state of a job as reported to its caller. A final state is reported only once it is stored.
     ///
-    /// Until then the ends lie with the workers, and a worker may leave or crash before a new owner asks it: a job that
-    /// was told as completed would run again.
+    /// Until then only the workers hold the ends, and a worker may leave or crash before a new owner polls it: a job
+    /// that was reported as completed would then run again.
     #[must_use]
     pub fn state(&self, id: &str) -> Option<State> {
         self.jobs
@@ -218,23 +218,23 @@
             })
     }
 
-    /// Cancels a job; the state it has then, or `None` if it isn't known.
+    /// Cancels a job and returns its resulting state, or `None` if the job isn't known.
     pub fn cancel(&mut self, unix: u64, id: &str) -> Option<State> {
         let Some(live) = self.jobs.get(id) else {
-            if self.partial {
-                self.cancels.insert(id.into());
+            if self.jobs_incomplete {
+                self.early_cancels.insert(id.into());
             }
             return None;
         };
         let id = Arc::clone(&live.job.id);
         if !live.state.is_final() {
-            self.close(unix, &id, State::Cancelled);
+            self.finalize_job(unix, &id, State::Cancelled);
         }
         self.jobs.get(&id).map(|live| live.state)
     }
 
-    /// Makes a job's state final and stops what it has running.
-    pub(crate) fn close(&mut self, unix: u64, id: &JobId, state: State) {
+    /// Gives a job a final state and stops its runs.
+    pub(crate) fn finalize_job(&mut self, unix: u64, id: &JobId, state: State) {
         let Some(live) = self.jobs.get_mut(id) else {
             return;
         };
@@ -258,20 +258,20 @@
                 self.open.remove(&key);
             }
         }
-        self.loose.extend(running);
-        self.timed.remove(id);
-        self.mark(id);
+        self.unconfirmed_runs.extend(running);
+        self.scheduled_jobs.remove(id);
+        self.mark_dirty(id);
     }
 
-    /// A job's progress has to be stored.
-    pub(crate) fn mark(&mut self, id: &JobId) {
+    /// Marks a job's progress as changed, so that it gets stored.
+    pub(crate) fn mark_dirty(&mut self, id: &JobId) {
         if let Some(live) = self.jobs.get_mut(id) {
             live.dirty = true;
             self.dirty.insert(Arc::clone(id));
         }
     }
 
-    /// Jobs of each queue of which nothing has started.
+    /// Number of jobs in each queue of which no task has started.
     #[must_use]
     pub fn pending(&self) -> FxHashMap<String, u64> {
         let mut counts: FxHashMap<String, u64> = FxHashMap::default();
@@ -283,8 +283,8 @@
         counts
     }
 
-    /// The directory lists a worker.
-    pub fn listed(&mut self, now: Ms, id: &WorkerId, news: WorkerInfo) {
+    /// Adds a worker that the directory lists, or updates what is known of it.
+    pub fn update_worker(&mut self, now: Ms, id: &WorkerId, news: WorkerInfo) {
         let worker = self.workers.entry(Arc::clone(id)).or_default();
         if worker.id.is_empty() {
             worker.id = Arc::clone(id);
@@ -301,14 +301,14 @@
         worker.info = news;
     }
 
-    /// The directory doesn't list a worker any more. What runs there stays in doubt until its lease has lapsed.
-    pub fn unlisted(&mut self, id: &str) {
+    /// The directory no longer lists a worker. The outcome of its runs is unknown until its lease has lapsed.
+    pub fn deregister_worker(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.registered = false;
         }
     }
 
-    /// Workers that may be given something: those that the next owner must hear from.
+    /// Workers that may be given tasks. The next owner has to get an answer from each of them.
     #[must_use]
     pub fn roster(&self, now: Ms) -> Vec<WorkerId> {
         let mut ids: Vec<WorkerId> = self
@@ -318,17 +318,17 @@
                 !worker.is_unavailable(now) && (worker.registered || !worker.runs.is_empty())
             })
             .map(|worker| Arc::clone(&worker.id))
-            .chain(self.unseen.iter().cloned())
+            .chain(self.unconfirmed_workers.iter().cloned())
             .collect();
         ids.sort();
         ids.dedup();
         ids
     }
 
-    /// Workers that can't be reached, with what may run there. From now on nothing is started there until a roster with
-    /// them is stored: what is written down must not become too little while it is on its way.
+    /// Workers that are unreachable or about to leave, with the runs that may be there. Nothing is started on them
+    /// until a roster that names them is stored: a run started in between would be missing from the stored list.
     #[must_use]
-    pub fn silent(&mut self, now: Ms) -> Vec<UnavailableWorker> {
+    pub fn unavailable_workers(&mut self, now: Ms) -> Vec<UnavailableWorker> {
         for worker in self.workers.values_mut() {
             worker.in_stored_roster &= !worker.is_unavailable(now);
         }
@@ -352,8 +352,9 @@
         silent
     }
 
-    /// The stored roster names these workers and no others. Tells whether one may be given something that might not before.
-    pub fn enroll(&mut self, ids: &[WorkerId]) -> bool {
+    /// Records the workers of the stored roster, sorted by id. Returns whether a worker may be given tasks that might
+    /// not before.
+    pub fn set_stored_roster(&mut self, ids: &[WorkerId]) -> bool {
         let mut more = false;
         for (id, worker) in &mut self.workers {
             let enrolled = ids.binary_search(id).is_ok();
@@ -363,7 +364,7 @@
         more
     }
 
-    /// A worker.
+    /// The worker with this id, if it is known.
     #[must_use]
     pub fn worker(&self, id: &str) -> Option<&Worker> {
         self.workers.get(id)
@@ -374,30 +375,31 @@
         self.workers.values()
     }
 
-    /// Whether another owner with a higher epoch was met.
+    /// Whether an owner with a higher epoch exists.
     #[must_use]
     pub fn deposed(&self) -> bool {
         self.deposed
     }
 
-    /// Whether a majority of the workers has confirmed this owner recently enough for it to give orders.
+    /// Whether a majority of the workers has confirmed this owner recently enough for it to send commands.
     ///
     /// A new owner has to reach a majority before it acts, so an owner without one may have been replaced. An owner
-    /// that was paused fails this when it wakes, before it sends anything.
+    /// that was paused fails this check when it resumes, before it sends anything.
     #[must_use]
-    pub fn proved(&self, now: Ms) -> bool {
+    pub fn has_quorum(&self, now: Ms) -> bool {
         let mut known = 0;
         let mut answered = 0;
         for worker in self.workers.values().filter(|worker| worker.registered) {
             known += 1;
-            if worker.fenced && now.saturating_sub(worker.last_poll) <= self.options.proof {
+            if worker.fenced && now.saturating_sub(worker.last_poll) <= self.options.quorum_validity
+            {
                 answered += 1;
             }
         }
         answered * 2 > known
     }
 
-    /// What a task of this step takes on a worker.
+    /// Capacity that a task of this step takes on a worker.
     pub(crate) fn size(&self, key: &StageKey) -> Option<Size> {
         let step = self
             .jobs
--- a/crates/pool/src/reconcile.rs
+++ b/crates/pool/src/reconcile.rs
@@ -50,15 +50,15 @@
         let lease_left = if report.lease > 0 {
             report.lease.saturating_sub(report.clock)
         } else {
-            self.options.lease_most
+            self.options.max_lease
         };
         // The worker's clock may be 2% slow.
         worker.lease_expires_at = worker
             .lease_expires_at
             .max(now + lease_left + lease_left / 33 + LEASE_SLACK);
-        self.unseen.remove(id);
+        self.unconfirmed_workers.remove(id);
         self.apply_ends(now, unix, id, report);
-        for job in self.awaiting.remove(id).unwrap_or_default() {
+        for job in self.jobs_awaiting_worker.remove(id).unwrap_or_default() {
             if let Some(live) = self.jobs.get_mut(&job) {
                 live.awaited_workers = live.awaited_workers.saturating_sub(1);
             }
@@ -89,7 +89,7 @@
                         .map_or(now, |previous| previous.since),
                     jobs: Vec::new(),
                 });
-                if self.partial || now.saturating_sub(found.since) < UNKNOWN_JOB_TIMEOUT {
+                if self.jobs_incomplete || now.saturating_sub(found.since) < UNKNOWN_JOB_TIMEOUT {
                     found.jobs.push(Arc::clone(job));
                     continue;
                 }
@@ -146,7 +146,7 @@
             live.awaited_workers = awaited.len();
         }
         for worker in awaited {
-            self.awaiting
+            self.jobs_awaiting_worker
                 .entry(worker)
                 .or_default()
                 .push(Arc::clone(job));
@@ -161,8 +161,8 @@
     /// that this owner considers expired, next to the ones it starts in their place. An owner without a recent majority renews
     /// nothing: it may have been replaced by an owner that can't reach this worker and relies on the lease to expire.
     pub fn extend_lease(&mut self, now: Ms, id: &WorkerId) -> Option<Ms> {
-        let max_lease = self.options.lease_most;
-        if !self.proved(now) {
+        let max_lease = self.options.max_lease;
+        if !self.has_quorum(now) {
             return None;
         }
         let worker = self.workers.get_mut(id)?;
@@ -228,7 +228,7 @@
                     unanswered
                 });
             if unanswered {
-                self.loose.insert(key);
+                self.unconfirmed_runs.insert(key);
             } else {
                 let job = Arc::clone(&key.stage.job);
                 self.end_run(now, &key, 0);
@@ -331,7 +331,7 @@
             run.proven = true;
             if matches!(run.phase, Phase::Starting | Phase::Unconfirmed) {
                 run.phase = Phase::Running;
-                self.loose.remove(key);
+                self.unconfirmed_runs.remove(key);
             }
             let run = self.task_mut(key).and_then(|task| task.run.as_mut());
             if let Some(run) = run {
@@ -409,18 +409,18 @@
 
     /// Stops orphaned runs: at once if their job is known, otherwise after [`UNKNOWN_JOB_TIMEOUT`].
     pub(crate) fn stop_orphaned_runs(&mut self, now: Ms) {
-        let partial = self.partial;
+        let partial = self.jobs_incomplete;
         for worker in self.workers.values_mut() {
             for (key, orphan) in &mut worker.orphaned_runs {
                 let unknown = !partial && now.saturating_sub(orphan.since) > UNKNOWN_JOB_TIMEOUT;
                 let due = orphan.size.is_some() || unknown;
                 if due && (orphan.stop_sent == 0 || now.saturating_sub(orphan.stop_sent) > 400) {
                     orphan.stop_sent = now.max(1);
-                    self.orders.push(crate::Order::Stop(crate::Stop {
+                    self.commands.push(crate::Command::Stop(crate::Stop {
                         task: key.clone(),
                         run: orphan.run,
                         worker: Arc::clone(&worker.id),
-                        why: "run is not the current run of its task",
+                        reason: "run is not the current run of its task",
                     }));
                 }
             }
--- a/crates/pool/src/replies.rs
+++ b/crates/pool/src/replies.rs
@@ -1,8 +1,8 @@
 //! Handles answers to commands.
 
 use crate::answer::{StartAnswer, StopAnswer};
+use crate::command::{AdvisorQuery, Start, Stop};
 use crate::live::Ticket;
-use crate::order::{Ask, Start, Stop};
 use crate::pool::Pool;
 use crate::repeat;
 use crate::state::State;
@@ -48,7 +48,7 @@
                 if unconfirmed {
                     run.phase = Phase::Running;
                     run.progressed_at = now;
-                    self.loose.remove(&start.task);
+                    self.unconfirmed_runs.remove(&start.task);
                 }
                 self.mark_started(&start.task.stage.job);
                 return;
@@ -58,7 +58,7 @@
                 if run.phase == Phase::Starting {
                     run.phase = Phase::Unconfirmed;
                 }
-                self.loose.insert(start.task.clone());
+                self.unconfirmed_runs.insert(start.task.clone());
                 return;
             }
             StartAnswer::Fenced => self.deposed = true,
@@ -148,7 +148,7 @@
     pub fn advisor_answered(
         &mut self,
         now: Ms,
-        ask: &Ask,
+        ask: &AdvisorQuery,
         allowed: Option<(&[(WorkerId, String)], Ms)>,
     ) {
         let incarnations: Vec<u64> = allowed.map_or_else(Vec::new, |(rows, _)| {
@@ -156,8 +156,8 @@
                 .map(|(id, _)| self.workers.get(id).map_or(0, |worker| worker.incarnation))
                 .collect()
         });
-        self.asking.remove(&ask.stage);
-        self.overdue.remove(&ask.stage);
+        self.open_queries.remove(&ask.stage);
+        self.overdue_queries.remove(&ask.stage);
         let queue = self
             .jobs
             .get(&ask.stage.job)
@@ -188,7 +188,8 @@
             }
         }
         if let Some(queue) = queue {
-            self.learned.advised(&queue, ask.workers.len(), rows.len());
+            self.queue_stats
+                .record_answer(&queue, ask.workers.len(), rows.len());
         }
     }
 }
--- a/crates/pool/src/plan.rs
+++ b/crates/pool/src/schedule.rs
@@ -1,27 +1,27 @@
-//! What is to be done next.
+//! The scheduling pass: expires leases, resends commands and starts tasks.
 
 use std::sync::Arc;
 
+use crate::command::{Command, Start, Stop};
 use crate::live::LiveJob;
 use crate::loss::Loss;
 use crate::mechanism::Mechanism;
-use crate::order::{Order, Start, Stop};
 use crate::pool::Pool;
 use crate::repeat;
 use crate::task::{Ms, Phase, TaskKey, WorkerId};
 
-/// A stop that was not confirmed is sent again after this time.
-const STOP_AGAIN: Ms = 400;
-/// A copy of an order is sent only if it can arrive this long before the last moment of the order.
-const REPEAT_SLACK: Ms = 100;
-/// A stop that was confirmed, but whose end was not listed, is sent again after this time.
-const CONFIRMED_AGAIN: Ms = 1_500;
+/// Time after which an unconfirmed stop is sent again.
+const STOP_RETRY_DELAY: Ms = 400;
+/// A start is resent only if at least this much time is left until its deadline.
+const RESEND_MARGIN: Ms = 100;
+/// Time after which a confirmed stop is sent again if the worker has not listed the end of the run.
+const CONFIRMED_STOP_RETRY_DELAY: Ms = 1_500;
 
 impl Pool {
-    /// Says what is to be done now.
-    pub fn plan(&mut self, now: Ms, unix: u64) -> Vec<Order> {
+    /// Runs one scheduling pass and returns the commands to send.
+    pub fn schedule(&mut self, now: Ms, unix: u64) -> Vec<Command> {
         let due: Vec<_> = self
-            .timed
+            .scheduled_jobs
             .iter()
             .filter(|id| {
                 let next = self.jobs.get(*id).and_then(LiveJob::next_due);
@@ -32,33 +32,34 @@
         for id in due {
             self.advance(&id, now, unix);
         }
-        self.lapse(now, unix);
-        self.watch(now);
-        self.chase(now);
+        self.expire_leases(now, unix);
+        self.check_runs(now);
+        self.resend_commands(now);
         self.stop_orphaned_runs(now);
         self.settle_inheritance(now);
-        if !self.deposed && self.proved(now) {
+        if !self.deposed && self.has_quorum(now) {
             self.review_suspects(now, unix);
-            self.place(now);
+            self.place_tasks(now);
         }
-        std::mem::take(&mut self.orders)
+        std::mem::take(&mut self.commands)
     }
 
     /// When the next occurrence of any job is due, in Unix milliseconds.
     #[must_use]
     pub fn next_due(&self) -> Option<u64> {
         let due = |id| self.jobs.get(id).and_then(LiveJob::next_due);
-        self.timed.iter().filter_map(due).min()
+        self.scheduled_jobs.iter().filter_map(due).min()
     }
 
-    /// Runs on workers whose lease has surely lapsed are over.
-    fn lapse(&mut self, now: Ms, unix: u64) {
-        let lapsed: Vec<(WorkerId, Vec<TaskKey>)> = self
+    /// Ends the runs on workers whose lease has certainly expired, and drops workers that are no longer needed.
+    fn expire_leases(&mut self, now: Ms, unix: u64) {
+        let expired: Vec<(WorkerId, Vec<TaskKey>)> = self
             .workers
             .values()
             .filter(|worker| {
-                let held = !worker.runs.is_empty() || self.awaiting.contains_key(&worker.id);
-                worker.lease_expires_at < now && held
+                let affected =
+                    !worker.runs.is_empty() || self.jobs_awaiting_worker.contains_key(&worker.id);
+                worker.lease_expires_at < now && affected
             })
             .map(|worker| {
                 (
@@ -67,8 +68,8 @@
                 )
             })
             .collect();
-        for (id, keys) in lapsed {
-            for job in self.awaiting.remove(&id).unwrap_or_default() {
+        for (id, keys) in expired {
+            for job in self.jobs_awaiting_worker.remove(&id).unwrap_or_default() {
                 if let Some(live) = self.jobs.get_mut(&job) {
                     live.awaited_workers = live.awaited_workers.saturating_sub(1);
                 }
@@ -89,24 +90,24 @@
                 }
             }
         }
-        let unseen = &self.unseen;
-        let silent = &self.silent;
+        let unconfirmed = &self.unconfirmed_workers;
+        let unavailable = &self.unavailable;
         self.workers.retain(|id, worker| {
             worker.registered
-                || unseen.contains(id)
-                || silent.iter().any(|silent| silent.worker == *id)
+                || unconfirmed.contains(id)
+                || unavailable.iter().any(|other| other.worker == *id)
                 || !worker.runs.is_empty()
                 || !worker.orphaned_runs.is_empty()
         });
     }
 
-    /// Sends again what was not answered, and stops what is to be stopped.
-    fn chase(&mut self, now: Ms) {
-        let keys: Vec<TaskKey> = self.loose.iter().cloned().collect();
-        let repeats = self.has(Mechanism::RepeatOrders);
+    /// Resends unanswered starts and sends stops for runs that are to be stopped.
+    fn resend_commands(&mut self, now: Ms) {
+        let keys: Vec<TaskKey> = self.unconfirmed_runs.iter().cloned().collect();
+        let resend_enabled = self.has(Mechanism::RepeatOrders);
         for key in keys {
             let Some(live) = self.jobs.get(&key.stage.job) else {
-                self.loose.remove(&key);
+                self.unconfirmed_runs.remove(&key);
                 continue;
             };
             let job = Arc::clone(&live.job);
@@ -117,11 +118,11 @@
                 .and_then(|course| course.stages.get(usize::from(key.stage.step)))
                 .and_then(|stage| stage.tasks.get(key.index as usize))
             else {
-                self.loose.remove(&key);
+                self.unconfirmed_runs.remove(&key);
                 continue;
             };
             let Some(run) = &task.run else {
-                self.loose.remove(&key);
+                self.unconfirmed_runs.remove(&key);
                 continue;
             };
             let since = now.saturating_sub(run.stop_sent);
@@ -129,35 +130,35 @@
                 .workers
                 .get(&run.worker)
                 .map_or(0, |it| it.response_time);
-            let order = match run.phase {
+            let command = match run.phase {
                 Phase::Stopping => {
-                    let again = if run.stop_confirmed > 0 {
-                        CONFIRMED_AGAIN
+                    let retry_delay = if run.stop_confirmed > 0 {
+                        CONFIRMED_STOP_RETRY_DELAY
                     } else {
-                        STOP_AGAIN
+                        STOP_RETRY_DELAY
                     };
-                    (run.stop_sent == 0 || since >= again).then(|| {
-                        Order::Stop(Stop {
+                    (run.stop_sent == 0 || since >= retry_delay).then(|| {
+                        Command::Stop(Stop {
                             task: key.clone(),
                             run: run.number,
                             worker: Arc::clone(&run.worker),
-                            why: "the run is not wanted any more",
+                            reason: "the run is not wanted any more",
                         })
                     })
                 }
                 Phase::Starting | Phase::Unconfirmed
-                    if repeats
+                    if resend_enabled
                         && task.crashes() == 0
                         && now.saturating_sub(run.sent) >= repeat::delay(answers, run.copies)
-                        && clock(&run.worker) + REPEAT_SLACK < run.start_deadline
-                        && self.copies.spend() =>
+                        && clock(&run.worker) + RESEND_MARGIN < run.start_deadline
+                        && self.retry_budget.spend() =>
                 {
-                    Some(Order::Start(Start {
+                    Some(Command::Start(Start {
                         task: key.clone(),
                         run: run.number,
                         worker: Arc::clone(&run.worker),
-                        latest: run.start_deadline,
-                        saved: task.checkpoint.clone(),
+                        start_deadline: run.start_deadline,
+                        checkpoint: task.checkpoint.clone(),
                         ticket: self
                             .stage(&key.stage)
                             .and_then(|stage| stage.advised.allowed.get(&run.worker))
@@ -168,7 +169,7 @@
                 }
                 _ => None,
             };
-            let Some(order) = order else { continue };
+            let Some(command) = command else { continue };
             if let Some(run) = self.task_mut(&key).and_then(|task| task.run.as_mut()) {
                 if run.phase == Phase::Stopping {
                     run.stop_sent = now.max(1);
@@ -178,7 +179,7 @@
                     run.sent = now;
                 }
             }
-            self.orders.push(order);
+            self.commands.push(command);
         }
     }
 }
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -115,7 +115,7 @@
     pub(crate) ends_stored: u64,
     /// Nothing is started on the worker before this time.
     pub(crate) paused_until: Ms,
-    /// Evidence that runs fail because of the worker; see [`crate::fit::SUSPECT`].
+    /// Evidence that runs fail because of the worker; see [`crate::fit::SUSPECT_SCORE`].
     pub(crate) failure_score: f64,
     /// Ratio of observed run time to the estimate as corrected per queue; 1 is as expected.
     pub(crate) slowness: f64,
--- a/crates/pool/tests/case/mod.rs
+++ b/crates/pool/tests/case/mod.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 
 use pool::{
-    Job, Options, Order, Pool, RunEnd, RunOutcome, RunStatus, Start, StartAnswer, WorkerId,
+    Command, Job, Options, Pool, RunEnd, RunOutcome, RunStatus, Start, StartAnswer, WorkerId,
     WorkerInfo, WorkerReport,
 };
 use resource::Size;
 
-use crate::world::UNIX;
+use crate::simulation::UNIX;
 
 /// A pool with workers that have reported at time 1000.
 pub(crate) fn pool(workers: usize) -> Pool {
@@ -31,9 +31,9 @@
             incarnation: 1,
             ..WorkerInfo::default()
         };
-        pool.listed(1_000, id, info);
+        pool.update_worker(1_000, id, info);
     }
-    pool.enroll(&ids);
+    pool.set_stored_roster(&ids);
     for id in &ids {
         report(pool, 1_000, id, vec![], vec![]);
     }
@@ -74,18 +74,18 @@
     }
 }
 
-pub(crate) fn starts(orders: Vec<Order>) -> Vec<Start> {
+pub(crate) fn starts(orders: Vec<Command>) -> Vec<Start> {
     let start = |order| match order {
-        Order::Start(start) => Some(start),
+        Command::Start(start) => Some(start),
         _ => None,
     };
     orders.into_iter().filter_map(start).collect()
 }
 
-pub(crate) fn stops(orders: &[Order]) -> usize {
+pub(crate) fn stops(orders: &[Command]) -> usize {
     orders
         .iter()
-        .filter(|order| matches!(order, Order::Stop(_)))
+        .filter(|order| matches!(order, Command::Stop(_)))
         .count()
 }
 
@@ -94,7 +94,7 @@
 }
 
 pub(crate) fn run(pool: &mut Pool, now: u64) -> Vec<Start> {
-    let started = starts(pool.plan(now, UNIX + now));
+    let started = starts(pool.schedule(now, UNIX + now));
     for start in &started {
         pool.start_answered(now + 5, start, StartAnswer::Running);
     }
--- a/crates/pool/tests/late_reports.rs
+++ b/crates/pool/tests/late_reports.rs
@@ -3,11 +3,11 @@
 #[allow(dead_code, reason = "used by other test files")]
 mod case;
 #[allow(dead_code, reason = "used by other test files")]
-mod world;
+mod simulation;
 
 use case::{adopt, pool, report, run};
 use pool::WorkerReport;
-use world::{UNIX, job};
+use simulation::{UNIX, job};
 
 /// Guards against a second start of a running task. A worker reports its runs before a start command reaches it, and the report
 /// is in transit for longer than a run may be missing. The run must not be taken as lost.
--- a/crates/pool/tests/losses.rs
+++ b/crates/pool/tests/losses.rs
@@ -3,11 +3,11 @@
 #[allow(dead_code, reason = "used by other test files")]
 mod case;
 #[allow(dead_code, reason = "used by other test files")]
-mod world;
+mod simulation;
 
 use case::{adopt, pool, report_all, run};
 use pool::{Loss, Pool, WorkerReport};
-use world::{UNIX, job};
+use simulation::{UNIX, job};
 
 fn restart(pool: &mut Pool, now: u64, id: &str) {
     let report = WorkerReport {
@@ -39,7 +39,7 @@
     assert_eq!(lost[0].loss, Loss::Restarted);
     assert_eq!(lost[0].survived, 1_500);
     assert!(lost[0].confirmed);
-    drop(pool.plan(20_000, UNIX + 20_000));
+    drop(pool.schedule(20_000, UNIX + 20_000));
     let lost = pool.take_lost_runs();
     assert_eq!(lost.len(), 1);
     assert_eq!(lost[0].loss, Loss::Lapsed);
--- a/crates/pool/tests/lost_answers.rs
+++ b/crates/pool/tests/lost_answers.rs
@@ -6,17 +6,17 @@
 #[allow(dead_code, reason = "used by other test files")]
 mod case;
 #[allow(dead_code, reason = "used by other test files")]
-mod world;
+mod simulation;
 
 use case::{adopt, pool, starts};
 use pool::{Ms, Pool, Start, StartAnswer};
-use world::{UNIX, World, job};
+use simulation::{Simulation, UNIX, job};
 
 /// Runs a scheduling pass every 5 ms from `from` to `to`; returns the start commands with the times at which they were issued.
 fn start_commands(pool: &mut Pool, from: Ms, to: Ms) -> Vec<(Ms, Start)> {
     let mut sent = Vec::new();
     for now in (from..to).step_by(5) {
-        let issued = starts(pool.plan(now, UNIX + now));
+        let issued = starts(pool.schedule(now, UNIX + now));
         sent.extend(issued.into_iter().map(|start| (now, start)));
     }
     sent
@@ -73,16 +73,16 @@
 /// carried out late or not at all. A worker answers within 10 ms, so one lost command may cost a job about 100 ms.
 #[test]
 fn lost_answers_delay_quick_jobs_little() {
-    let mut world = World::new(7, 20);
-    world.weather.late = 0.065;
-    world.take();
-    world.pass(200);
+    let mut world = Simulation::new(7, 20);
+    world.conditions.lost_answer_rate = 0.065;
+    world.start_owner();
+    world.run_for(200);
     for at in 0..60 {
         world.accept(job(&format!("000000000000q{at:03}"), &[(10, 100, 600)]));
-        world.pass(50);
+        world.run_for(50);
     }
-    world.pass(4_000);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
-    let late = world.late(850);
+    world.run_for(4_000);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
+    let late = world.count_late(850);
     assert!(late <= 3, "{late} of 60 took over 850 ms");
 }
--- a/crates/pool/tests/suspects.rs
+++ b/crates/pool/tests/suspects.rs
@@ -3,16 +3,16 @@
 #[allow(dead_code, reason = "used by other test files")]
 mod case;
 #[allow(dead_code, reason = "used by other test files")]
-mod world;
+mod simulation;
 
 use std::sync::Arc;
 
 use case::{adopt, end, pool, register_workers, report, report_all, run, starts};
 use pool::{
-    Job, Ms, Options, Order, Pool, Progress, RunEnd, RunOutcome, Start, StartAnswer, State,
+    Command, Job, Ms, Options, Pool, Progress, RunEnd, RunOutcome, Start, StartAnswer, State,
     StopAnswer, WorkerId, WorkerReport,
 };
-use world::{UNIX, job};
+use simulation::{UNIX, job};
 
 /// Stores all pending progress; returns the progress of the last job in the batch.
 fn store(pool: &mut Pool) -> Option<Progress> {
@@ -169,7 +169,7 @@
     register_workers(&mut next, 4);
     let again = Arc::new(job("00000000000000a1", &[(1, 900, 5_000)]));
     next.adopt(1_000, UNIX + 1_000, again, Some(&stored), true);
-    assert!(starts(next.plan(1_010, UNIX + 1_010)).is_empty());
+    assert!(starts(next.schedule(1_010, UNIX + 1_010)).is_empty());
     drop(store(&mut next));
     assert_eq!(next.state("00000000000000a1"), Some(State::Failed));
 }
@@ -186,10 +186,10 @@
     let first = run(&mut pool, 1_000).remove(0);
     restart(&mut pool, 2_000, &first, 1);
     others_answer(&mut pool, 2_100, &first);
-    let second = starts(pool.plan(2_110, UNIX + 2_110)).remove(0);
+    let second = starts(pool.schedule(2_110, UNIX + 2_110)).remove(0);
     pool.start_answered(2_120, &second, StartAnswer::Lost);
     for now in (2_120..3_000).step_by(20) {
-        let more = starts(pool.plan(now, UNIX + now));
+        let more = starts(pool.schedule(now, UNIX + now));
         assert!(more.is_empty(), "{now}: {more:?}");
     }
 }
@@ -210,12 +210,12 @@
     };
     for now in (1_500..10_000).step_by(500) {
         others_answer(&mut pool, now, &first);
-        drop(pool.plan(now, UNIX + now));
+        drop(pool.schedule(now, UNIX + now));
     }
     assert!(recorded(&mut pool));
     let lapsed = vec![end(&first, 1, RunOutcome::Lapsed)];
     report(&mut pool, 10_000, &first.worker, vec![], lapsed);
-    let running = starts(pool.plan(10_010, UNIX + 10_010));
+    let running = starts(pool.schedule(10_010, UNIX + 10_010));
     report_all(&mut pool, 10_020, &running);
     let crashed = store(&mut pool).is_some_and(|progress| {
         let step = &progress.open[0].steps[0];
@@ -260,20 +260,20 @@
     );
     let first = run(&mut previous, 1_000).remove(0);
     previous.mark_unresponsive(&first.worker);
-    let silent = previous.silent(1_100);
+    let silent = previous.unavailable_workers(1_100);
     assert_eq!(silent.len(), 1);
     let mut next = Pool::new(Options::default());
     let again = Arc::new(job("00000000000000a1", &[(1, 900, 5_000)]));
     next.adopt(1_200, UNIX + 1_200, again, None, true);
     next.inherit(1_200, previous.roster(1_100), &silent);
     for worker in previous.workers() {
-        next.listed(1_200, &worker.id, worker.info.clone());
+        next.update_worker(1_200, &worker.id, worker.info.clone());
         if worker.id != first.worker {
             report(&mut next, 1_250, &worker.id, vec![], vec![]);
         }
     }
     restart(&mut next, 1_300, &first, 1);
-    drop(next.plan(1_400, UNIX + 1_400));
+    drop(next.schedule(1_400, UNIX + 1_400));
     let stored = store(&mut next).expect("there is something to store");
     assert_eq!(stored.open[0].steps[0].crashed, vec![(0, vec![1])]);
 }
@@ -288,10 +288,10 @@
     );
     let mut now = 1_000;
     for crashes in 0..8 {
-        let mut started = starts(pool.plan(now, UNIX + now));
+        let mut started = starts(pool.schedule(now, UNIX + now));
         drop(store(&mut pool));
         now += 10;
-        started.extend(starts(pool.plan(now, UNIX + now)));
+        started.extend(starts(pool.schedule(now, UNIX + now)));
         let lost = pool
             .workers()
             .find(|worker| worker.free_capacity().millicores < 4_000);
@@ -313,8 +313,8 @@
                 requested_at: now,
                 ..WorkerReport::default()
             };
-            for stop in pool.plan(now, UNIX + now) {
-                if let Order::Stop(stop) = stop {
+            for stop in pool.schedule(now, UNIX + now) {
+                if let Command::Stop(stop) = stop {
                     pool.stop_answered(now, &stop, StopAnswer::Stopped(20));
                 }
             }
@@ -380,10 +380,10 @@
         .info
         .clone();
     info.draining = Some(2_000);
-    pool.listed(1_100, &first.worker, info);
+    pool.update_worker(1_100, &first.worker, info);
     for now in (1_500..10_000).step_by(500) {
         others_answer(&mut pool, now, &first);
-        drop(pool.plan(now, UNIX + now));
+        drop(pool.schedule(now, UNIX + now));
     }
     assert_eq!(pool.take_lost_runs().len(), 1);
     assert!(crash_records(&mut pool).is_empty());
--- a/crates/pool/tests/timeline.rs
+++ b/crates/pool/tests/timeline.rs
@@ -3,11 +3,11 @@
 #[allow(dead_code, reason = "used by other test files")]
 mod case;
 #[allow(dead_code, reason = "used by other test files")]
-mod world;
+mod simulation;
 
 use case::{adopt, end, pool, report, run};
 use pool::{RunOutcome, State};
-use world::job;
+use simulation::job;
 
 /// Guards against a log that doesn't show what a step waited for: one summary must hold the times of opening, starts and end.
 #[test]
