--- a/crates/host/src/owner.rs
+++ b/crates/host/src/owner.rs
@@ -409,10 +409,10 @@
     let time = |time: Option<Ms>| time.map_or(-1, |time| time as i64);
     info!(
         job = &*key.job, occurrence = key.occurrence, step = key.step, queue = step.queue.as_str(),
-        tasks = step.tasks, estimate = step.estimate, age = step.age, asked = time(step.asked),
-        advised = time(step.advised), first_start = time(step.first_start),
-        last_start = time(step.last_start), done = step.done, questions = step.questions,
-        starts = step.starts;
+        tasks = step.tasks, estimate = step.estimate, age = step.age,
+        asked = time(step.first_query), advised = time(step.first_answer),
+        first_start = time(step.first_start), last_start = time(step.last_start),
+        done = step.done, questions = step.queries, starts = step.starts;
         "step"
     );
 }
--- a/crates/host/src/session.rs
+++ b/crates/host/src/session.rs
@@ -115,7 +115,7 @@
                 let unknown_ends = {
                     let pool = lock(&owner.pool);
                     pool.worker(id)
-                        .is_some_and(pool::Worker::lists_unknown_ends)
+                        .is_some_and(pool::Worker::reports_unknown_ends)
                 };
                 if all_noted && !unknown_ends {
                     pause = PAUSE;
--- a/crates/pool/src/batch.rs
+++ b/crates/pool/src/batch.rs
@@ -40,7 +40,7 @@
         })
     }
 
-    /// Takes up to `most` jobs. Ends are covered only if no job is left over.
+    /// Takes up to `max_jobs` jobs. Ends are covered only if no job is left over.
     pub fn batch(&mut self, max_jobs: usize) -> Batch {
         let ids: Vec<JobId> = self.dirty.iter().take(max_jobs).cloned().collect();
         let mut batch = Batch::default();
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -23,7 +23,7 @@
 pub(crate) const STABLE_AFTER: Ms = 10_000;
 /// A task that has crashed this many workers is isolated: nothing else is started on its worker until it has outlived
 /// [`CRASH_WINDOW`].
-pub(crate) const CRASHES_ALONE: usize = 2;
+pub(crate) const MIN_CRASHES_TO_ISOLATE: usize = 2;
 /// A task with this many crash records is abandoned if at least [`MIN_CONFIRMED_CRASHES`] of them are confirmed.
 const MAX_CRASHES: usize = 3;
 /// Minimum number of confirmed crash records of an abandoned task.
@@ -149,7 +149,7 @@
     /// Whether the next start must be stored before its command is sent, and isn't yet. If the owner were lost together with the
     /// worker, the next owner would not count that start.
     pub(crate) fn awaits_storing(&self) -> bool {
-        self.crashed.len() >= CRASHES_ALONE && self.crashes_stored < self.crashed.len()
+        self.crashed.len() >= MIN_CRASHES_TO_ISOLATE && self.crashes_stored < self.crashed.len()
     }
 }
 
@@ -168,14 +168,14 @@
         }
         let crash = Crash {
             run: run.number,
-            confirmed: run.proven,
+            confirmed: run.worker_was_up,
         };
         let Some(task) = self.task_mut(key) else {
             return;
         };
         task.crashed_at = now;
         if let Some(run) = &mut task.run {
-            run.crashed = true;
+            run.may_have_crashed_worker = true;
         }
         task.clear_crash(run.number);
         task.crashed.push(crash);
@@ -233,9 +233,9 @@
                 self.suspects.remove(&key);
                 self.finalize_job(unix, &key.stage.job, State::Failed);
                 self.abandoned.push(AbandonedTask { task: key, crashed });
-            } else if task.crashes() >= CRASHES_ALONE
+            } else if task.crashes() >= MIN_CRASHES_TO_ISOLATE
                 && task.announced.is_none()
-                && task.retry <= now
+                && task.retry_at <= now
             {
                 let next = task.highest_run + 1;
                 task.announced = Some(next);
--- a/crates/pool/src/ends.rs
+++ b/crates/pool/src/ends.rs
@@ -47,8 +47,8 @@
         let Some(run) = task.run.take() else {
             return;
         };
-        task.retry = task.retry.max(now + retry);
-        if !run.crashed && task.clear_crash(run.number) {
+        task.retry_at = task.retry_at.max(now + retry);
+        if !run.may_have_crashed_worker && task.clear_crash(run.number) {
             self.mark_dirty(&key.stage.job);
         }
         self.unconfirmed_runs.remove(key);
@@ -211,12 +211,12 @@
                 .get(usize::from(key.step))
                 .map_or(0, |step| step.estimate),
             age: opened.saturating_sub(live.accepted_at),
-            asked: since(times.asked),
-            advised: since(times.advised),
+            first_query: since(times.first_query),
+            first_answer: since(times.first_answer),
             first_start: since(times.first_start),
             last_start: since(times.last_start),
             done: now.saturating_sub(opened),
-            questions: times.questions,
+            queries: times.queries,
             starts: times.starts,
         };
         self.steps_done.push(times);
--- a/crates/pool/src/fit.rs
+++ b/crates/pool/src/fit.rs
@@ -2,7 +2,7 @@
 
 use resource::Size;
 
-use crate::crash::{CRASHES_ALONE, STABLE_AFTER, Suspicion};
+use crate::crash::{MIN_CRASHES_TO_ISOLATE, STABLE_AFTER, Suspicion};
 use crate::job::Step;
 use crate::service_capacity::ServiceCapacity;
 use crate::task::Ms;
@@ -59,13 +59,13 @@
     if step.per_worker > 0 && context.same_step >= step.per_worker {
         return None;
     }
-    if context.suspect_crashes >= CRASHES_ALONE {
+    if context.suspect_crashes >= MIN_CRASHES_TO_ISOLATE {
         return None;
     }
     let suspicion = context.suspicion;
     // The worker may have been lost in the same event as the one that the task ran on.
     let unproven = worker.last_poll <= suspicion.since;
-    if suspicion.crashes >= CRASHES_ALONE && (context.suspect_crashes > 0 || unproven) {
+    if suspicion.crashes >= MIN_CRASHES_TO_ISOLATE && (context.suspect_crashes > 0 || unproven) {
         return None;
     }
     if worker.failure_score >= SUSPECT_SCORE && (context.assigned > 0 || !worker.runs.is_empty()) {
--- a/crates/pool/src/inherit.rs
+++ b/crates/pool/src/inherit.rs
@@ -74,9 +74,9 @@
 
     /// Sets whether jobs accepted before this owner took over may be missing, because a part of the store doesn't answer. As long
     /// as they may be, runs and ends of unknown jobs are left alone.
-    pub fn set_jobs_incomplete(&mut self, now: Ms, partial: bool) {
-        self.jobs_incomplete = partial;
-        if partial {
+    pub fn set_jobs_incomplete(&mut self, now: Ms, incomplete: bool) {
+        self.jobs_incomplete = incomplete;
+        if incomplete {
             return;
         }
         self.early_cancels.clear();
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,13 +1,11 @@
 //! Scheduling decisions of the owner of one pool of workers, without network or clock.
 //!
-//! * [`Pool`]: the live state; news goes in, [`Command`]s come out.
-//! * [`rank`]: who goes first; [`fit`]: on which worker, [`service_capacity`]: by what is short; [`advice`]: which workers to ask about; [`pace`]: when
 //! * [`Job`], [`Step`], [`Policy`]: a job as submitted and stored.
 //! * [`Progress`]: the progress of a job as stored.
-//! * [`Pool`]: the runtime state; updates go in, [`Order`]s come out.
+//! * [`Pool`]: the runtime state; updates go in, [`Command`]s come out.
 //! * [`WorkerInfo`], [`WorkerReport`], [`StartAnswer`]: input from the directory of workers and from the workers.
-//! * [`rank`]: the order in which steps are started; [`fit`]: the choice of a worker, [`scarce`]: by the scarcest resource;
-//!   [`advice`]: the choice of workers to ask the advisor about; [`pace`]: when best-effort tasks are slowed down.
+//! * [`rank`]: the order in which steps are started; [`fit`]: the choice of a worker; [`service_capacity`]: the scarcity of
+//!   resources; [`advice`]: the choice of workers to ask the advisor about; [`pace`]: when best-effort tasks are slowed down.
 
 pub mod advice;
 mod answer;
--- a/crates/pool/src/live.rs
+++ b/crates/pool/src/live.rs
@@ -119,7 +119,7 @@
     }
 
     /// Number of tasks with a run on each worker.
-    pub(crate) fn spread(&self) -> FxHashMap<WorkerId, u32> {
+    pub(crate) fn runs_per_worker(&self) -> FxHashMap<WorkerId, u32> {
         let mut spread = FxHashMap::default();
         for run in self.tasks.iter().filter_map(|task| task.run.as_ref()) {
             *spread.entry(Arc::clone(&run.worker)).or_default() += 1;
@@ -133,7 +133,7 @@
     }
 
     /// Whether all tasks are done and none has a run left on any worker.
-    pub(crate) fn over(&self) -> bool {
+    pub(crate) fn is_finished(&self) -> bool {
         self.complete() && self.tasks.iter().all(|task| task.run.is_none())
     }
 }
@@ -262,13 +262,13 @@
     }
 
     /// Number of occurrences.
-    pub(crate) fn times(&self) -> u32 {
+    pub(crate) fn occurrence_count(&self) -> u32 {
         self.job.schedule.map_or(1, |schedule| schedule.times)
     }
 
     /// When the next occurrence is due, in Unix milliseconds; `None` if there is none.
     pub(crate) fn next_due(&self) -> Option<u64> {
-        if self.state.is_final() || self.next >= self.times() {
+        if self.state.is_final() || self.next >= self.occurrence_count() {
             return None;
         }
         Some(self.job.schedule.map_or(0, |schedule| {
@@ -310,14 +310,14 @@
         let over: Vec<u32> = self
             .open
             .iter()
-            .filter(|(_, occurrence)| occurrence.stages.iter().all(Stage::over))
+            .filter(|(_, occurrence)| occurrence.stages.iter().all(Stage::is_finished))
             .map(|(&number, _)| number)
             .collect();
         for number in over {
             self.open.remove(&number);
             self.finished.insert(number);
         }
-        self.finished.len() as u32 >= self.times() && !self.job.is_long_running()
+        self.finished.len() as u32 >= self.occurrence_count() && !self.job.is_long_running()
     }
 
     /// The progress to be stored.
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::command::{Command, Start};
-use crate::crash::{CRASHES_ALONE, Suspicion};
+use crate::crash::{MIN_CRASHES_TO_ISOLATE, Suspicion};
 use crate::fit::{self, Context};
 use crate::job::{Job, Step};
 use crate::live::LiveJob;
@@ -45,7 +45,7 @@
             let Some(stage) = self.stage(key) else {
                 continue;
             };
-            if stage.opened.is_some() && stage.tasks.iter().any(|task| task.waits(now)) {
+            if stage.opened.is_some() && stage.tasks.iter().any(|task| task.is_startable(now)) {
                 let capacity = capacities
                     .get(&live.job.service)
                     .copied()
@@ -173,7 +173,7 @@
             .tasks
             .iter()
             .enumerate()
-            .filter(|(_, task)| task.waits(now))
+            .filter(|(_, task)| task.is_startable(now))
             .map(|(at, _)| at as u32)
             .collect();
         // Suspects last: a worker that gets a suspect which has to run alone takes no other task.
@@ -184,7 +184,7 @@
             // The members start together, so all of them have to be waiting.
             return 0;
         }
-        let same_step = stage.spread();
+        let same_step = stage.runs_per_worker();
         let assigned =
             self.find_workers(now, key, job, step, &suspicions, &same_step, mix, capacity);
         let all_placed = if step.gang {
@@ -339,7 +339,7 @@
         let noted = task.assume_crash(number, inherited);
         task.run = Some(Run {
             // A task with so many crashes starts only on a worker that has answered since the last of them.
-            proven: crashes >= CRASHES_ALONE,
+            worker_was_up: crashes >= MIN_CRASHES_TO_ISOLATE,
             ..Run::new(number, Arc::clone(worker), now, start_deadline)
         });
         self.reserve_capacity(key, worker, number);
@@ -355,7 +355,7 @@
         self.unconfirmed_runs.insert(key.clone());
         self.retry_budget.earn();
         if let Some(stage) = self.stage_mut(&key.stage) {
-            stage.timeline.started(now);
+            stage.timeline.record_start(now);
         }
         self.commands.push(Command::Start(Start {
             task: key.clone(),
--- a/crates/pool/src/query.rs
+++ b/crates/pool/src/query.rs
@@ -64,7 +64,11 @@
             else {
                 continue;
             };
-            let waiting = stage.tasks.iter().filter(|task| task.waits(now)).count();
+            let waiting = stage
+                .tasks
+                .iter()
+                .filter(|task| task.is_startable(now))
+                .count();
             self.query_advisor(now, key, &job, step, waiting as u32);
             if self.open_queries.contains(key) {
                 self.overdue_queries.insert(key.clone());
@@ -198,7 +202,7 @@
         let Some(stage) = self.stage(key) else {
             return Vec::new();
         };
-        let same = stage.spread();
+        let same = stage.runs_per_worker();
         let mut candidates = Vec::new();
         for worker in self.workers.values() {
             if !fit::allowed(worker, &job.service, step)
@@ -247,7 +251,7 @@
         if let Some(stage) = self.stage_mut(key) {
             stage.advised.query_since = Some(now);
             stage.advised.last_query = Some(now);
-            stage.timeline.asked(now);
+            stage.timeline.record_query(now);
         }
         self.commands.push(Command::Query(AdvisorQuery {
             stage: key.clone(),
--- a/crates/pool/src/reconcile.rs
+++ b/crates/pool/src/reconcile.rs
@@ -328,7 +328,7 @@
             && run.number == row.run
             && run.worker == *id
         {
-            run.proven = true;
+            run.worker_was_up = true;
             if matches!(run.phase, Phase::Starting | Phase::Unconfirmed) {
                 run.phase = Phase::Running;
                 self.unconfirmed_runs.remove(key);
@@ -365,7 +365,7 @@
             phase: Phase::Running,
             percent: row.percent,
             load: row.load,
-            proven: true,
+            worker_was_up: true,
             ..Run::new(row.run, Arc::clone(id), now, 0)
         });
         if let Some(worker) = self.workers.get_mut(id)
@@ -409,10 +409,11 @@
 
     /// Stops orphaned runs: at once if their job is known, otherwise after [`UNKNOWN_JOB_TIMEOUT`].
     pub(crate) fn stop_orphaned_runs(&mut self, now: Ms) {
-        let partial = self.jobs_incomplete;
+        let jobs_incomplete = self.jobs_incomplete;
         for worker in self.workers.values_mut() {
             for (key, orphan) in &mut worker.orphaned_runs {
-                let unknown = !partial && now.saturating_sub(orphan.since) > UNKNOWN_JOB_TIMEOUT;
+                let unknown =
+                    !jobs_incomplete && now.saturating_sub(orphan.since) > UNKNOWN_JOB_TIMEOUT;
                 let due = orphan.size.is_some() || unknown;
                 if due && (orphan.stop_sent == 0 || now.saturating_sub(orphan.stop_sent) > 400) {
                     orphan.stop_sent = now.max(1);
--- a/crates/pool/src/replies.rs
+++ b/crates/pool/src/replies.rs
@@ -44,7 +44,7 @@
         };
         match answer {
             StartAnswer::Running => {
-                run.proven = true;
+                run.worker_was_up = true;
                 if unconfirmed {
                     run.phase = Phase::Running;
                     run.progressed_at = now;
@@ -54,7 +54,7 @@
                 return;
             }
             StartAnswer::Lost | StartAnswer::Cut => {
-                run.proven |= answer == StartAnswer::Cut;
+                run.worker_was_up |= answer == StartAnswer::Cut;
                 if run.phase == Phase::Starting {
                     run.phase = Phase::Unconfirmed;
                 }
@@ -93,7 +93,7 @@
             }
             StartAnswer::Unreadable => {
                 if let Some(task) = self.task_mut(&start.task) {
-                    task.retry = now + 1_000;
+                    task.retry_at = now + 1_000;
                 }
             }
             _ => {}
@@ -170,7 +170,7 @@
             stage.advised.no_query_before = now + QUERY_RETRY_DELAY;
             return;
         };
-        stage.timeline.advised(now);
+        stage.timeline.record_answer(now);
         for ((id, text), incarnation) in rows.iter().zip(incarnations) {
             stage.advised.denied.remove(id);
             stage.advised.allowed.insert(
--- a/crates/pool/src/schedule.rs
+++ b/crates/pool/src/schedule.rs
@@ -149,7 +149,8 @@
                 Phase::Starting | Phase::Unconfirmed
                     if resend_enabled
                         && task.crashes() == 0
-                        && now.saturating_sub(run.sent) >= repeat::delay(answers, run.copies)
+                        && now.saturating_sub(run.last_sent)
+                            >= repeat::delay(answers, run.times_sent)
                         && clock(&run.worker) + RESEND_MARGIN < run.start_deadline
                         && self.retry_budget.spend() =>
                 {
@@ -175,8 +176,8 @@
                     run.stop_sent = now.max(1);
                 } else {
                     run.phase = Phase::Unconfirmed;
-                    run.copies += 1;
-                    run.sent = now;
+                    run.times_sent += 1;
+                    run.last_sent = now;
                 }
             }
             self.commands.push(command);
--- a/crates/pool/src/task.rs
+++ b/crates/pool/src/task.rs
@@ -72,9 +72,9 @@
     /// Last moment at which the worker may still carry out the start command, on the worker's clock.
     pub start_deadline: Ms,
     /// How often the start command was sent.
-    pub copies: u32,
+    pub times_sent: u32,
     /// When the start command was last sent.
-    pub sent: Ms,
+    pub last_sent: Ms,
     /// When a stop command was last sent.
     pub stop_sent: Ms,
     /// The worker's clock when it confirmed a stop; 0 if it has not.
@@ -91,9 +91,9 @@
     pub inherited: bool,
     /// Whether the worker was known to be running when it received the start command: it answered, it reported the run, or its
     /// connection was lost only after the command was sent.
-    pub proven: bool,
+    pub worker_was_up: bool,
     /// Whether the worker was lost and this run may be the cause.
-    pub crashed: bool,
+    pub may_have_crashed_worker: bool,
 }
 
 impl Run {
@@ -105,8 +105,8 @@
             phase: Phase::Starting,
             requested_at: now,
             start_deadline: latest,
-            copies: 1,
-            sent: now,
+            times_sent: 1,
+            last_sent: now,
             stop_sent: 0,
             stop_confirmed: 0,
             percent: 0,
@@ -114,8 +114,8 @@
             load: 0,
             pace: 100,
             inherited: false,
-            proven: false,
-            crashed: false,
+            worker_was_up: false,
+            may_have_crashed_worker: false,
         }
     }
 }
@@ -141,15 +141,15 @@
     /// The current run.
     pub run: Option<Run>,
     /// Earliest time of the next start.
-    pub retry: Ms,
+    pub retry_at: Ms,
     /// Highest run number that was used or seen.
     pub highest_run: u32,
 }
 
 impl Task {
     /// Whether the task can be started at `now`.
-    pub(crate) fn waits(&self, now: Ms) -> bool {
-        !self.done && self.run.is_none() && self.retry <= now && !self.awaits_storing()
+    pub(crate) fn is_startable(&self, now: Ms) -> bool {
+        !self.done && self.run.is_none() && self.retry_at <= now && !self.awaits_storing()
     }
 
     /// Records the end of a run; returns whether progress must be stored.
--- a/crates/pool/src/timeline.rs
+++ b/crates/pool/src/timeline.rs
@@ -7,15 +7,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Timeline {
     /// When the advisor was first queried.
-    pub asked: Option<Ms>,
+    pub first_query: Option<Ms>,
     /// When the advisor first answered.
-    pub advised: Option<Ms>,
+    pub first_answer: Option<Ms>,
     /// When the first start command was issued.
     pub first_start: Option<Ms>,
     /// When the latest start command was issued.
     pub last_start: Option<Ms>,
     /// Number of advisor queries.
-    pub questions: u32,
+    pub queries: u32,
     /// Number of start commands.
     pub starts: u32,
 }
@@ -34,9 +34,9 @@
     /// Age of the job when the step opened.
     pub age: Ms,
     /// Time of the first advisor query.
-    pub asked: Option<Ms>,
+    pub first_query: Option<Ms>,
     /// Time of the first answer of the advisor.
-    pub advised: Option<Ms>,
+    pub first_answer: Option<Ms>,
     /// Time of the first start command.
     pub first_start: Option<Ms>,
     /// Time of the latest start command.
@@ -44,7 +44,7 @@
     /// Time at which the last end was reported.
     pub done: Ms,
     /// Number of advisor queries.
-    pub questions: u32,
+    pub queries: u32,
     /// Number of start commands.
     pub starts: u32,
 }
@@ -67,16 +67,16 @@
 }
 
 impl Timeline {
-    pub(crate) fn asked(&mut self, now: Ms) {
-        self.asked.get_or_insert(now);
-        self.questions += 1;
+    pub(crate) fn record_query(&mut self, now: Ms) {
+        self.first_query.get_or_insert(now);
+        self.queries += 1;
     }
 
-    pub(crate) fn advised(&mut self, now: Ms) {
-        self.advised.get_or_insert(now);
+    pub(crate) fn record_answer(&mut self, now: Ms) {
+        self.first_answer.get_or_insert(now);
     }
 
-    pub(crate) fn started(&mut self, now: Ms) {
+    pub(crate) fn record_start(&mut self, now: Ms) {
         self.first_start.get_or_insert(now);
         self.last_start = Some(now);
         self.starts += 1;
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -139,7 +139,7 @@
 
     /// Whether the worker reports ends of unknown jobs. It answers polls at once with these ends until they are applied.
     #[must_use]
-    pub fn lists_unknown_ends(&self) -> bool {
+    pub fn reports_unknown_ends(&self) -> bool {
         self.unknown_ends.is_some()
     }
 
@@ -167,11 +167,11 @@
     /// Capacity that is not reserved.
     #[must_use]
     pub fn free_capacity(&self) -> Size {
-        let (room, used) = (self.info.capacity, self.used);
+        let (capacity, used) = (self.info.capacity, self.used);
         Size::new(
-            room.millicores.saturating_sub(used.millicores),
-            room.memory_mib.saturating_sub(used.memory_mib),
-            room.accelerators.saturating_sub(used.accelerators),
+            capacity.millicores.saturating_sub(used.millicores),
+            capacity.memory_mib.saturating_sub(used.memory_mib),
+            capacity.accelerators.saturating_sub(used.accelerators),
         )
     }
 
--- a/crates/pool/tests/case/mod.rs
+++ b/crates/pool/tests/case/mod.rs
@@ -74,18 +74,18 @@
     }
 }
 
-pub(crate) fn starts(orders: Vec<Command>) -> Vec<Start> {
-    let start = |order| match order {
+pub(crate) fn starts(commands: Vec<Command>) -> Vec<Start> {
+    let start = |command| match command {
         Command::Start(start) => Some(start),
         _ => None,
     };
-    orders.into_iter().filter_map(start).collect()
+    commands.into_iter().filter_map(start).collect()
 }
 
-pub(crate) fn stops(orders: &[Command]) -> usize {
-    orders
+pub(crate) fn stops(commands: &[Command]) -> usize {
+    commands
         .iter()
-        .filter(|order| matches!(order, Command::Stop(_)))
+        .filter(|command| matches!(command, Command::Stop(_)))
         .count()
 }
 
@@ -101,12 +101,12 @@
     started
 }
 
-pub(crate) fn end(start: &Start, number: u64, how: RunOutcome) -> RunEnd {
+pub(crate) fn end(start: &Start, number: u64, outcome: RunOutcome) -> RunEnd {
     RunEnd {
         number,
         task: start.task.clone(),
         run: start.run,
-        outcome: how,
+        outcome,
         checkpoint: String::new(),
     }
 }
--- a/crates/pool/tests/crashes.rs
+++ b/crates/pool/tests/crashes.rs
@@ -176,8 +176,11 @@
         for id in failed(&world) {
             let crashes = world.crashed_under.iter();
             let of_job = crashes.filter(|(task, _)| *task.stage.job == **id);
-            let most = of_job.map(|(_, &count)| count).max();
-            assert!(most >= Some(2), "seed {seed}: {id} after {most:?} crashes");
+            let max_crashes = of_job.map(|(_, &count)| count).max();
+            assert!(
+                max_crashes >= Some(2),
+                "seed {seed}: {id} after {max_crashes:?} crashes"
+            );
         }
     }
 }
@@ -199,8 +202,8 @@
             world.run_for(time);
             if world.rng.random_bool(0.3) {
                 let victim = id(world.rng.random_range(0..8));
-                let room = [1_000, 2_500, 4_000][world.rng.random_range(0..3)];
-                world.resize(&victim, Size::new(room, 10_000, 0));
+                let millicores = [1_000, 2_500, 4_000][world.rng.random_range(0..3)];
+                world.resize(&victim, Size::new(millicores, 10_000, 0));
             }
             if world.rng.random_bool(0.05) {
                 let last = world.owners.len() - 1;
--- a/crates/pool/tests/suspects.rs
+++ b/crates/pool/tests/suspects.rs
@@ -260,12 +260,12 @@
     );
     let first = run(&mut previous, 1_000).remove(0);
     previous.mark_unresponsive(&first.worker);
-    let silent = previous.unavailable_workers(1_100);
-    assert_eq!(silent.len(), 1);
+    let unavailable = previous.unavailable_workers(1_100);
+    assert_eq!(unavailable.len(), 1);
     let mut next = Pool::new(Options::default());
     let again = Arc::new(job("00000000000000a1", &[(1, 900, 5_000)]));
     next.adopt(1_200, UNIX + 1_200, again, None, true);
-    next.inherit(1_200, previous.roster(1_100), &silent);
+    next.inherit(1_200, previous.roster(1_100), &unavailable);
     for worker in previous.workers() {
         next.update_worker(1_200, &worker.id, worker.info.clone());
         if worker.id != first.worker {
--- a/crates/pool/tests/timeline.rs
+++ b/crates/pool/tests/timeline.rs
@@ -26,7 +26,7 @@
     assert_eq!((steps[0].tasks, steps[0].starts), (2, 2));
     assert_eq!(steps[0].first_start, Some(10));
     assert_eq!(steps[0].done, 600);
-    assert_eq!(steps[0].asked, None, "no advisor is needed");
+    assert_eq!(steps[0].first_query, None, "no advisor is needed");
     assert!(pool.take_steps_done().is_empty(), "reported only once");
 }
 
