--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -134,10 +134,10 @@
 impl fmt::Display for InvalidJob {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Empty => write!(to, "job has no steps, or a step has no tasks"),
-            Self::TooManyTasks => write!(to, "job has more than {} tasks", Job::MAX_TASKS),
+            Self::Empty => write!(to, "a job needs a step, and each step a task"),
+            Self::TooManyTasks => write!(to, "a job has at most {} tasks", Job::MAX_TASKS),
             Self::InvalidDependency(step) => {
-                write!(to, "step {step} depends on itself or on a later step")
+                write!(to, "step {step}: comes after a step that isn't before it")
             }
         }
     }
