--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -21,7 +21,7 @@
 /// Resolution of [`Rank::work`], which is an integer: one unit is a millionth of the total capacity for a millisecond.
 const WORK_UNIT: f64 = 1e6;
 /// A ticket that expires sooner than this is not used: the start command needs time to arrive.
-pub(crate) const TICKET_SLACK: Ms = 120;
+pub(crate) const TICKET_MARGIN: Ms = 120;
 
 /// Number of latency-sensitive and of best-effort tasks on each worker.
 type TaskMix = FxHashMap<WorkerId, (u32, u32)>;
@@ -251,7 +251,7 @@
             if job.policy.advice.is_some() {
                 let ticket = stage.advised.allowed.get(&worker.id);
                 let valid = ticket.is_some_and(|ticket| {
-                    ticket.until > now + TICKET_SLACK && ticket.born == worker.born
+                    ticket.until > now + TICKET_MARGIN && ticket.born == worker.born
                 });
                 if !valid {
                     continue;
--- a/crates/pool/src/query.rs
+++ b/crates/pool/src/query.rs
@@ -10,7 +10,7 @@
 use crate::fit;
 use crate::job::{Advice, Job, Step};
 use crate::mechanism::Mechanism;
-use crate::place::TICKET_SLACK;
+use crate::place::TICKET_MARGIN;
 use crate::pool::Pool;
 use crate::rank::Rank;
 use crate::task::{Ms, StageKey, WorkerId};
@@ -87,7 +87,7 @@
         self.jobs.get(&key.job)?.job.policy.advice?;
         let stage = self.stage(key)?;
         let mut tickets = stage.advised.allowed.values();
-        if stage.advised.asking.is_some() || tickets.any(|it| it.until > now + TICKET_SLACK) {
+        if stage.advised.asking.is_some() || tickets.any(|it| it.until > now + TICKET_MARGIN) {
             return None;
         }
         stage.opened.max(stage.advised.asked)
@@ -146,7 +146,7 @@
         let Some(stage) = self.stage(key) else { return };
         let min_workers = self.min_query_size(&advice).max(1);
         let duration = advice::query_duration(&advice, min_workers);
-        let outlasts_query = |until: Ms| until > now + duration + TICKET_SLACK;
+        let outlasts_query = |until: Ms| until > now + duration + TICKET_MARGIN;
         if stage
             .advised
             .allowed
@@ -206,7 +206,7 @@
             }
             let ticket = stage.advised.allowed.get(&worker.id);
             if ticket.is_some_and(|ticket| {
-                ticket.until > now + TICKET_SLACK && ticket.born == worker.born
+                ticket.until > now + TICKET_MARGIN && ticket.born == worker.born
             }) {
                 continue;
             }
