--- a/crates/host/src/writer.rs
+++ b/crates/host/src/writer.rs
@@ -11,13 +11,13 @@
 use log::{info, warn};
 use pool::{Batch, WorkerId};
 
-use crate::claim::{Claim, Version};
+use crate::claim::{Claim, ClaimVersion};
 use crate::clock;
 use crate::host::lock;
-use crate::outside::{Row, StoreError, Transaction};
+use crate::interfaces::{Row, StoreError, Transaction};
 use crate::owner::Owner;
-use crate::rows::{CANCEL, JOBS, PROGRESS, RosterRow, job_part, pool_part};
-use crate::transfer::{self, Outcome};
+use crate::rows::{CANCEL_PREFIX, JOBS, PROGRESS, RosterRow, job_part, pool_part};
+use crate::transfer::{self, TransferOutcome};
 
 /// Heirs are stored with whatever else changes, or after this: hosts come and go together.
 const HEIRS_PACE: Duration = Duration::from_millis(1_500);
@@ -36,7 +36,7 @@
 
 /// Stores what the pool wants stored, until the owner is replaced.
 pub(crate) async fn run(owner: &Arc<Owner>, mut claim: Claim, taken: u64) {
-    let mut version = Version {
+    let mut version = ClaimVersion {
         owner: taken,
         roster: taken,
     };
@@ -53,18 +53,18 @@
         }
         if old.is_empty() && swept.elapsed() > SWEEP {
             swept = tokio::time::Instant::now();
-            old = lock(&owner.pool).sweep(clock::unix());
+            old = lock(&owner.pool).remove_expired_jobs(clock::unix());
             old = forget(owner, &old).await;
         }
-        if !unsure && owner.host().plan().pools() > 1 {
+        if !unsure && owner.host().pool_map().pool_count() > 1 {
             let misfits = lock(&owner.pool).unservable_jobs(clock::now());
-            if transfer::run(owner, version, &misfits).await == Outcome::Unsure {
+            if transfer::run(owner, version, &misfits).await == TransferOutcome::Unsure {
                 unsure = true;
                 continue;
             }
         }
         for (_, batch) in held.extract_if(.., |(since, _)| since.elapsed() > REJECTED_PAUSE) {
-            lock(&owner.pool).failed(&batch);
+            lock(&owner.pool).batch_failed(&batch);
         }
         let (mut batch, roster, silent) = {
             let now = clock::now();
@@ -83,17 +83,17 @@
             claim.roster.serial + 1,
             roster.iter().map(ToString::to_string),
             silent,
-            owner.host().settings.row_bytes,
+            owner.host().settings.max_row_bytes,
         );
         let same_roster = next_roster.roster == claim.roster.roster;
         let same_silent = next_roster.silent == claim.roster.silent;
         let heirs = owner.heirs();
-        let new_heirs = heirs != claim.owner.heirs && renamed.elapsed() > HEIRS_PACE;
+        let new_heirs = heirs != claim.owner.successors && renamed.elapsed() > HEIRS_PACE;
         let roster_changed = !same_roster || !same_silent || new_heirs;
         if batch.rows.is_empty() && !roster_changed && !unsure && old.is_empty() {
             rows_most = rows_most.max(1);
             // Ends that change nothing may be forgotten at once.
-            lock(&owner.pool).saved(&batch);
+            lock(&owner.pool).batch_stored(&batch);
             owner.stored.notify_waiters();
             // A silent worker that the roster names may be heard again.
             if enroll(owner, &claim) {
@@ -104,7 +104,7 @@
         let mut next = claim.clone();
         next.roster = next_roster;
         if new_heirs {
-            next.owner.heirs = heirs;
+            next.owner.successors = heirs;
         }
         let rewrite = roster_changed || unsure;
         let deletes = if batch.rows.is_empty() {
@@ -134,7 +134,7 @@
                 rows_most = (rows_most * 2).clamp(1, ROWS_MOST);
                 old.drain(..deletes);
                 *lock(&owner.unserved) = None;
-                lock(&owner.pool).saved(&batch);
+                lock(&owner.pool).batch_stored(&batch);
                 tell_jobs(owner);
                 enroll(owner, &claim);
                 owner.stored.notify_waiters();
@@ -177,7 +177,7 @@
                 tokio::time::sleep(PAUSE).await;
             }
         }
-        lock(&owner.pool).failed(&batch);
+        lock(&owner.pool).batch_failed(&batch);
         owner.dirty.notify_one();
     }
 }
@@ -194,7 +194,7 @@
         for ids in ids.chunks(SWEEP_MOST) {
             let rows = ids
                 .iter()
-                .flat_map(|id| [id.to_string(), format!("{CANCEL}{id}")]);
+                .flat_map(|id| [id.to_string(), format!("{CANCEL_PREFIX}{id}")]);
             let transaction = Transaction {
                 part: part.clone(),
                 deletes: rows.map(|key| (JOBS.to_owned(), key)).collect(),
@@ -237,11 +237,11 @@
     owner: &Owner,
     batch: &Batch,
     claim: Option<(&Claim, bool)>,
-    version: Version,
+    version: ClaimVersion,
     old: &[pool::JobId],
 ) -> Transaction {
     let mut transaction = Transaction {
-        part: pool_part(owner.number()),
+        part: pool_part(owner.pool_number()),
         checks: version.checks(),
         ..Transaction::default()
     };
@@ -266,9 +266,11 @@
 }
 
 /// The claim among these rows, if it is this owner's.
-fn own_claim(rows: &[Row], mine: &Claim) -> Option<(Claim, Version)> {
+fn own_claim(rows: &[Row], mine: &Claim) -> Option<(Claim, ClaimVersion)> {
     let (found, version) = Claim::find(rows)?;
     let (other, mine) = (&found.owner, &mine.owner);
-    let same = other.host == mine.host && other.epoch == mine.epoch && other.life == mine.life;
+    let same = other.host == mine.host
+        && other.epoch == mine.epoch
+        && other.incarnation == mine.incarnation;
     same.then_some((found, version))
 }
--- a/crates/pool/src/advice.rs
+++ b/crates/pool/src/advice.rs
@@ -11,7 +11,7 @@
 
 use rustc_hash::FxBuildHasher;
 
-use crate::job::Advice;
+use crate::job::AdvisorPolicy;
 use crate::task::{Ms, WorkerId};
 
 /// A worker that a query may name.
@@ -34,9 +34,9 @@
 
 /// Number of workers that a query may name in any case: together they add little to its fixed time.
 #[must_use]
-pub fn min_query_size(advice: &Advice) -> usize {
-    if advice.each > 0.0 {
-        (advice.base * FREE_TIME_SHARE / advice.each) as usize
+pub fn min_query_size(advice: &AdvisorPolicy) -> usize {
+    if advice.per_worker_ms > 0.0 {
+        (advice.base_ms * FREE_TIME_SHARE / advice.per_worker_ms) as usize
     } else {
         usize::MAX
     }
@@ -44,8 +44,8 @@
 
 /// Time that a query about this many workers takes.
 #[must_use]
-pub fn query_duration(advice: &Advice, workers: usize) -> Ms {
-    (advice.base + advice.each * workers as f64) as Ms
+pub fn query_duration(advice: &AdvisorPolicy, workers: usize) -> Ms {
+    (advice.base_ms + advice.per_worker_ms * workers as f64) as Ms
 }
 
 /// Requirements of a query.
--- a/crates/pool/src/fit.rs
+++ b/crates/pool/src/fit.rs
@@ -44,16 +44,16 @@
 /// Whether the worker may run a task of the step at all.
 #[must_use]
 pub fn allowed(worker: &Worker, service: &str, step: &Step) -> bool {
-    worker.news.service == service
-        && (step.label.is_empty() || worker.news.labels.contains(&step.label))
+    worker.info.service == service
+        && (step.label.is_empty() || worker.info.labels.contains(&step.label))
 }
 
 /// Cost of starting the task on a worker with the capacity `free` left; the worker with the lowest cost is chosen.
 /// `None` if the task can't start there.
 #[must_use]
 pub fn cost(worker: &Worker, step: &Step, free: Size, context: &Context) -> Option<f64> {
-    let size: Size = step.room();
-    if !size.fits(free) || !worker.takes(context.now) {
+    let size: Size = step.demand();
+    if !size.fits(free) || !worker.accepts_starts(context.now) {
         return None;
     }
     if step.per_worker > 0 && context.same_step >= step.per_worker {
@@ -64,46 +64,46 @@
     }
     let suspicion = context.suspicion;
     // The worker may have been lost in the same event as the one that the task ran on.
-    let unproven = worker.last_hold <= suspicion.since;
+    let unproven = worker.last_poll <= suspicion.since;
     if suspicion.crashes >= CRASHES_ALONE && (context.suspect_crashes > 0 || unproven) {
         return None;
     }
-    if worker.doubt >= SUSPECT_SCORE && (context.assigned > 0 || !worker.runs.is_empty()) {
+    if worker.failure_score >= SUSPECT_SCORE && (context.assigned > 0 || !worker.runs.is_empty()) {
         return None;
     }
     if context.first_fit {
         return Some(0.0);
     }
-    let mut cost = worker.slowness.max(0.2) + worker.doubt * 0.3;
-    if !step.near.is_empty()
-        && worker.news.rack != step.near
-        && !worker.news.labels.contains(&step.near)
+    let mut cost = worker.slowness.max(0.2) + worker.failure_score * 0.3;
+    if !step.data_rack.is_empty()
+        && worker.info.rack != step.data_rack
+        && !worker.info.labels.contains(&step.data_rack)
     {
         cost *= context.remote_penalty.max(1.0);
     }
-    if step.fills {
+    if step.best_effort {
         // Best-effort tasks use only processors that others leave free, and slow down latency-sensitive ones.
         cost += 2.0 * f64::from(context.latency_sensitive);
-        cost += 1.0 - free.millicores as f64 / worker.news.room.millicores.max(1) as f64;
+        cost += 1.0 - free.millicores as f64 / worker.info.capacity.millicores.max(1) as f64;
     } else {
         // Best fit keeps large blocks of free capacity for large tasks.
         let left = free.minus(size).unwrap_or_default();
         cost += 0.2
             * context
                 .service_capacity
-                .weighted_free_share(left, worker.news.room);
+                .weighted_free_share(left, worker.info.capacity);
     }
-    if step.target > 0 {
+    if step.target_latency > 0 {
         cost += 1.0 * f64::from(context.best_effort) + 0.1 * f64::from(context.latency_sensitive);
     }
     if suspicion.crashes > 0 {
         // Prefers workers without other suspects, that are likely to stay up, and where another crash loses least.
         cost += SUSPECT_COLOCATION_COST * context.suspect_crashes as f64;
-        let new = context.now.saturating_sub(worker.life_since) < STABLE_AFTER;
+        let new = context.now.saturating_sub(worker.incarnation_since) < STABLE_AFTER;
         cost += UNPROVEN_WORKER_COST * (f64::from(u8::from(unproven)) + f64::from(u8::from(new)));
-        cost += 1.0 - free.millicores as f64 / worker.news.room.millicores.max(1) as f64;
+        cost += 1.0 - free.millicores as f64 / worker.info.capacity.millicores.max(1) as f64;
     }
-    if step.lasting {
+    if step.long_running {
         cost += 0.05 * f64::from(context.same_step);
     }
     Some(cost)
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,14 +1,17 @@
-//! Decisions of the owner of one pool of workers, without network or clock.
+//! Scheduling decisions of the owner of one pool of workers, without network or clock.
 //!
-//! * [`Job`], [`Step`], [`Policy`]: what a caller asked for, as it is stored.
-//! * [`Progress`]: what must last of a job's course, as it is stored.
 //! * [`Pool`]: the live state; news goes in, [`Command`]s come out.
-//! * [`News`], [`Listing`], [`Answer`]: what workers and the directory of workers say.
 //! * [`rank`]: who goes first; [`fit`]: on which worker, [`service_capacity`]: by what is short; [`advice`]: which workers to ask about; [`pace`]: when
-//!   tasks that fill spare processors are slowed down.
+//! * [`Job`], [`Step`], [`Policy`]: a job as submitted and stored.
+//! * [`Progress`]: the progress of a job as stored.
+//! * [`Pool`]: the runtime state; updates go in, [`Order`]s come out.
+//! * [`WorkerInfo`], [`WorkerReport`], [`StartAnswer`]: input from the directory of workers and from the workers.
+//! * [`rank`]: the order in which steps are started; [`fit`]: the choice of a worker, [`scarce`]: by the scarcest resource;
+//!   [`advice`]: the choice of workers to ask the advisor about; [`pace`]: when best-effort tasks are slowed down.
 
 pub mod advice;
 mod answer;
+mod batch;
 mod command;
 mod crash;
 mod ends;
@@ -16,7 +19,6 @@
 pub mod fit;
 mod inherit;
 mod job;
-mod listing;
 mod live;
 mod load;
 mod loss;
@@ -30,7 +32,7 @@
 mod reconcile;
 pub mod repeat;
 mod replies;
-mod save;
+mod report;
 mod schedule;
 pub mod service_capacity;
 mod state;
@@ -40,18 +42,18 @@
 mod watch;
 mod worker;
 
-pub use answer::{Answer, StopAnswer};
+pub use answer::{StartAnswer, StopAnswer};
+pub use batch::Batch;
 pub use command::{AdvisorQuery, Command, Pace, Start, Stop};
-pub use crash::{GivenUp, Suspicion};
-pub use job::{Advice, Job, Policy, Schedule, Step, Unfit};
-pub use listing::{End, How, Listing, Running};
+pub use crash::{AbandonedTask, Suspicion};
+pub use job::{AdvisorPolicy, InvalidJob, Job, Policy, Schedule, Step};
 pub use load::Load;
 pub use loss::{Loss, LostRun};
 pub use mechanism::{Mechanism, Switches, UnknownMechanism};
 pub use pool::{Options, Pool};
-pub use progress::{Course, Progress, StepCourse};
-pub use save::Batch;
+pub use progress::{OccurrenceProgress, Progress, StepProgress};
+pub use report::{RunEnd, RunOutcome, RunStatus, WorkerReport};
 pub use state::State;
 pub use task::{JobId, Ms, StageKey, TaskKey, WorkerId};
 pub use timeline::{JobTimes, StepTimes};
-pub use worker::{News, Silent, Worker};
+pub use worker::{UnavailableWorker, Worker, WorkerInfo};
--- a/crates/pool/src/live.rs
+++ b/crates/pool/src/live.rs
@@ -1,4 +1,4 @@
-//! The live state of a job.
+//! Runtime state of a job while it is held by the pool's owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,59 +6,59 @@
 use rustc_hash::FxHashMap;
 
 use crate::job::{Job, Step};
-use crate::progress::{Course, Progress, StepCourse};
+use crate::progress::{OccurrenceProgress, Progress, StepProgress};
 use crate::state::State;
 use crate::task::{Ms, StageKey, Task, TaskKey, WorkerId};
 use crate::timeline::Timeline;
 
-/// A ticket of the advisor.
+/// Permission from the advisor to run a step on one worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
-    /// What the worker wants to see.
+    /// Text that the worker verifies.
     pub text: String,
-    /// It holds until then.
-    pub until: Ms,
-    /// The worker's life it was given for.
-    pub born: u64,
+    /// End of validity.
+    pub valid_until: Ms,
+    /// Incarnation of the worker that the ticket was issued for.
+    pub incarnation: u64,
 }
 
-/// What the advisor said about a step. Answers never change; tickets run out.
+/// What the advisor has answered about a step. Answers don't change, but tickets expire.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Advised {
-    /// Workers that may run it, with the newest ticket.
+pub(crate) struct AdvisorState {
+    /// Workers that may run the step, each with its newest ticket.
     pub allowed: FxHashMap<WorkerId, Ticket>,
-    /// Workers that may not.
+    /// Workers that may not run the step.
     pub denied: BTreeSet<WorkerId>,
-    /// A question is under way since then.
-    pub asking: Option<Ms>,
-    /// A question was sent last then.
-    pub asked: Option<Ms>,
-    /// No question before this.
-    pub rest: Ms,
+    /// When the query in flight was sent; `None` if there is none.
+    pub query_since: Option<Ms>,
+    /// When the latest query was sent.
+    pub last_query: Option<Ms>,
+    /// No query is sent before this time.
+    pub no_query_before: Ms,
 }
 
-/// The live state of one step of one occurrence.
+/// Runtime state of one step of one occurrence.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Stage {
-    /// Its tasks.
+    /// The step's tasks.
     pub tasks: Vec<Task>,
-    /// How many are done.
+    /// Number of completed tasks.
     pub done: usize,
-    /// When all steps before it were done.
+    /// When the step opened, that is, when all steps it depends on were complete.
     pub opened: Option<Ms>,
-    /// What the advisor said.
-    pub advised: Advised,
-    /// When it was asked about and started.
+    /// Answers of the advisor.
+    pub advised: AdvisorState,
+    /// When the step was queried and started.
     pub timeline: Timeline,
 }
 
 impl Stage {
-    fn restore(step: &Step, course: Option<&StepCourse>) -> Self {
+    fn restore(step: &Step, course: Option<&StepProgress>) -> Self {
         let mut tasks = vec![Task::default(); step.count as usize];
         if let Some(course) = course {
             for (index, task) in tasks.iter_mut().enumerate() {
                 task.done = course.is_done(index as u32);
-                task.top = course.top;
+                task.highest_run = course.highest_run;
             }
             for (index, runs) in &course.failed {
                 if let Some(task) = tasks.get_mut(*index as usize) {
@@ -70,9 +70,9 @@
                     task.restore_crashes(runs);
                 }
             }
-            for (index, saved) in &course.saved {
+            for (index, saved) in &course.checkpoints {
                 if let Some(task) = tasks.get_mut(*index as usize) {
-                    task.saved.clone_from(saved);
+                    task.checkpoint.clone_from(saved);
                 }
             }
         }
@@ -84,10 +84,10 @@
         }
     }
 
-    fn course(&self) -> StepCourse {
+    fn course(&self) -> StepProgress {
         let rows = || self.tasks.iter().enumerate().filter(|(_, task)| !task.done);
-        StepCourse {
-            done: StepCourse::pack(self.tasks.iter().map(|task| task.done)),
+        StepProgress {
+            done: StepProgress::pack(self.tasks.iter().map(|task| task.done)),
             failed: rows()
                 .filter(|(_, task)| !task.failed.is_empty())
                 .map(|(at, task)| (at as u32, task.failed.clone()))
@@ -96,20 +96,29 @@
                 .filter(|(_, task)| !task.crashed.is_empty())
                 .map(|(at, task)| (at as u32, task.crashed_runs()))
                 .collect(),
-            saved: rows()
-                .filter(|(_, task)| !task.saved.is_empty())
-                .map(|(at, task)| (at as u32, task.saved.clone()))
+            checkpoints: rows()
+                .filter(|(_, task)| !task.checkpoint.is_empty())
+                .map(|(at, task)| (at as u32, task.checkpoint.clone()))
                 .collect(),
-            top: self.tasks.iter().map(|task| task.top).max().unwrap_or(0),
+            highest_run: self
+                .tasks
+                .iter()
+                .map(|task| task.highest_run)
+                .max()
+                .unwrap_or(0),
         }
     }
 
     /// Highest run number of any task.
-    pub(crate) fn top(&self) -> u32 {
-        self.tasks.iter().map(|task| task.top).max().unwrap_or(0)
+    pub(crate) fn highest_run(&self) -> u32 {
+        self.tasks
+            .iter()
+            .map(|task| task.highest_run)
+            .max()
+            .unwrap_or(0)
     }
 
-    /// How many of its tasks run on each worker.
+    /// Number of tasks with a run on each worker.
     pub(crate) fn spread(&self) -> FxHashMap<WorkerId, u32> {
         let mut spread = FxHashMap::default();
         for run in self.tasks.iter().filter_map(|task| task.run.as_ref()) {
@@ -123,13 +132,13 @@
         self.done == self.tasks.len()
     }
 
-    /// Whether all tasks are done and no run of them is left anywhere.
+    /// Whether all tasks are done and none has a run left on any worker.
     pub(crate) fn over(&self) -> bool {
         self.complete() && self.tasks.iter().all(|task| task.run.is_none())
     }
 }
 
-/// The live state of one occurrence.
+/// Runtime state of one occurrence.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Occurrence {
     /// Its steps.
@@ -139,7 +148,7 @@
 }
 
 impl Occurrence {
-    fn new(job: &Job, course: Option<&Course>, due: Ms) -> Self {
+    fn new(job: &Job, course: Option<&OccurrenceProgress>, due: Ms) -> Self {
         let stages = job
             .steps
             .iter()
@@ -149,7 +158,7 @@
         Self { stages, due }
     }
 
-    /// Opens the steps whose turn has come; tells which.
+    /// Opens the steps whose dependencies are complete, and returns their indices.
     pub(crate) fn open(&mut self, job: &Job, now: Ms) -> Vec<usize> {
         let mut opened = Vec::new();
         for at in 0..self.stages.len() {
@@ -167,57 +176,58 @@
     }
 }
 
-/// The live state of a job.
+/// Runtime state of a job.
 #[derive(Clone, Debug)]
-pub(crate) struct Live {
-    /// As it was accepted.
+pub(crate) struct LiveJob {
+    /// The job as accepted.
     pub job: Arc<Job>,
-    /// As decided here.
+    /// The state as decided by this owner.
     pub state: State,
-    /// As stored, and so told.
-    pub shown: State,
-    /// When it became final, in Unix milliseconds.
+    /// The state as stored, which is what callers are shown.
+    pub stored_state: State,
+    /// When the state became final, in Unix milliseconds.
     pub closed: u64,
-    /// Occurrences under way.
+    /// Occurrences in progress.
     pub open: BTreeMap<u32, Occurrence>,
-    /// Occurrences that are over.
-    pub over: BTreeSet<u32>,
-    /// The next occurrence that will be due.
+    /// Finished occurrences.
+    pub finished: BTreeSet<u32>,
+    /// The next occurrence to become due.
     pub next: u32,
-    /// It was accepted before this owner came: what an unreachable worker runs may be of it.
+    /// Whether the job was accepted before this owner took over. If so, workers that have not reported to this owner may be
+    /// running tasks of it.
     pub inherited: bool,
-    /// How many workers have to be heard before it may start anything.
-    pub awaits: usize,
-    /// Since when the pool can't serve it, even if nothing else ran.
-    pub misfit: Option<Ms>,
-    /// It is to go to another pool: nothing of it is started here.
-    pub leaves: bool,
-    /// When it was accepted, on our clock.
-    pub since: Ms,
-    /// It is among those to be stored.
+    /// Number of workers that must report before any task of the job may start.
+    pub awaited_workers: usize,
+    /// Since when the pool could not run the job even if it ran nothing else; `None` if it could.
+    pub unservable_since: Option<Ms>,
+    /// Whether the job is being transferred to another pool; no task of it is started here.
+    pub transferring: bool,
+    /// When the job was accepted, on this process's clock.
+    pub accepted_at: Ms,
+    /// Whether the progress has changed since it was last stored.
     pub dirty: bool,
-    /// Longest chain of estimated work from each step on.
+    /// Longest chain of estimated work from each step to the end, in milliseconds.
     pub chains: Vec<Ms>,
 }
 
-impl Live {
-    /// Takes up a job from what is stored of it.
+impl LiveJob {
+    /// Creates the runtime state from the stored progress.
     pub(crate) fn new(job: Arc<Job>, progress: Option<&Progress>, now: Ms, unix: u64) -> Self {
         let state = progress.map_or(State::Queued, |progress| progress.state);
         let mut live = Self {
             state,
-            shown: state,
+            stored_state: state,
             closed: progress.map_or(0, |progress| progress.closed),
             open: BTreeMap::new(),
-            over: progress.map_or_else(BTreeSet::new, |progress| {
+            finished: progress.map_or_else(BTreeSet::new, |progress| {
                 progress.over.iter().copied().collect()
             }),
             next: 0,
             inherited: false,
-            awaits: 0,
-            misfit: None,
-            leaves: false,
-            since: now.saturating_sub(unix.saturating_sub(job.accepted)),
+            awaited_workers: 0,
+            unservable_since: None,
+            transferring: false,
+            accepted_at: now.saturating_sub(unix.saturating_sub(job.accepted)),
             dirty: false,
             chains: (0..job.steps.len())
                 .map(|step| job.chain_from(step))
@@ -233,13 +243,13 @@
         live
     }
 
-    /// Whether nothing of it runs, as far as this owner knows.
+    /// Whether no task of the job has a run, as far as this owner knows.
     pub(crate) fn is_idle(&self) -> bool {
         let mut stages = self.open.values().flat_map(|course| &course.stages);
         stages.all(|stage| stage.tasks.iter().all(|task| task.run.is_none()))
     }
 
-    /// The steps of which something is still to be done, in an occurrence under way or in one to come.
+    /// Indices of the steps that have tasks left, in an occurrence in progress or a future one.
     pub(crate) fn steps_left(&self) -> Vec<usize> {
         let all_left = self.next_due().is_some();
         let left = |step: &usize| {
@@ -249,12 +259,12 @@
         (0..self.job.steps.len()).filter(left).collect()
     }
 
-    /// How many occurrences it has.
+    /// Number of occurrences.
     pub(crate) fn times(&self) -> u32 {
         self.job.schedule.map_or(1, |schedule| schedule.times)
     }
 
-    /// When the next occurrence is due, in Unix milliseconds, if there is one.
+    /// When the next occurrence is due, in Unix milliseconds; `None` if there is none.
     pub(crate) fn next_due(&self) -> Option<u64> {
         if self.state.is_final() || self.next >= self.times() {
             return None;
@@ -264,13 +274,13 @@
         }))
     }
 
-    /// Takes up all occurrences that are due, and opens steps whose turn has come.
+    /// Begins all occurrences that are due and opens steps whose dependencies are complete; returns the steps that were opened.
     pub(crate) fn advance(&mut self, now: Ms, unix: u64) -> Vec<StageKey> {
         let mut opened = Vec::new();
         while self.next_due().is_some_and(|due| due <= unix) {
             let number = self.next;
             self.next += 1;
-            if self.over.contains(&number) {
+            if self.finished.contains(&number) {
                 continue;
             }
             let job = &self.job;
@@ -293,7 +303,7 @@
         opened
     }
 
-    /// Closes occurrences that are over; `true` if the job is completed with that.
+    /// Closes finished occurrences; returns whether that completes the job.
     pub(crate) fn close_occurrences(&mut self) -> bool {
         let over: Vec<u32> = self
             .open
@@ -303,23 +313,23 @@
             .collect();
         for number in over {
             self.open.remove(&number);
-            self.over.insert(number);
+            self.finished.insert(number);
         }
-        self.over.len() as u32 >= self.times() && !self.job.lasting()
+        self.finished.len() as u32 >= self.times() && !self.job.is_long_running()
     }
 
-    /// What must last.
+    /// The progress to be stored.
     pub(crate) fn progress(&self) -> Progress {
         Progress {
             state: self.state,
             closed: self.closed,
-            over: self.over.iter().copied().collect(),
+            over: self.finished.iter().copied().collect(),
             open: if self.state.is_final() {
                 Vec::new()
             } else {
                 self.open
                     .iter()
-                    .map(|(&number, occurrence)| Course {
+                    .map(|(&number, occurrence)| OccurrenceProgress {
                         number,
                         steps: occurrence.stages.iter().map(Stage::course).collect(),
                     })
@@ -328,7 +338,7 @@
         }
     }
 
-    /// Takes note that this progress is stored.
+    /// Records that this progress is stored.
     pub(crate) fn note_stored(&mut self, progress: &Progress) {
         for course in &progress.open {
             for (step, stored) in course.steps.iter().enumerate() {
@@ -341,7 +351,7 @@
         }
     }
 
-    /// The tasks of all occurrences under way, with their names.
+    /// All tasks of the occurrences in progress, with their keys.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = (TaskKey, &Task)> {
         self.open.iter().flat_map(move |(&occurrence, course)| {
             course
@@ -360,7 +370,7 @@
         })
     }
 
-    /// The task with this place, if its occurrence is under way.
+    /// The task at this position, if its occurrence is in progress.
     pub(crate) fn task(&mut self, occurrence: u32, step: u16, index: u32) -> Option<&mut Task> {
         self.open
             .get_mut(&occurrence)?
--- a/crates/pool/src/load.rs
+++ b/crates/pool/src/load.rs
@@ -27,11 +27,11 @@
     pub fn load(&self) -> Load {
         let (mut used, mut total) = (0, 0);
         let mut labels = BTreeSet::new();
-        for worker in self.workers.values().filter(|worker| worker.listed) {
+        for worker in self.workers.values().filter(|worker| worker.registered) {
             used += worker.used.millicores;
-            total += worker.news.room.millicores;
-            let labels_of_worker = worker.news.labels.iter();
-            labels.extend(labels_of_worker.filter(|label| **label != worker.news.rack));
+            total += worker.info.capacity.millicores;
+            let labels_of_worker = worker.info.labels.iter();
+            labels.extend(labels_of_worker.filter(|label| **label != worker.info.rack));
         }
         let waiting: u64 = self
             .open
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -9,7 +9,7 @@
 use crate::crash::{CRASHES_ALONE, Suspicion};
 use crate::fit::{self, Context};
 use crate::job::{Job, Step};
-use crate::live::Live;
+use crate::live::LiveJob;
 use crate::mechanism::Mechanism;
 use crate::pool::Pool;
 use crate::rank::{Rank, RankInput, rank};
@@ -30,13 +30,16 @@
     /// Starts waiting tasks in the order of their ranks, as far as there is free capacity.
     pub(crate) fn place_tasks(&mut self, now: Ms) {
         let capacities = self.service_capacities();
-        self.find_trials();
+        self.locate_suspects();
         let mut ranked: Vec<(Rank, StageKey)> = Vec::new();
         for key in &self.open {
             let Some(live) = self.jobs.get(&key.job) else {
                 continue;
             };
-            if live.awaits > 0 || live.leaves || live.inherited && self.may_run_unseen(&live.job) {
+            if live.awaited_workers > 0
+                || live.transferring
+                || live.inherited && self.may_run_on_unconfirmed(&live.job)
+            {
                 continue;
             }
             let Some(stage) = self.stage(key) else {
@@ -65,7 +68,7 @@
             let Some(step) = job.steps.get(usize::from(key.step)) else {
                 continue;
             };
-            if step.fills || step.target > 0 {
+            if step.best_effort || step.target_latency > 0 {
                 mix.get_or_insert_with(|| self.count_mix());
             }
             let empty = TaskMix::default();
@@ -84,15 +87,15 @@
         }
     }
 
-    fn rank(&self, now: Ms, live: &Live, key: &StageKey, capacity: &ServiceCapacity) -> Rank {
+    fn rank(&self, now: Ms, live: &LiveJob, key: &StageKey, capacity: &ServiceCapacity) -> Rank {
         let job = &live.job;
         let ratio = self.queue_stats.duration_ratio(&job.queue);
         let scaled = |chain: Ms| (chain as f64 * ratio) as Ms;
         let occurrence = live.open.get(&key.occurrence);
         let since = if job.schedule.is_some() {
-            occurrence.map_or(live.since, |occurrence| occurrence.due)
+            occurrence.map_or(live.accepted_at, |occurrence| occurrence.due)
         } else {
-            live.since
+            live.accepted_at
         };
         let work: f64 = occurrence.map_or(0.0, |occurrence| {
             occurrence
@@ -118,13 +121,13 @@
             objective: self.objective(live),
             chain: scaled(live.chains.get(usize::from(key.step)).copied().unwrap_or(0)),
             work: (work * WORK_UNIT) as u64,
-            long_running: job.lasting(),
+            long_running: job.is_long_running(),
         });
         rank.without(&self.options.switches)
     }
 
     /// Time in which a job should be completed, with its estimates corrected by the observed durations of its queue.
-    pub(crate) fn objective(&self, live: &Live) -> Ms {
+    pub(crate) fn objective(&self, live: &LiveJob) -> Ms {
         let policy = &live.job.policy;
         let longest = live.chains.iter().max().copied().unwrap_or(0);
         let scaled = (longest as f64 * self.queue_stats.duration_ratio(&live.job.queue)) as Ms;
@@ -142,8 +145,8 @@
                     .get(&key.stage.job)
                     .and_then(|live| live.job.steps.get(usize::from(key.stage.step)));
                 if let Some(step) = step {
-                    counts.0 += u32::from(step.target > 0);
-                    counts.1 += u32::from(step.fills);
+                    counts.0 += u32::from(step.target_latency > 0);
+                    counts.1 += u32::from(step.best_effort);
                 }
             }
             if counts != (0, 0) {
@@ -223,7 +226,7 @@
     /// The checkpoint from which all members of a gang resume.
     fn gang_checkpoint(&self, key: &StageKey) -> Option<String> {
         let stage = self.stage(key)?;
-        let checkpoint = stage.tasks.iter().map(|task| &task.saved).max()?;
+        let checkpoint = stage.tasks.iter().map(|task| &task.checkpoint).max()?;
         Some(checkpoint.clone())
     }
 
@@ -251,7 +254,7 @@
             if job.policy.advice.is_some() {
                 let ticket = stage.advised.allowed.get(&worker.id);
                 let valid = ticket.is_some_and(|ticket| {
-                    ticket.until > now + TICKET_MARGIN && ticket.born == worker.born
+                    ticket.valid_until > now + TICKET_MARGIN && ticket.incarnation == worker.incarnation
                 });
                 if !valid {
                     continue;
@@ -274,19 +277,19 @@
                 service_capacity: *capacity,
                 first_fit: !self.has(Mechanism::BestFit),
             };
-            candidates.push((worker, worker.free(), context));
+            candidates.push((worker, worker.free_capacity(), context));
         }
         if step.gang && step.same_rack {
             let mut racks: Vec<&str> = candidates
                 .iter()
-                .map(|(worker, ..)| worker.news.rack.as_str())
+                .map(|(worker, ..)| worker.info.rack.as_str())
                 .collect();
             racks.sort_unstable();
             racks.dedup();
             for rack in racks {
                 let mut in_rack: Vec<_> = candidates
                     .iter()
-                    .filter(|(worker, ..)| worker.news.rack == rack)
+                    .filter(|(worker, ..)| worker.info.rack == rack)
                     .copied()
                     .collect();
                 let assigned = assign_greedily(&mut in_rack, step, suspicions);
@@ -317,7 +320,7 @@
         let start_deadline = target.clock(now) + ttl;
         // A start acts as a lease until its deadline, and the worker's clock may be 2% slow. 400 ms cover the network,
         // timers and rounding, as for any lease.
-        target.lapses = target.lapses.max(now + ttl + ttl / 33 + 400);
+        target.lease_expires_at = target.lease_expires_at.max(now + ttl + ttl / 33 + 400);
         let ticket = self
             .stage(&key.stage)
             .and_then(|stage| stage.advised.allowed.get(worker))
@@ -325,20 +328,20 @@
         let Some(task) = self.task_mut(key) else {
             return;
         };
-        let number = number.max(task.top + 1);
-        task.top = number;
+        let number = number.max(task.highest_run + 1);
+        task.highest_run = number;
         if let Some(checkpoint) = checkpoint {
-            checkpoint.clone_into(&mut task.saved);
+            checkpoint.clone_into(&mut task.checkpoint);
         }
-        let checkpoint = task.saved.clone();
+        let checkpoint = task.checkpoint.clone();
         let crashes = task.crashes();
-        let noted = task.note_trial(number, inherited);
+        let noted = task.assume_crash(number, inherited);
         task.run = Some(Run {
             // A task with so many crashes starts only on a worker that has answered since the last of them.
             proven: crashes >= CRASHES_ALONE,
             ..Run::new(number, Arc::clone(worker), now, start_deadline)
         });
-        self.attach(key, worker, number);
+        self.reserve_capacity(key, worker, number);
         if noted {
             self.suspects.insert(key.clone());
             self.mark_dirty(&key.stage.job);
@@ -367,7 +370,7 @@
 }
 
 fn highest_run(pool: &Pool, key: &StageKey) -> u32 {
-    pool.stage(key).map_or(0, crate::live::Stage::top)
+    pool.stage(key).map_or(0, crate::live::Stage::highest_run)
 }
 
 /// Assigns each task to the worker with the lowest cost, until none has capacity.
@@ -376,7 +379,7 @@
     step: &Step,
     suspicions: &[Suspicion],
 ) -> Vec<WorkerId> {
-    let size = step.room();
+    let size = step.demand();
     let mut assigned = Vec::new();
     for &suspicion in suspicions {
         let best = candidates
@@ -396,8 +399,8 @@
         candidate.2.same_step += 1;
         candidate.2.assigned += 1;
         candidate.2.suspect_crashes = candidate.2.suspect_crashes.max(suspicion.crashes);
-        candidate.2.latency_sensitive += u32::from(step.target > 0);
-        candidate.2.best_effort += u32::from(step.fills);
+        candidate.2.latency_sensitive += u32::from(step.target_latency > 0);
+        candidate.2.best_effort += u32::from(step.best_effort);
         assigned.push(Arc::clone(&candidate.0.id));
     }
     assigned
--- a/crates/pool/src/query.rs
+++ b/crates/pool/src/query.rs
@@ -8,7 +8,7 @@
 use crate::advice::{self, Candidate, Requirements, choose_workers};
 use crate::command::{AdvisorQuery, Command};
 use crate::fit;
-use crate::job::{Advice, Job, Step};
+use crate::job::{AdvisorPolicy, Job, Step};
 use crate::mechanism::Mechanism;
 use crate::place::TICKET_MARGIN;
 use crate::pool::Pool;
@@ -45,7 +45,7 @@
         overdue.sort();
         let is_long_running = |key: &StageKey| {
             let live = self.jobs.get(&key.job);
-            live.is_some_and(|live| live.job.lasting())
+            live.is_some_and(|live| live.job.is_long_running())
         };
         let (long_running, others): (Vec<_>, Vec<_>) = overdue
             .into_iter()
@@ -87,10 +87,10 @@
         self.jobs.get(&key.job)?.job.policy.advice?;
         let stage = self.stage(key)?;
         let mut tickets = stage.advised.allowed.values();
-        if stage.advised.asking.is_some() || tickets.any(|it| it.until > now + TICKET_MARGIN) {
+        if stage.advised.query_since.is_some() || tickets.any(|it| it.valid_until > now + TICKET_MARGIN) {
             return None;
         }
-        stage.opened.max(stage.advised.asked)
+        stage.opened.max(stage.advised.last_query)
     }
 
     /// Queries the advisor about workers with free capacity for tasks that could not be placed.
@@ -151,7 +151,7 @@
             .advised
             .allowed
             .values()
-            .any(|it| outlasts_query(it.until))
+            .any(|it| outlasts_query(it.valid_until))
         {
             return;
         }
@@ -168,7 +168,7 @@
     }
 
     /// Number of workers that a query names in any case.
-    fn min_query_size(&self, advice: &Advice) -> usize {
+    fn min_query_size(&self, advice: &AdvisorPolicy) -> usize {
         if self.has(Mechanism::AdviceCheap) {
             advice::min_query_size(advice)
         } else {
@@ -178,8 +178,9 @@
 
     /// Whether a query about the step is in flight, or must not be sent yet after one that failed.
     fn is_query_blocked(&self, now: Ms, key: &StageKey) -> bool {
-        self.stage(key)
-            .is_none_or(|stage| stage.advised.asking.is_some() || stage.advised.rest > now)
+        self.stage(key).is_none_or(|stage| {
+            stage.advised.query_since.is_some() || stage.advised.no_query_before > now
+        })
     }
 
     /// Workers that may be named in a query: those that are allowed for the step, that the advisor has not denied, and for
@@ -199,14 +200,14 @@
         let mut candidates = Vec::new();
         for worker in self.workers.values() {
             if !fit::allowed(worker, &job.service, step)
-                || !worker.takes(now)
+                || !worker.accepts_starts(now)
                 || stage.advised.denied.contains(&worker.id)
             {
                 continue;
             }
             let ticket = stage.advised.allowed.get(&worker.id);
             if ticket.is_some_and(|ticket| {
-                ticket.until > now + TICKET_MARGIN && ticket.born == worker.born
+                ticket.valid_until > now + TICKET_MARGIN && ticket.incarnation == worker.incarnation
             }) {
                 continue;
             }
@@ -216,19 +217,25 @@
             } else {
                 tasks
             };
-            if limit == 0 || fit::count_fitting(step.room(), worker.news.room) == 0 {
+            if limit == 0 || fit::count_fitting(step.demand(), worker.info.capacity) == 0 {
                 continue;
             }
             candidates.push(Candidate {
                 worker: Arc::clone(&worker.id),
-                fits: fit::count_fitting(step.room(), worker.free()).min(limit),
+                fits: fit::count_fitting(step.demand(), worker.free_capacity()).min(limit),
                 allowed_before: ticket.is_some(),
             });
         }
         candidates
     }
 
-    fn send_query(&mut self, now: Ms, key: &StageKey, advice: Advice, workers: Vec<WorkerId>) {
+    fn send_query(
+        &mut self,
+        now: Ms,
+        key: &StageKey,
+        advice: AdvisorPolicy,
+        workers: Vec<WorkerId>,
+    ) {
         if workers.is_empty() {
             return;
         }
@@ -236,8 +243,8 @@
         self.open_queries.insert(key.clone());
         self.query_count += 1;
         if let Some(stage) = self.stage_mut(key) {
-            stage.advised.asking = Some(now);
-            stage.advised.asked = Some(now);
+            stage.advised.query_since = Some(now);
+            stage.advised.last_query = Some(now);
             stage.timeline.asked(now);
         }
         self.commands.push(Command::Query(AdvisorQuery {
--- a/crates/pool/src/reconcile.rs
+++ b/crates/pool/src/reconcile.rs
@@ -1,64 +1,66 @@
-//! Reconciles the pool's state with what workers list.
+//! Reconciles the pool's state with the reports of workers.
 
 use std::sync::Arc;
 
-use crate::listing::{Listing, Running};
 use crate::loss::Loss;
 use crate::pool::Pool;
+use crate::report::{RunStatus, WorkerReport};
 use crate::task::{JobId, Ms, Phase, Run, TaskKey, WorkerId};
-use crate::worker::{Stray, UnknownEnds};
+use crate::worker::{OrphanedRun, UnknownEnds};
 
-/// A run of a job that nobody knows is stopped after this time. The row of a job may reach this owner later than the
-/// task does (a few milliseconds as a rule, seconds while the store is in trouble).
+/// A run of an unknown job is stopped after this time. The row of a job may reach this owner after the report of its run: usually
+/// by a few milliseconds, but by seconds while the store has problems.
 const UNKNOWN_JOB_TIMEOUT: Ms = 3_000;
-/// A run that should be there and is neither listed nor ended for this long is taken as over. Ends come in order and
-/// all of them, so this happens only if the worker contradicts itself.
+/// A run that should be in progress but is reported neither as running nor as ended for this long counts as lost. Ends are
+/// reported completely and in order, so this happens only if the worker contradicts itself.
 const MISSING_RUN_TIMEOUT: Ms = 4_000;
-/// Time that covers ways, timers and rounding when a lease of a worker is reckoned on our clock.
+/// Margin for network delay, timers and rounding when the lease of a worker is converted to this process's clock.
 const LEASE_SLACK: Ms = 400;
 
 impl Pool {
-    /// Applies a worker's answer to a hold.
-    pub fn apply_listing(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &Listing) {
+    /// Applies a worker's answer to a poll.
+    pub fn apply_report(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &WorkerReport) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.fenced && listing.born < worker.born {
+        if worker.fenced && listing.incarnation < worker.incarnation {
             return;
         }
-        if listing.born > worker.born && (worker.fenced || worker.born > 0) {
+        if listing.incarnation > worker.incarnation && (worker.fenced || worker.incarnation > 0) {
             self.worker_restarted(now, unix, id);
         }
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let newest = listing.clock >= worker.clock(listing.asked).saturating_sub(1);
+        let newest = listing.clock >= worker.clock(listing.requested_at).saturating_sub(1);
         if !worker.fenced {
-            worker.lapses = 0;
+            worker.lease_expires_at = 0;
         }
-        if !worker.fenced || worker.born != listing.born {
-            worker.life_since = now;
+        if !worker.fenced || worker.incarnation != listing.incarnation {
+            worker.incarnation_since = now;
         }
         worker.fenced = true;
         worker.unresponsive = false;
-        worker.born = listing.born;
-        worker.last_hold = worker.last_hold.max(listing.asked);
+        worker.incarnation = listing.incarnation;
+        worker.last_poll = worker.last_poll.max(listing.requested_at);
         if listing.clock > worker.clock.0 {
             worker.clock = (listing.clock, now);
         }
-        // A former owner may have asked for the longest lease just before; without one of ours, that is what runs there.
+        // If this owner hasn't requested a lease yet, the previous owner may just have requested one of the maximum length.
         let left = if listing.lease > 0 {
             listing.lease.saturating_sub(listing.clock)
         } else {
             self.options.max_lease
         };
-        // Its clock may be 2% slow.
-        worker.lapses = worker.lapses.max(now + left + left / 33 + LEASE_SLACK);
+        // The worker's clock may be 2% slow.
+        worker.lease_expires_at = worker
+            .lease_expires_at
+            .max(now + left + left / 33 + LEASE_SLACK);
         self.unconfirmed_workers.remove(id);
         self.apply_ends(now, unix, id, listing);
         for job in self.jobs_awaiting_worker.remove(id).unwrap_or_default() {
             if let Some(live) = self.jobs.get_mut(&job) {
-                live.awaits = live.awaits.saturating_sub(1);
+                live.awaited_workers = live.awaited_workers.saturating_sub(1);
             }
         }
         if newest {
@@ -66,15 +68,15 @@
         }
     }
 
-    /// Applies the ends that are new. One of a job that nobody knows is not forgotten, nor are those after it: its row is on the
-    /// way, and an end that is passed over would be lost. Those after it are applied all the same.
-    fn apply_ends(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &Listing) {
+    /// Applies new ends. An end of an unknown job, and all ends after it, are not acknowledged: the row of the job is still to
+    /// come, and an end that was skipped would be lost. The later ends are applied nevertheless.
+    fn apply_ends(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &WorkerReport) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let applied = worker.applied;
+        let applied = worker.ends_applied;
         let before = worker.unknown_ends.take();
-        let mut beyond = std::mem::take(&mut worker.beyond);
+        let mut beyond = std::mem::take(&mut worker.applied_out_of_order);
         let mut unknown: Option<UnknownEnds> = None;
         for end in listing.ended.iter().filter(|end| end.number > applied) {
             let job = &end.task.stage.job;
@@ -99,27 +101,27 @@
             if unknown.is_some() {
                 beyond.insert(end.number);
             } else if let Some(worker) = self.workers.get_mut(id) {
-                worker.applied = end.number;
+                worker.ends_applied = end.number;
             }
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.beyond = beyond;
+            worker.applied_out_of_order = beyond;
             worker.unknown_ends = unknown;
         }
     }
 
-    /// A job has become known. Workers may have listed runs and ends of it before: it has to take up the runs, and wait
-    /// for the ends to be listed again, before it starts anything.
+    /// Handles a job that has become known after workers may already have reported runs and ends of it. It adopts these runs, and
+    /// starts nothing before the ends have been reported again.
     ///
-    /// The former owner may have started it just before it was fenced, while its row reached this owner after the
-    /// workers' listings. Without this it was started a second time beside the first.
+    /// The previous owner may have started the job just before it was fenced, while the row of the job reached this owner after
+    /// the workers' reports. Without this, the job would be started a second time next to the first.
     pub(crate) fn adopt_observed_runs(&mut self, now: Ms, job: &JobId) {
         let mut runs = Vec::new();
         let mut waits = Vec::new();
         for worker in self.workers.values() {
             let of = |key: &&TaskKey| key.stage.job == *job;
-            for key in worker.strays.keys().filter(of) {
-                let run = worker.strays.get(key).map_or(0, |stray| stray.run);
+            for key in worker.orphaned_runs.keys().filter(of) {
+                let run = worker.orphaned_runs.get(key).map_or(0, |stray| stray.run);
                 runs.push((Arc::clone(&worker.id), key.clone(), run));
             }
             if worker
@@ -131,17 +133,17 @@
             }
         }
         for (worker, task, run) in runs {
-            let row = Running {
+            let row = RunStatus {
                 task,
                 run,
-                saved: String::new(),
+                checkpoint: String::new(),
                 percent: 0,
                 load: 0,
             };
             self.observe_run(now, &worker, &row);
         }
         if let Some(live) = self.jobs.get_mut(job) {
-            live.awaits = waits.len();
+            live.awaited_workers = waits.len();
         }
         for worker in waits {
             self.jobs_awaiting_worker
@@ -151,13 +153,14 @@
         }
     }
 
-    /// A worker is about to be held; tells the lease to ask for, on its clock, or `None` if it must not be renewed.
+    /// Extends the lease of a worker that is about to be polled. Returns the end of the lease to request, on the worker's clock,
+    /// or `None` if the lease must not be renewed.
     ///
-    /// A hold whose answer is lost has renewed the lease all the same. So the lease counts from when it is asked for, and
-    /// a worker that did not answer the last hold is asked without one until it answers: else its tasks would run on, under
-    /// leases that this owner takes for lapsed, beside the ones it starts in their place. An owner without a recent
-    /// majority renews nothing: it may have been replaced by one that can't reach this worker and counts on its lease.
-    pub fn holding(&mut self, now: Ms, id: &WorkerId) -> Option<Ms> {
+    /// A poll renews the lease even if its answer is lost. So the lease counts from when it is requested, and a worker that did
+    /// not answer the latest poll is polled without one until it answers. Otherwise its tasks would go on running under leases
+    /// that this owner considers expired, next to the ones it starts in their place. An owner without a recent majority renews
+    /// nothing: it may have been replaced by an owner that can't reach this worker and relies on the lease to expire.
+    pub fn extend_lease(&mut self, now: Ms, id: &WorkerId) -> Option<Ms> {
         let most = self.options.max_lease;
         if !self.has_quorum(now) {
             return None;
@@ -167,35 +170,38 @@
         if worker.unresponsive || clock == 0 {
             return None;
         }
-        worker.lapses = worker.lapses.max(now + most + most / 33 + LEASE_SLACK);
+        worker.lease_expires_at = worker
+            .lease_expires_at
+            .max(now + most + most / 33 + LEASE_SLACK);
         Some(clock + most)
     }
 
-    /// A hold got no answer. Until one does, nothing is started there: the order would be in doubt, and if the owner were
-    /// lost as well, the next one would have to wait for that worker before it could start anything it inherits.
+    /// Records that a poll got no answer. Nothing is started on the worker until it answers one: the outcome of the command would
+    /// be unknown, and if this owner were lost as well, the next one would have to wait for the worker before it could start any
+    /// inherited job.
     pub fn mark_unresponsive(&mut self, id: &WorkerId) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.unresponsive = true;
         }
     }
 
-    /// The worker has restarted: nothing of its former life runs any more.
+    /// Handles a restart of the worker: no run of the previous incarnation exists any more.
     fn worker_restarted(&mut self, now: Ms, unix: u64, id: &WorkerId) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.applied = 0;
-        worker.beyond.clear();
+        worker.ends_applied = 0;
+        worker.applied_out_of_order.clear();
         worker.unknown_ends = None;
-        worker.noted = 0;
+        worker.ends_stored = 0;
         worker.clock = (0, 0);
-        worker.lapses = 0;
-        worker.doubt = 0.0;
+        worker.lease_expires_at = 0;
+        worker.failure_score = 0.0;
         worker.slowness = 1.0;
-        if worker.news.draining.is_none() {
-            worker.leaves = None;
+        if worker.info.draining.is_none() {
+            worker.leaves_at = None;
         }
-        for stray in std::mem::take(&mut worker.strays).into_values() {
+        for stray in std::mem::take(&mut worker.orphaned_runs).into_values() {
             worker.used = worker
                 .used
                 .minus(stray.size.unwrap_or_default())
@@ -210,9 +216,9 @@
                 .task_mut(&key)
                 .and_then(|task| task.run.as_mut())
                 .is_some_and(|run| {
-                    // An order that was not answered may reach the new life, which has forgotten the epoch: its
-                    // room stays taken until a stop is confirmed there.
-                    let doubtful = run.phase == Phase::Ordered || run.phase == Phase::Unsure;
+                    // An unanswered start command may reach the new incarnation, which has forgotten the epoch. Its capacity
+                    // stays reserved until a stop is confirmed there.
+                    let doubtful = run.phase == Phase::Starting || run.phase == Phase::Unconfirmed;
                     if doubtful {
                         run.phase = Phase::Stopping;
                         run.stop_sent = 0;
@@ -224,21 +230,21 @@
                 self.unconfirmed_runs.insert(key);
             } else {
                 let job = Arc::clone(&key.stage.job);
-                self.run_over(now, &key, 0);
+                self.end_run(now, &key, 0);
                 self.complete_or_advance(now, unix, &job);
             }
         }
     }
 
-    /// Compares what runs on a worker with what should.
-    fn compare(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &Listing) {
+    /// Compares the runs reported by a worker with the expected ones.
+    fn compare(&mut self, now: Ms, unix: u64, id: &WorkerId, listing: &WorkerReport) {
         for row in &listing.running {
             self.observe_run(now, id, row);
         }
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        if worker.runs.is_empty() && worker.strays.is_empty() {
+        if worker.runs.is_empty() && worker.orphaned_runs.is_empty() {
             return;
         }
         let full = listing.ended.len() >= 500;
@@ -255,7 +261,7 @@
             .map(|(key, _)| key.clone())
             .collect();
         let lost_strays: Vec<TaskKey> = worker
-            .strays
+            .orphaned_runs
             .iter()
             .filter(|(key, stray)| !there(key, stray.run))
             .map(|(key, _)| key.clone())
@@ -265,16 +271,18 @@
                 continue;
             };
             let over = match run.phase {
-                Phase::Ordered | Phase::Unsure => listing.clock > run.latest,
-                // An answer that was long on its way says nothing of a run that was ordered meanwhile.
+                Phase::Starting | Phase::Unconfirmed => listing.clock > run.start_deadline,
+                // A report that was long in transit says nothing about a run that was started in the meantime.
                 Phase::Running => {
                     !full
-                        && listing.asked.saturating_sub(run.moved.max(run.ordered))
+                        && listing
+                            .requested_at
+                            .saturating_sub(run.progressed_at.max(run.requested_at))
                             > MISSING_RUN_TIMEOUT
                 }
                 Phase::Stopping => {
                     !full
-                        && (listing.clock > run.latest
+                        && (listing.clock > run.start_deadline
                             || run.stop_confirmed > 0 && listing.clock >= run.stop_confirmed)
                 }
             };
@@ -282,13 +290,13 @@
                 if run.phase == Phase::Running {
                     self.note_loss(now, &key, Loss::Missing);
                 }
-                self.run_over(now, &key, 0);
+                self.end_run(now, &key, 0);
                 self.complete_or_advance(now, unix, &key.stage.job);
             }
         }
         if let Some(worker) = self.workers.get_mut(id) {
             for key in lost_strays {
-                if let Some(stray) = worker.strays.remove(&key) {
+                if let Some(stray) = worker.orphaned_runs.remove(&key) {
                     worker.used = worker
                         .used
                         .minus(stray.size.unwrap_or_default())
@@ -298,8 +306,8 @@
         }
     }
 
-    /// Takes note of a run that a worker lists.
-    fn observe_run(&mut self, now: Ms, id: &WorkerId, row: &Running) {
+    /// Handles a run reported by a worker.
+    fn observe_run(&mut self, now: Ms, id: &WorkerId, row: &RunStatus) {
         let key = &row.task;
         let closed = self
             .jobs
@@ -310,17 +318,17 @@
             self.stray(now, id, row, size);
             return;
         };
-        task.top = task.top.max(row.run);
+        task.highest_run = task.highest_run.max(row.run);
         let suspect = !task.crashed.is_empty();
-        if !row.saved.is_empty() {
-            row.saved.clone_into(&mut task.saved);
+        if !row.checkpoint.is_empty() {
+            row.checkpoint.clone_into(&mut task.checkpoint);
         }
         if let Some(run) = &mut task.run
             && run.number == row.run
             && run.worker == *id
         {
             run.proven = true;
-            if matches!(run.phase, Phase::Ordered | Phase::Unsure) {
+            if matches!(run.phase, Phase::Starting | Phase::Unconfirmed) {
                 run.phase = Phase::Running;
                 self.unconfirmed_runs.remove(key);
             }
@@ -328,7 +336,7 @@
             if let Some(run) = run {
                 if run.percent != row.percent {
                     run.percent = row.percent;
-                    run.moved = now;
+                    run.progressed_at = now;
                 }
                 run.load = row.load;
             }
@@ -337,7 +345,7 @@
             }
             return;
         }
-        // A later start proves that the former owner took an earlier run, of which only its roster tells, for over.
+        // A later start proves that the previous owner knew the earlier run, which is known only from its roster, to be over.
         let outdated = task
             .run
             .as_ref()
@@ -347,7 +355,7 @@
             return;
         }
         if outdated {
-            self.run_over(now, key, 0);
+            self.end_run(now, key, 0);
         }
         let Some(task) = self.task_mut(key) else {
             return;
@@ -360,30 +368,30 @@
             ..Run::new(row.run, Arc::clone(id), now, 0)
         });
         if let Some(worker) = self.workers.get_mut(id)
-            && let Some(stray) = worker.strays.remove(key)
+            && let Some(stray) = worker.orphaned_runs.remove(key)
         {
             worker.used = worker
                 .used
                 .minus(stray.size.unwrap_or_default())
                 .unwrap_or_default();
         }
-        self.attach(key, id, row.run);
+        self.reserve_capacity(key, id, row.run);
         self.started(&key.stage.job);
     }
 
-    /// A run that no task calls its own: it takes room until it is gone.
-    fn stray(&mut self, now: Ms, id: &WorkerId, row: &Running, size: Option<resource::Size>) {
+    /// Records a run that isn't the current run of any task; it occupies capacity until it is gone.
+    fn stray(&mut self, now: Ms, id: &WorkerId, row: &RunStatus, size: Option<resource::Size>) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let known = worker.strays.get_mut(&row.task);
-        let stray = Stray {
+        let known = worker.orphaned_runs.get_mut(&row.task);
+        let stray = OrphanedRun {
             run: row.run,
             size,
             since: known.as_ref().map_or(now, |stray| stray.since),
             stop_sent: known.as_ref().map_or(0, |stray| stray.stop_sent),
         };
-        let before = worker.strays.insert(row.task.clone(), stray);
+        let before = worker.orphaned_runs.insert(row.task.clone(), stray);
         let before = before.and_then(|stray| stray.size).unwrap_or_default();
         worker.used = worker
             .used
@@ -392,11 +400,11 @@
             .plus(size.unwrap_or_default());
     }
 
-    /// Stops strays: at once if their job is known, after a while if it isn't.
-    pub(crate) fn stop_strays(&mut self, now: Ms) {
+    /// Stops orphaned runs: at once if their job is known, otherwise after [`UNKNOWN_JOB_TIMEOUT`].
+    pub(crate) fn stop_orphaned_runs(&mut self, now: Ms) {
         let partial = self.jobs_incomplete;
         for worker in self.workers.values_mut() {
-            for (key, stray) in &mut worker.strays {
+            for (key, stray) in &mut worker.orphaned_runs {
                 let unknown = !partial && now.saturating_sub(stray.since) > UNKNOWN_JOB_TIMEOUT;
                 let due = stray.size.is_some() || unknown;
                 if due && (stray.stop_sent == 0 || now.saturating_sub(stray.stop_sent) > 400) {
--- a/crates/pool/src/schedule.rs
+++ b/crates/pool/src/schedule.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::command::{Command, Start, Stop};
-use crate::live::Live;
+use crate::live::LiveJob;
 use crate::loss::Loss;
 use crate::mechanism::Mechanism;
 use crate::pool::Pool;
@@ -24,7 +24,7 @@
             .scheduled_jobs
             .iter()
             .filter(|id| {
-                let next = self.jobs.get(*id).and_then(Live::next_due);
+                let next = self.jobs.get(*id).and_then(LiveJob::next_due);
                 next.is_some_and(|due| due <= unix)
             })
             .cloned()
@@ -35,7 +35,7 @@
         self.expire_leases(now, unix);
         self.check_runs(now);
         self.resend_commands(now);
-        self.stop_strays(now);
+        self.stop_orphaned_runs(now);
         self.settle_inheritance(now);
         if !self.deposed && self.has_quorum(now) {
             self.review_suspects(now, unix);
@@ -47,7 +47,7 @@
     /// When the next occurrence of any job is due, in Unix milliseconds.
     #[must_use]
     pub fn next_due(&self) -> Option<u64> {
-        let due = |id| self.jobs.get(id).and_then(Live::next_due);
+        let due = |id| self.jobs.get(id).and_then(LiveJob::next_due);
         self.scheduled_jobs.iter().filter_map(due).min()
     }
 
@@ -59,7 +59,7 @@
             .filter(|worker| {
                 let affected =
                     !worker.runs.is_empty() || self.jobs_awaiting_worker.contains_key(&worker.id);
-                worker.lapses < now && affected
+                worker.lease_expires_at < now && affected
             })
             .map(|worker| {
                 (
@@ -71,20 +71,20 @@
         for (id, keys) in expired {
             for job in self.jobs_awaiting_worker.remove(&id).unwrap_or_default() {
                 if let Some(live) = self.jobs.get_mut(&job) {
-                    live.awaits = live.awaits.saturating_sub(1);
+                    live.awaited_workers = live.awaited_workers.saturating_sub(1);
                 }
             }
             for key in &keys {
                 self.note_loss(now, key, Loss::Lapsed);
             }
             for key in keys {
-                self.run_over(now, &key, 0);
+                self.end_run(now, &key, 0);
                 self.complete_or_advance(now, unix, &key.stage.job);
             }
         }
         for worker in self.workers.values_mut() {
-            if worker.lapses < now && !worker.strays.is_empty() {
-                for stray in std::mem::take(&mut worker.strays).into_values() {
+            if worker.lease_expires_at < now && !worker.orphaned_runs.is_empty() {
+                for stray in std::mem::take(&mut worker.orphaned_runs).into_values() {
                     let size = stray.size.unwrap_or_default();
                     worker.used = worker.used.minus(size).unwrap_or_default();
                 }
@@ -93,11 +93,11 @@
         let unconfirmed = &self.unconfirmed_workers;
         let unavailable = &self.unavailable;
         self.workers.retain(|id, worker| {
-            worker.listed
+            worker.registered
                 || unconfirmed.contains(id)
                 || unavailable.iter().any(|other| other.worker == *id)
                 || !worker.runs.is_empty()
-                || !worker.strays.is_empty()
+                || !worker.orphaned_runs.is_empty()
         });
     }
 
@@ -126,7 +126,10 @@
                 continue;
             };
             let since = now.saturating_sub(run.stop_sent);
-            let answers = self.workers.get(&run.worker).map_or(0, |it| it.answers);
+            let answers = self
+                .workers
+                .get(&run.worker)
+                .map_or(0, |it| it.response_time);
             let command = match run.phase {
                 Phase::Stopping => {
                     let retry_delay = if run.stop_confirmed > 0 {
@@ -143,19 +146,19 @@
                         })
                     })
                 }
-                Phase::Ordered | Phase::Unsure
+                Phase::Starting | Phase::Unconfirmed
                     if resend_enabled
                         && task.crashes() == 0
                         && now.saturating_sub(run.sent) >= repeat::delay(answers, run.copies)
-                        && clock(&run.worker) + RESEND_MARGIN < run.latest
+                        && clock(&run.worker) + RESEND_MARGIN < run.start_deadline
                         && self.retry_budget.spend() =>
                 {
                     Some(Command::Start(Start {
                         task: key.clone(),
                         run: run.number,
                         worker: Arc::clone(&run.worker),
-                        start_deadline: run.latest,
-                        checkpoint: task.saved.clone(),
+                        start_deadline: run.start_deadline,
+                        checkpoint: task.checkpoint.clone(),
                         ticket: self
                             .stage(&key.stage)
                             .and_then(|stage| stage.advised.allowed.get(&run.worker))
@@ -171,7 +174,7 @@
                 if run.phase == Phase::Stopping {
                     run.stop_sent = now.max(1);
                 } else {
-                    run.phase = Phase::Unsure;
+                    run.phase = Phase::Unconfirmed;
                     run.copies += 1;
                     run.sent = now;
                 }
--- a/crates/pool/src/unservable.rs
+++ b/crates/pool/src/unservable.rs
@@ -34,19 +34,19 @@
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
             let unservable = self.jobs.get(&id).is_some_and(|live| {
-                !live.state.is_final() && live.awaits == 0 && live.is_idle() && {
+                !live.state.is_final() && live.awaited_workers == 0 && live.is_idle() && {
                     let job = &live.job;
                     let left = live.steps_left();
                     left.iter().any(|&step| !self.could_run(job, step))
                 }
             });
             if let Some(live) = self.jobs.get_mut(&id) {
-                let since = live.misfit.unwrap_or(now);
-                live.misfit = unservable.then_some(since);
-                live.leaves |= unservable && now.saturating_sub(since) >= UNSERVABLE_DELAY;
+                let since = live.unservable_since.unwrap_or(now);
+                live.unservable_since = unservable.then_some(since);
+                live.transferring |= unservable && now.saturating_sub(since) >= UNSERVABLE_DELAY;
             }
         }
-        let transferring = self.jobs.iter().filter(|(_, live)| live.leaves);
+        let transferring = self.jobs.iter().filter(|(_, live)| live.transferring);
         transferring.map(|(id, _)| Arc::clone(id)).collect()
     }
 
@@ -55,12 +55,12 @@
         let Some(step) = job.steps.get(step) else {
             return true;
         };
-        let all_at_once = step.gang || step.lasting;
+        let all_at_once = step.gang || step.long_running;
         let required = if all_at_once { step.count } else { 1 };
         let mut fitting = 0;
         for worker in self.workers.values() {
-            let present = worker.listed || worker.fenced && !worker.unresponsive;
-            if present && worker.leaves.is_none() && fit::allowed(worker, &job.service, step) {
+            let present = worker.registered || worker.fenced && !worker.unresponsive;
+            if present && worker.leaves_at.is_none() && fit::allowed(worker, &job.service, step) {
                 fitting += count_fitting(worker, step);
                 if fitting >= required {
                     return true;
@@ -74,15 +74,15 @@
     #[must_use]
     pub fn transferable(&self, id: &str) -> Option<(Arc<Job>, Progress)> {
         let live = self.jobs.get(id)?;
-        let is_ready = live.leaves && live.is_idle() && !live.state.is_final();
+        let is_ready = live.transferring && live.is_idle() && !live.state.is_final();
         is_ready.then(|| (Arc::clone(&live.job), live.progress()))
     }
 
     /// Keeps a job in this pool after all: its caller has cancelled it, or no other pool can take it.
     pub fn cancel_transfer(&mut self, id: &str) {
         if let Some(live) = self.jobs.get_mut(id) {
-            live.leaves = false;
-            live.misfit = None;
+            live.transferring = false;
+            live.unservable_since = None;
         }
     }
 
@@ -100,7 +100,7 @@
 
 /// How many tasks of a step the worker could run if it were empty.
 fn count_fitting(worker: &Worker, step: &Step) -> u32 {
-    let fitting = fit::count_fitting(step.room(), worker.news.room);
+    let fitting = fit::count_fitting(step.demand(), worker.info.capacity);
     if step.per_worker > 0 {
         fitting.min(step.per_worker)
     } else {
--- a/crates/pool/src/watch.rs
+++ b/crates/pool/src/watch.rs
@@ -4,9 +4,9 @@
 
 use crate::command::{Command, Pace};
 use crate::fit::SUSPECT_SCORE;
-use crate::listing::How;
 use crate::mechanism::Mechanism;
 use crate::pool::Pool;
+use crate::report::RunOutcome;
 use crate::task::{Ms, Phase, Run, TaskKey, WorkerId};
 
 /// Minimum time between two checks: on most workers, listings don't arrive more often.
@@ -44,7 +44,7 @@
             let live = self.jobs.get(&key.stage.job)?;
             live.job.steps.get(usize::from(key.stage.step))
         });
-        let finite = steps.filter(|step| !step.lasting);
+        let finite = steps.filter(|step| !step.long_running);
         let shortest = finite.map(|step| step.estimate).min();
         (shortest.unwrap_or(0) / POLL_DELAY_DIVISOR).min(MAX_POLL_DELAY)
     }
@@ -54,7 +54,7 @@
         &mut self,
         now: Ms,
         id: &WorkerId,
-        how: How,
+        how: RunOutcome,
         run: &Run,
         key: &TaskKey,
         lasting: bool,
@@ -72,11 +72,11 @@
                 .filter(|&&number| number != run.number)
                 .count()
         });
-        let duration = now.saturating_sub(run.ordered);
+        let duration = now.saturating_sub(run.requested_at);
         // Durations of best-effort tasks and gang members depend on other tasks, and the start of an adopted run, which has
         // no deadline, isn't known.
-        let is_comparable = !step.fills && !step.gang && run.latest > 0;
-        if how == How::Done && is_comparable && !lasting {
+        let is_comparable = !step.best_effort && !step.gang && run.start_deadline > 0;
+        if how == RunOutcome::Done && is_comparable && !lasting {
             self.queue_stats
                 .record_duration(&job.queue, duration, step.estimate);
         }
@@ -86,22 +86,22 @@
             return;
         };
         match how {
-            How::Done => {
-                worker.doubt = (worker.doubt - SUCCESS_CREDIT).max(0.0);
+            RunOutcome::Done => {
+                worker.failure_score = (worker.failure_score - SUCCESS_CREDIT).max(0.0);
                 if is_comparable && !lasting {
                     let ratio = (duration as f64 / expected.max(1.0)).clamp(0.2, 8.0);
                     worker.slowness += 0.1 * (ratio - worker.slowness);
                 }
             }
-            How::Failed if lasting || !scoring => {}
-            How::Failed => {
-                worker.doubt += if other_failures > 0 {
+            RunOutcome::Failed if lasting || !scoring => {}
+            RunOutcome::Failed => {
+                worker.failure_score += if other_failures > 0 {
                     REPEATED_FAILURE_SCORE
                 } else {
                     FIRST_FAILURE_SCORE
                 };
-                if worker.doubt >= SUSPECT_SCORE {
-                    worker.rest = worker.rest.max(now + SUSPECT_PAUSE);
+                if worker.failure_score >= SUSPECT_SCORE {
+                    worker.paused_until = worker.paused_until.max(now + SUSPECT_PAUSE);
                 }
             }
             _ => {}
@@ -118,7 +118,7 @@
         let mut stalled = Vec::new();
         let mut paces = Vec::new();
         for worker in self.workers.values() {
-            if now.saturating_sub(worker.last_hold) > 1_500 {
+            if now.saturating_sub(worker.last_poll) > 1_500 {
                 continue;
             }
             let mut max_ratio = 0.0_f64;
@@ -140,15 +140,15 @@
                 if run.phase != Phase::Running {
                     continue;
                 }
-                if step.target > 0 {
-                    max_ratio = max_ratio.max(f64::from(run.load) / step.target as f64);
+                if step.target_latency > 0 {
+                    max_ratio = max_ratio.max(f64::from(run.load) / step.target_latency as f64);
                 }
-                if step.fills {
+                if step.best_effort {
                     best_effort.push((key.clone(), run.number, run.pace));
-                } else if !step.lasting {
+                } else if !step.long_running {
                     // One percent of a long task may take longer than the fixed limit.
                     let timeout = STALL_TIMEOUT.max(step.estimate / 10);
-                    if now.saturating_sub(run.moved) > timeout {
+                    if now.saturating_sub(run.progressed_at) > timeout {
                         stalled.push((key.clone(), Arc::clone(&worker.id)));
                     }
                 }
@@ -166,9 +166,9 @@
         for (key, id) in stalled {
             self.stop_run(&key);
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.doubt += 1.5;
-                if worker.doubt >= SUSPECT_SCORE {
-                    worker.rest = worker.rest.max(now + SUSPECT_PAUSE);
+                worker.failure_score += 1.5;
+                if worker.failure_score >= SUSPECT_SCORE {
+                    worker.paused_until = worker.paused_until.max(now + SUSPECT_PAUSE);
                 }
             }
         }
--- a/crates/pool/tests/policies.rs
+++ b/crates/pool/tests/policies.rs
@@ -5,10 +5,10 @@
 #[allow(dead_code, reason = "other test files use the rest")]
 mod simulation;
 
-use case::{adopt, end, hold, hold_all, pool, run, starts, stops};
+use case::{adopt, end, pool, report, report_all, run, starts, stops};
 use pool::pace::PaceController;
 use pool::rank::{RankInput, rank};
-use pool::{Answer, Command, How, News, Pool, State, WorkerId};
+use pool::{Command, Pool, RunOutcome, StartAnswer, State, WorkerId, WorkerInfo};
 use resource::Size;
 use simulation::{Simulation, UNIX, job};
 
@@ -67,9 +67,9 @@
         0,
         "there is capacity for two of four members"
     );
-    let done = vec![end(&running[0], 1, How::Done)];
+    let done = vec![end(&running[0], 1, RunOutcome::Done)];
     let worker = running[0].worker.clone();
-    hold(&mut pool, 1_200, &worker, vec![], done);
+    report(&mut pool, 1_200, &worker, vec![], done);
     let started = run(&mut pool, 1_201);
     assert_eq!(started.len(), 4);
     assert!(started.iter().all(|start| start.run == started[0].run));
@@ -84,9 +84,9 @@
     gang.steps[0].gang = true;
     adopt(&mut pool, 1_000, gang);
     let started = starts(pool.schedule(1_001, UNIX));
-    pool.answered(1_005, &started[0], Answer::Running);
-    pool.answered(1_005, &started[1], Answer::Room);
-    pool.answered(1_006, &started[2], Answer::Running);
+    pool.start_answered(1_005, &started[0], StartAnswer::Running);
+    pool.start_answered(1_005, &started[1], StartAnswer::Room);
+    pool.start_answered(1_006, &started[2], StartAnswer::Running);
     assert_eq!(stops(&pool.schedule(1_010, UNIX)), 2);
 }
 
@@ -96,7 +96,7 @@
     let mut pool = pool(4);
     let mut spread = job("00000000000000s1", &[(3, 100, 500), (2, 100, 500)]);
     spread.steps[0].per_worker = 1;
-    spread.steps[0].near = "r1".into();
+    spread.steps[0].data_rack = "r1".into();
     spread.steps[1].label = "r0".into();
     adopt(&mut pool, 1_000, spread);
     let first = run(&mut pool, 1_001);
@@ -114,8 +114,8 @@
             0,
             "the first step isn't complete"
         );
-        let done = vec![end(start, 1, How::Done)];
-        hold(
+        let done = vec![end(start, 1, RunOutcome::Done)];
+        report(
             &mut pool,
             1_100 + number as u64,
             &start.worker,
@@ -141,15 +141,15 @@
     failing.policy.attempts = 2;
     adopt(&mut pool, 1_000, failing);
     let first = run(&mut pool, 1_001);
-    let failed = end(&first[0], 1, How::Failed);
-    hold(
+    let failed = end(&first[0], 1, RunOutcome::Failed);
+    report(
         &mut pool,
         1_100,
         &first[0].worker,
         vec![],
         vec![failed.clone()],
     );
-    hold(&mut pool, 1_110, &first[0].worker, vec![], vec![failed]);
+    report(&mut pool, 1_110, &first[0].worker, vec![], vec![failed]);
     let second = run(&mut pool, 1_200);
     assert_eq!(second.len(), 1, "one attempt is left");
     let number = if second[0].worker == first[0].worker {
@@ -157,10 +157,10 @@
     } else {
         1
     };
-    let failed = end(&second[0], number, How::Failed);
-    hold(&mut pool, 1_300, &second[0].worker, vec![], vec![failed]);
+    let failed = end(&second[0], number, RunOutcome::Failed);
+    report(&mut pool, 1_300, &second[0].worker, vec![], vec![failed]);
     let batch = pool.batch(80);
-    pool.saved(&batch);
+    pool.batch_stored(&batch);
     assert_eq!(pool.state("00000000000000d1"), Some(State::Failed));
     assert_eq!(run(&mut pool, 1_400).len(), 0);
 }
@@ -170,16 +170,16 @@
 fn a_long_running_task_is_restarted() {
     let mut pool = pool(2);
     let mut long_running = job("00000000000000l1", &[(1, 100, 0)]);
-    long_running.steps[0].lasting = true;
+    long_running.steps[0].long_running = true;
     adopt(&mut pool, 1_000, long_running);
     let mut number = 0;
     let mut now = 1_001;
     for how in [
-        How::Failed,
-        How::Lapsed,
-        How::Done,
-        How::Failed,
-        How::Failed,
+        RunOutcome::Failed,
+        RunOutcome::Lapsed,
+        RunOutcome::Done,
+        RunOutcome::Failed,
+        RunOutcome::Failed,
     ] {
         let started = run(&mut pool, now);
         assert_eq!(started.len(), 1, "after {number} ends");
@@ -191,7 +191,7 @@
             } else {
                 vec![]
             };
-            hold(&mut pool, now + 10, id, vec![], ended);
+            report(&mut pool, now + 10, id, vec![], ended);
         }
         now += 500;
     }
@@ -203,7 +203,7 @@
 fn draining_workers_are_evacuated() {
     let mut pool = pool(1);
     let mut long_running = job("00000000000000l2", &[(1, 100, 0)]);
-    long_running.steps[0].lasting = true;
+    long_running.steps[0].long_running = true;
     let mut with_checkpoints = job("00000000000000v1", &[(1, 100, 60_000)]);
     with_checkpoints.steps[0].checkpoints = true;
     let plain = job("00000000000000p1", &[(1, 100, 60_000)]);
@@ -216,34 +216,34 @@
         let mut news = pool
             .worker("w00")
             .expect("the worker is known")
-            .news
+            .info
             .clone();
         news.draining = Some(3_000);
         pool.update_worker(now, &"w00".into(), news);
     };
     drain(&mut pool, 1_100);
-    hold_all(&mut pool, 1_200, &runs);
+    report_all(&mut pool, 1_200, &runs);
     assert_eq!(
         stops(&pool.schedule(1_300, UNIX)),
         0,
         "there is no other worker"
     );
-    let news = News {
+    let news = WorkerInfo {
         service: "s".into(),
-        room: Size::new(4_000, 10_000, 0),
-        born: 1,
-        ..News::default()
+        capacity: Size::new(4_000, 10_000, 0),
+        incarnation: 1,
+        ..WorkerInfo::default()
     };
     pool.update_worker(1_300, &"w01".into(), news);
     pool.set_stored_roster(&["w00".into(), "w01".into()]);
-    hold_all(&mut pool, 1_400, &runs);
+    report_all(&mut pool, 1_400, &runs);
     assert_eq!(
         stops(&pool.schedule(1_600, UNIX)),
         1,
         "the long-running task is stopped"
     );
     for now in [2_000, 2_600, 3_100] {
-        hold_all(&mut pool, now, &runs);
+        report_all(&mut pool, now, &runs);
     }
     let orders = pool.schedule(3_200, UNIX);
     let with_checkpoints = orders.iter().any(
--- a/crates/pool/tests/simulation/mod.rs
+++ b/crates/pool/tests/simulation/mod.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 
 use pool::{
-    Answer, Command, End, Job, Listing, Ms, News, Options, Policy, Pool, Progress, Start, State,
-    Step, Stop, StopAnswer, TaskKey, WorkerId,
+    Command, Job, Ms, Options, Policy, Pool, Progress, RunEnd, Start, StartAnswer, State, Step,
+    Stop, StopAnswer, TaskKey, WorkerId, WorkerInfo, WorkerReport,
 };
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -41,7 +41,7 @@
     lease: Ms,
     runs: BTreeMap<TaskKey, Run>,
     highest_runs: HashMap<TaskKey, u32>,
-    unstored_ends: Vec<End>,
+    unstored_ends: Vec<RunEnd>,
     end_count: u64,
     /// Owners with these epochs can't reach it.
     pub(crate) disconnected_owners: BTreeSet<u64>,
@@ -56,10 +56,10 @@
 enum Message {
     /// A start command of the owner with this index arrives; the flag tells whether the answer reaches the owner.
     Start(usize, Start, bool),
-    Started(usize, Start, Answer),
+    Started(usize, Start, StartAnswer),
     Stop(usize, Stop),
     Stopped(usize, Stop, StopAnswer),
-    Listing(usize, WorkerId, Listing),
+    Listing(usize, WorkerId, WorkerReport),
     /// A task crashes its worker, if that still has this incarnation.
     Crash(WorkerId, u64, TaskKey),
     /// The owners read the directory's row of a worker.
@@ -96,7 +96,7 @@
     pub(crate) jobs: BTreeMap<String, Arc<Job>>,
     stored: BTreeMap<String, Progress>,
     roster: Vec<WorkerId>,
-    silent: Vec<pool::Silent>,
+    silent: Vec<pool::UnavailableWorker>,
     in_transit: Vec<(Ms, Message)>,
     stored_ends: BTreeSet<TaskKey>,
     pub(crate) violations: Vec<String>,
@@ -276,15 +276,15 @@
     }
 
     /// The directory's information about a worker.
-    fn worker_info(&self, id: &WorkerId, worker: &SimWorker) -> News {
-        News {
+    fn worker_info(&self, id: &WorkerId, worker: &SimWorker) -> WorkerInfo {
+        WorkerInfo {
             address: id.to_string(),
             service: "s".into(),
-            room: worker
+            capacity: worker
                 .capacity
                 .map_or(self.capacity, |(capacity, _)| capacity),
-            born: worker.incarnation,
-            ..News::default()
+            incarnation: worker.incarnation,
+            ..WorkerInfo::default()
         }
     }
 
@@ -318,16 +318,16 @@
                 Message::Start(owner, start, answers) => self.start(owner, start, answers),
                 Message::Stop(owner, stop) => self.stop(owner, stop),
                 Message::Started(owner, start, answer) => {
-                    self.owners[owner].pool.answered(now, &start, answer);
+                    self.owners[owner].pool.start_answered(now, &start, answer);
                 }
                 Message::Stopped(owner, stop, answer) => {
-                    self.owners[owner].pool.stopped(now, &stop, answer);
+                    self.owners[owner].pool.stop_answered(now, &stop, answer);
                 }
                 Message::Listing(owner, id, listing) => {
                     let unix = self.unix();
                     self.owners[owner]
                         .pool
-                        .apply_listing(now, unix, &id, &listing);
+                        .apply_report(now, unix, &id, &listing);
                 }
                 Message::Crash(id, incarnation, task) => self.crash_under(&id, incarnation, &task),
                 Message::Row(id) => self.publish_row(&id),
@@ -359,11 +359,11 @@
                         if self.rng.random_bool(self.conditions.lost_answer_rate) {
                             let delay = self.rng.random_range(2_000..12_000);
                             self.send_after(delay, Message::Start(owner, start.clone(), false));
-                            self.send_after(450, Message::Started(owner, start, Answer::Lost));
+                            self.send_after(450, Message::Started(owner, start, StartAnswer::Lost));
                         } else if self.reaches(owner, &start.worker) {
                             self.send_after(STEP, Message::Start(owner, start, true));
                         } else {
-                            self.send_after(450, Message::Started(owner, start, Answer::Lost));
+                            self.send_after(450, Message::Started(owner, start, StartAnswer::Lost));
                         }
                     }
                     Command::Stop(stop) => self.send_after(STEP, Message::Stop(owner, stop)),
@@ -388,7 +388,7 @@
         for (id, progress) in &batch.rows {
             self.stored.insert(id.to_string(), progress.clone());
         }
-        owner.pool.saved(&batch);
+        owner.pool.batch_stored(&batch);
         self.roster = owner.pool.roster(self.now);
         self.silent = owner.pool.unavailable_workers(self.now);
         owner.pool.set_stored_roster(&self.roster);
@@ -417,7 +417,7 @@
             .collect();
         format!(
             "open jobs {open:?}, unconfirmed workers {}, quorum {}, workers {:?}",
-            pool.unseen().len(),
+            pool.unconfirmed_workers().len(),
             pool.has_quorum(self.now),
             pool.workers().collect::<Vec<_>>()
         )
--- a/crates/pool/tests/simulation/workers.rs
+++ b/crates/pool/tests/simulation/workers.rs
@@ -1,6 +1,9 @@
 //! Simulated workers: how they handle commands and polls, and when runs end.
 
-use pool::{Answer, End, How, Listing, Ms, Running, Start, Stop, StopAnswer, TaskKey, WorkerId};
+use pool::{
+    Ms, RunEnd, RunOutcome, RunStatus, Start, StartAnswer, Stop, StopAnswer, TaskKey, WorkerId,
+    WorkerReport,
+};
 use rand::Rng as _;
 use resource::Size;
 
@@ -13,7 +16,7 @@
         }
         let (now, clock) = (self.now, self.clock(&start.worker));
         let epoch = self.owners[owner].epoch;
-        let size = start.job.steps[usize::from(start.task.stage.step)].room();
+        let size = start.job.steps[usize::from(start.task.stage.step)].demand();
         let duration = start.job.steps[usize::from(start.task.stage.step)].estimate;
         let faulty = self.faulty.contains(&start.worker);
         let fails = faulty || self.rng.random_bool(self.conditions.failure_rate);
@@ -27,21 +30,21 @@
             return;
         };
         let answer = if epoch < worker.epoch {
-            Answer::Fenced
+            StartAnswer::Fenced
         } else if worker
             .runs
             .get(&start.task)
             .is_some_and(|run| run.number == start.run)
         {
-            Answer::Running
+            StartAnswer::Running
         } else if worker
             .highest_runs
             .get(&start.task)
             .is_some_and(|&highest| highest >= start.run)
         {
-            Answer::Old
+            StartAnswer::Old
         } else if clock > start.start_deadline {
-            Answer::Late
+            StartAnswer::Late
         } else {
             worker.epoch = epoch;
             worker.lease = worker.lease.max(start.start_deadline);
@@ -85,7 +88,7 @@
                 let crash = Message::Crash(start.worker.clone(), incarnation, start.task.clone());
                 self.send_after(2 * STEP, crash);
             }
-            Answer::Running
+            StartAnswer::Running
         };
         if answers {
             self.send_after(STEP, Message::Started(owner, start, answer));
@@ -124,16 +127,20 @@
         let clocks: Vec<Ms> = self.workers.keys().map(|id| self.clock(id)).collect();
         for (worker, clock) in self.workers.values_mut().zip(clocks) {
             let expired = clock > worker.lease;
-            let ended: Vec<(TaskKey, How)> = worker
+            let ended: Vec<(TaskKey, RunOutcome)> = worker
                 .runs
                 .iter()
                 .filter_map(|(key, run)| {
                     let how = if expired {
-                        How::Lapsed
+                        RunOutcome::Lapsed
                     } else if run.stops_at.is_some_and(|at| now >= at) {
-                        How::Stopped
+                        RunOutcome::Stopped
                     } else if now >= run.ends_at {
-                        if run.fails { How::Failed } else { How::Done }
+                        if run.fails {
+                            RunOutcome::Failed
+                        } else {
+                            RunOutcome::Done
+                        }
                     } else {
                         return None;
                     };
@@ -143,12 +150,12 @@
             for (task, how) in ended {
                 let run = worker.runs.remove(&task).map_or(0, |run| run.number);
                 worker.end_count += 1;
-                worker.unstored_ends.push(End {
+                worker.unstored_ends.push(RunEnd {
                     number: worker.end_count,
                     task,
                     run,
-                    how,
-                    saved: String::new(),
+                    outcome: how,
+                    checkpoint: String::new(),
                 });
             }
         }
@@ -170,13 +177,15 @@
                 }
                 let clock = self.clock(id);
                 let epoch = self.owners[owner].epoch;
-                let Some((incarnation, _, stored)) =
-                    self.owners[owner].pool.worker(id).map(pool::Worker::ends)
+                let Some((incarnation, _, stored)) = self.owners[owner]
+                    .pool
+                    .worker(id)
+                    .map(pool::Worker::end_cursor)
                 else {
                     continue;
                 };
                 let now = self.now;
-                let lease = self.owners[owner].pool.holding(now, id);
+                let lease = self.owners[owner].pool.extend_lease(now, id);
                 let Some(worker) = self.workers.get_mut(id) else {
                     continue;
                 };
@@ -192,24 +201,24 @@
                         .iter()
                         .filter(|end| end.number <= stored)
                     {
-                        if end.how == How::Done {
+                        if end.outcome == RunOutcome::Done {
                             self.stored_ends.insert(end.task.clone());
                         }
                     }
                     worker.unstored_ends.retain(|end| end.number > stored);
                 }
-                let listing = Listing {
+                let listing = WorkerReport {
                     clock,
-                    born: worker.incarnation,
+                    incarnation: worker.incarnation,
                     lease: lease.unwrap_or(0),
-                    asked: self.now,
+                    requested_at: self.now,
                     running: worker
                         .runs
                         .iter()
-                        .map(|(task, run)| Running {
+                        .map(|(task, run)| RunStatus {
                             task: task.clone(),
                             run: run.number,
-                            saved: String::new(),
+                            checkpoint: String::new(),
                             percent: (self.now / 10 % 100) as u32,
                             load: 0,
                         })
--- a/crates/pool/tests/unservable.rs
+++ b/crates/pool/tests/unservable.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Arc;
 
-use case::{hold, hold_all, pool, starts};
+use case::{pool, report, report_all, starts};
 use simulation::{UNIX, job};
 
 /// A gang needs all four workers, and one of them is lost. After a delay in which the worker could have come back, the job is
@@ -34,7 +34,7 @@
     let mut leaving = Vec::new();
     for now in (1_200..5_000).step_by(100) {
         for id in ["w00", "w01", "w02"] {
-            hold(&mut pool, now, &id.into(), vec![], vec![]);
+            report(&mut pool, now, &id.into(), vec![], vec![]);
         }
         leaving = pool.unservable_jobs(now);
         if !leaving.is_empty() {
@@ -73,7 +73,7 @@
         false,
     );
     for now in (1_100..9_000).step_by(100) {
-        hold_all(&mut pool, now, &runs);
+        report_all(&mut pool, now, &runs);
         assert!(pool.unservable_jobs(now).is_empty());
     }
 }
