--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -254,7 +254,8 @@
             if job.policy.advice.is_some() {
                 let ticket = stage.advised.allowed.get(&worker.id);
                 let valid = ticket.is_some_and(|ticket| {
-                    ticket.valid_until > now + TICKET_MARGIN && ticket.incarnation == worker.incarnation
+                    ticket.valid_until > now + TICKET_MARGIN
+                        && ticket.incarnation == worker.incarnation
                 });
                 if !valid {
                     continue;
--- a/crates/pool/src/query.rs
+++ b/crates/pool/src/query.rs
@@ -87,7 +87,9 @@
         self.jobs.get(&key.job)?.job.policy.advice?;
         let stage = self.stage(key)?;
         let mut tickets = stage.advised.allowed.values();
-        if stage.advised.query_since.is_some() || tickets.any(|it| it.valid_until > now + TICKET_MARGIN) {
+        if stage.advised.query_since.is_some()
+            || tickets.any(|it| it.valid_until > now + TICKET_MARGIN)
+        {
             return None;
         }
         stage.opened.max(stage.advised.last_query)
