--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -23,6 +23,7 @@
 mod load;
 mod loss;
 mod mechanism;
+mod monitor;
 pub mod pace;
 mod place;
 mod pool;
@@ -39,7 +40,6 @@
 mod task;
 mod timeline;
 mod unservable;
-mod watch;
 mod worker;
 
 pub use answer::{StartAnswer, StopAnswer};
