--- a/crates/pool/src/advice.rs
+++ b/crates/pool/src/advice.rs
@@ -34,9 +34,9 @@
 
 /// Number of workers that a query may name in any case: together they add little to its fixed time.
 #[must_use]
-pub fn min_query_size(advice: &AdvisorPolicy) -> usize {
-    if advice.per_worker_ms > 0.0 {
-        (advice.base_ms * FREE_TIME_SHARE / advice.per_worker_ms) as usize
+pub fn min_query_size(policy: &AdvisorPolicy) -> usize {
+    if policy.per_worker_ms > 0.0 {
+        (policy.base_ms * FREE_TIME_SHARE / policy.per_worker_ms) as usize
     } else {
         usize::MAX
     }
@@ -44,8 +44,8 @@
 
 /// Time that a query about this many workers takes.
 #[must_use]
-pub fn query_duration(advice: &AdvisorPolicy, workers: usize) -> Ms {
-    (advice.base_ms + advice.per_worker_ms * workers as f64) as Ms
+pub fn query_duration(policy: &AdvisorPolicy, workers: usize) -> Ms {
+    (policy.base_ms + policy.per_worker_ms * workers as f64) as Ms
 }
 
 /// Requirements of a query.
--- a/crates/pool/src/ends.rs
+++ b/crates/pool/src/ends.rs
@@ -182,7 +182,7 @@
         }
         stage.done = stage.tasks.iter().filter(|task| task.done).count();
         if stage.complete() {
-            self.open.remove(key);
+            self.open_steps.remove(key);
             self.note_times(now, key);
             self.complete_or_advance(now, unix, &key.job);
         }
--- a/crates/pool/src/evacuate.rs
+++ b/crates/pool/src/evacuate.rs
@@ -26,8 +26,8 @@
             .values()
             .filter_map(|worker| Some((Arc::clone(&worker.id), worker.leaves_at?)))
             .collect();
-        for (id, leaves) in leaving {
-            let leaves_soon = now + self.options.stop_grace + STOP_MARGIN >= leaves;
+        for (id, leaves_at) in leaving {
+            let leaves_soon = now + self.options.stop_grace + STOP_MARGIN >= leaves_at;
             let Some(worker) = self.workers.get(&id) else {
                 continue;
             };
@@ -59,7 +59,7 @@
         }
         if step.long_running {
             let has_capacity = |worker: &&crate::Worker| {
-                fit::allowed(worker, &live.job.service, step)
+                fit::is_eligible(worker, &live.job.service, step)
                     && worker.accepts_starts(now)
                     && step.demand().fits(worker.free_capacity())
             };
--- a/crates/pool/src/fit.rs
+++ b/crates/pool/src/fit.rs
@@ -43,7 +43,7 @@
 
 /// Whether the worker may run a task of the step at all.
 #[must_use]
-pub fn allowed(worker: &Worker, service: &str, step: &Step) -> bool {
+pub fn is_eligible(worker: &Worker, service: &str, step: &Step) -> bool {
     worker.info.service == service
         && (step.label.is_empty() || worker.info.labels.contains(&step.label))
 }
@@ -99,8 +99,9 @@
     if suspicion.crashes > 0 {
         // Prefers workers without other suspects, that are likely to stay up, and where another crash loses least.
         cost += SUSPECT_COLOCATION_COST * context.suspect_crashes as f64;
-        let new = context.now.saturating_sub(worker.incarnation_since) < STABLE_AFTER;
-        cost += UNPROVEN_WORKER_COST * (f64::from(u8::from(unproven)) + f64::from(u8::from(new)));
+        let recently_started = context.now.saturating_sub(worker.incarnation_since) < STABLE_AFTER;
+        cost += UNPROVEN_WORKER_COST
+            * (f64::from(u8::from(unproven)) + f64::from(u8::from(recently_started)));
         cost += 1.0 - free.millicores as f64 / worker.info.capacity.millicores.max(1) as f64;
     }
     if step.long_running {
--- a/crates/pool/src/load.rs
+++ b/crates/pool/src/load.rs
@@ -34,7 +34,7 @@
             labels.extend(labels_of_worker.filter(|label| **label != worker.info.rack));
         }
         let waiting: u64 = self
-            .open
+            .open_steps
             .iter()
             .map(|key| self.waiting_millicores(key))
             .sum();
@@ -42,7 +42,7 @@
         Load {
             used: share(used),
             demand: share(used + waiting),
-            open_steps: self.open.len(),
+            open_steps: self.open_steps.len(),
             labels: labels.into_iter().cloned().collect(),
             services: self.service_capacities().into_iter().collect(),
         }
--- a/crates/pool/src/mechanism.rs
+++ b/crates/pool/src/mechanism.rs
@@ -39,7 +39,7 @@
     Evacuation,
     /// Start commands without an answer are sent again.
     RepeatOrders,
-    /// The next poll of a worker that listed ends is delayed, so that it lists several ends at once.
+    /// The next poll of a worker that reported ends is delayed, so that it reports several ends at once.
     GatherEnds,
     /// Polls of workers pause while their ends can't be stored.
     HoldPause,
--- a/crates/pool/src/monitor.rs
+++ b/crates/pool/src/monitor.rs
@@ -9,9 +9,11 @@
 use crate::report::RunOutcome;
 use crate::task::{Ms, Phase, Run, TaskKey, WorkerId};
 
-/// Minimum time between two checks: on most workers, listings don't arrive more often.
+/// Minimum time between two checks: on most workers, reports don't arrive more often.
 const CHECK_INTERVAL: Ms = 200;
-/// A task whose progress hasn't changed for this long is stalled. Listings arrive at least every 0.7 s, and a task of 15 s
+/// A worker is not checked if its last report is older than this, as nothing is known of the present state of its runs.
+const MAX_REPORT_AGE: Ms = 1_500;
+/// A task whose progress hasn't changed for this long is stalled. Reports arrive at least every 0.7 s, and a task of 15 s
 /// advances by one percent in 0.15 s.
 const STALL_TIMEOUT: Ms = 2_500;
 /// A worker whose failure score reaches [`SUSPECT_SCORE`] gets no tasks for this long, then one at a time.
@@ -24,11 +26,13 @@
 const FIRST_FAILURE_SCORE: f64 = 1.0;
 /// Added by a failure of a task that has failed before: the task itself is the likelier cause.
 const REPEATED_FAILURE_SCORE: f64 = 0.25;
+/// Added by a stalled task.
+const STALL_SCORE: f64 = 1.5;
 /// Subtracted by a task that succeeds.
 const SUCCESS_CREDIT: f64 = 0.6;
 
 impl Pool {
-    /// How long to wait with the next poll of a worker that has listed ends, so that it lists several ends at once.
+    /// How long to wait with the next poll of a worker that has reported ends, so that it reports several ends at once.
     ///
     /// Without the wait, a worker whose tasks end one after the other is polled once for each of them. Callers don't notice
     /// an end that is reported later by a tenth of the duration of the shortest task.
@@ -54,10 +58,10 @@
         &mut self,
         now: Ms,
         id: &WorkerId,
-        how: RunOutcome,
+        outcome: RunOutcome,
         run: &Run,
         key: &TaskKey,
-        lasting: bool,
+        long_running: bool,
     ) {
         let Some(live) = self.jobs.get(&key.stage.job) else {
             return;
@@ -76,7 +80,7 @@
         // Durations of best-effort tasks and gang members depend on other tasks, and the start of an adopted run, which has
         // no deadline, isn't known.
         let is_comparable = !step.best_effort && !step.gang && run.start_deadline > 0;
-        if how == RunOutcome::Done && is_comparable && !lasting {
+        if outcome == RunOutcome::Done && is_comparable && !long_running {
             self.queue_stats
                 .record_duration(&job.queue, duration, step.estimate);
         }
@@ -85,15 +89,15 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        match how {
+        match outcome {
             RunOutcome::Done => {
                 worker.failure_score = (worker.failure_score - SUCCESS_CREDIT).max(0.0);
-                if is_comparable && !lasting {
+                if is_comparable && !long_running {
                     let ratio = (duration as f64 / expected.max(1.0)).clamp(0.2, 8.0);
                     worker.slowness += 0.1 * (ratio - worker.slowness);
                 }
             }
-            RunOutcome::Failed if lasting || !scoring => {}
+            RunOutcome::Failed if long_running || !scoring => {}
             RunOutcome::Failed => {
                 worker.failure_score += if other_failures > 0 {
                     REPEATED_FAILURE_SCORE
@@ -118,7 +122,7 @@
         let mut stalled = Vec::new();
         let mut paces = Vec::new();
         for worker in self.workers.values() {
-            if now.saturating_sub(worker.last_poll) > 1_500 {
+            if now.saturating_sub(worker.last_poll) > MAX_REPORT_AGE {
                 continue;
             }
             let mut max_ratio = 0.0_f64;
@@ -166,7 +170,7 @@
         for (key, id) in stalled {
             self.stop_run(&key);
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.failure_score += 1.5;
+                worker.failure_score += STALL_SCORE;
                 if worker.failure_score >= SUSPECT_SCORE {
                     worker.paused_until = worker.paused_until.max(now + SUSPECT_PAUSE);
                 }
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -32,7 +32,7 @@
         let capacities = self.service_capacities();
         self.locate_suspects();
         let mut ranked: Vec<(Rank, StageKey)> = Vec::new();
-        for key in &self.open {
+        for key in &self.open_steps {
             let Some(live) = self.jobs.get(&key.job) else {
                 continue;
             };
@@ -248,7 +248,7 @@
         };
         let mut candidates: Vec<(&crate::worker::Worker, Size, Context)> = Vec::new();
         for worker in self.workers.values() {
-            if !fit::allowed(worker, &job.service, step) {
+            if !fit::is_eligible(worker, &job.service, step) {
                 continue;
             }
             if job.policy.advice.is_some() {
@@ -336,14 +336,14 @@
         }
         let checkpoint = task.checkpoint.clone();
         let crashes = task.crashes();
-        let noted = task.assume_crash(number, inherited);
+        let crash_assumed = task.assume_crash(number, inherited);
         task.run = Some(Run {
             // A task with so many crashes starts only on a worker that has answered since the last of them.
             proven: crashes >= CRASHES_ALONE,
             ..Run::new(number, Arc::clone(worker), now, start_deadline)
         });
         self.reserve_capacity(key, worker, number);
-        if noted {
+        if crash_assumed {
             self.suspects.insert(key.clone());
             self.mark_dirty(&key.stage.job);
             let most_crashes = self
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -71,8 +71,8 @@
     pub(crate) jobs: FxHashMap<JobId, LiveJob>,
     pub(crate) workers: FxHashMap<WorkerId, Worker>,
     /// Steps whose dependencies are complete and that are not complete themselves.
-    pub(crate) open: BTreeSet<StageKey>,
-    /// Jobs blocked until the worker's next listing: it listed ends of their runs before the jobs were known here.
+    pub(crate) open_steps: BTreeSet<StageKey>,
+    /// Jobs blocked until the worker's next report: it reported ends of their runs before the jobs were known here.
     pub(crate) jobs_awaiting_worker: BTreeMap<WorkerId, Vec<JobId>>,
     /// Tasks whose start command is unanswered or whose run is to be stopped.
     pub(crate) unconfirmed_runs: FxHashSet<TaskKey>,
@@ -116,7 +116,7 @@
     pub(crate) jobs_done: Vec<JobTimes>,
     /// Tasks suspected of crashing workers; may contain some whose suspicion has been cleared.
     pub(crate) suspects: BTreeSet<TaskKey>,
-    /// Workers that a run of a suspect may still crash, as of the current scheduling pass.
+    /// Workers with a run of a suspect that may still crash them, as of the current scheduling pass.
     pub(crate) suspects_by_worker: SuspectsByWorker,
     /// Tasks that were abandoned, to be logged.
     pub(crate) abandoned: Vec<AbandonedTask>,
@@ -145,8 +145,8 @@
     }
 
     /// Sets the maximum number of concurrent advisor queries.
-    pub fn set_max_queries(&mut self, askers: usize) {
-        self.options.max_queries = askers.max(1);
+    pub fn set_max_queries(&mut self, max_queries: usize) {
+        self.options.max_queries = max_queries.max(1);
     }
 
     /// Adds a job. Does nothing if the job is known already or was transferred to another pool.
@@ -167,11 +167,12 @@
             self.deposed = true;
             return;
         }
-        let ours = job.epoch == self.options.epoch && job.epoch > 0;
+        let accepted_for_us = job.epoch == self.options.epoch && job.epoch > 0;
         let mut live = LiveJob::new(job, progress, now, unix);
         // The former owner may have known, and started, a job that this owner learns of only now.
-        let former = self.former_commands_end().is_none_or(|end| now < end);
-        live.inherited = !ours && (inherited || former && !self.unconfirmed_workers.is_empty());
+        let former_may_act = self.former_commands_end().is_none_or(|end| now < end);
+        live.inherited = !accepted_for_us
+            && (inherited || former_may_act && !self.unconfirmed_workers.is_empty());
         self.jobs.insert(Arc::clone(&id), live);
         self.find_suspects(&id);
         self.advance(&id, now, unix);
@@ -189,7 +190,7 @@
         let Some(live) = self.jobs.get_mut(id) else {
             return;
         };
-        self.open.extend(live.advance(now, unix));
+        self.open_steps.extend(live.advance(now, unix));
         if live.next_due().is_some() {
             self.scheduled_jobs.insert(Arc::clone(id));
         } else {
@@ -212,7 +213,7 @@
         self.jobs
             .get(id)
             .map(|live| match (live.stored_state, live.state) {
-                (shown, _) if shown.is_final() => shown,
+                (stored, _) if stored.is_final() => stored,
                 (_, State::Queued) => State::Queued,
                 _ => State::Running,
             })
@@ -241,11 +242,11 @@
         live.state = state;
         live.closed = unix;
         let mut running = Vec::new();
-        for (&occurrence, course) in &mut live.open {
-            for (step, stage) in course.stages.iter_mut().enumerate() {
+        for (&number, occurrence) in &mut live.open {
+            for (step, stage) in occurrence.stages.iter_mut().enumerate() {
                 let key = StageKey {
                     job: Arc::clone(id),
-                    occurrence,
+                    occurrence: number,
                     step: step as u16,
                 };
                 for (index, task) in stage.tasks.iter_mut().enumerate() {
@@ -255,7 +256,7 @@
                         running.push(key.task(index as u32));
                     }
                 }
-                self.open.remove(&key);
+                self.open_steps.remove(&key);
             }
         }
         self.unconfirmed_runs.extend(running);
@@ -283,25 +284,25 @@
         counts
     }
 
-    /// Adds a worker that the directory lists, or updates what is known of it.
-    pub fn update_worker(&mut self, now: Ms, id: &WorkerId, news: WorkerInfo) {
+    /// Adds a worker that is registered in the directory, or updates what is known of it.
+    pub fn update_worker(&mut self, now: Ms, id: &WorkerId, info: WorkerInfo) {
         let worker = self.workers.entry(Arc::clone(id)).or_default();
         if worker.id.is_empty() {
             worker.id = Arc::clone(id);
             worker.slowness = 1.0;
         }
         worker.registered = true;
-        match (news.draining, worker.leaves_at) {
+        match (info.draining, worker.leaves_at) {
             (Some(left), None) => worker.leaves_at = Some(now + left),
-            (None, Some(_)) if news.incarnation != worker.info.incarnation => {
+            (None, Some(_)) if info.incarnation != worker.info.incarnation => {
                 worker.leaves_at = None;
             }
             _ => {}
         }
-        worker.info = news;
+        worker.info = info;
     }
 
-    /// The directory no longer lists a worker. The outcome of its runs is unknown until its lease has lapsed.
+    /// A worker is no longer registered in the directory. The outcome of its runs is unknown until its lease has expired.
     pub fn deregister_worker(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.registered = false;
@@ -332,7 +333,7 @@
         for worker in self.workers.values_mut() {
             worker.in_stored_roster &= !worker.is_unavailable(now);
         }
-        let mut silent: Vec<UnavailableWorker> = self
+        let mut unavailable: Vec<UnavailableWorker> = self
             .workers
             .values()
             .filter(|worker| worker.is_unavailable(now) || worker.lease_expires_at == Ms::MAX)
@@ -348,20 +349,20 @@
                 }
             })
             .collect();
-        silent.sort_by(|a, b| a.worker.cmp(&b.worker));
-        silent
+        unavailable.sort_by(|a, b| a.worker.cmp(&b.worker));
+        unavailable
     }
 
     /// Records the workers of the stored roster, sorted by id. Returns whether a worker may be given tasks that might
     /// not before.
     pub fn set_stored_roster(&mut self, ids: &[WorkerId]) -> bool {
-        let mut more = false;
+        let mut any_added = false;
         for (id, worker) in &mut self.workers {
-            let enrolled = ids.binary_search(id).is_ok();
-            more |= enrolled && !worker.in_stored_roster;
-            worker.in_stored_roster = enrolled;
+            let in_roster = ids.binary_search(id).is_ok();
+            any_added |= in_roster && !worker.in_stored_roster;
+            worker.in_stored_roster = in_roster;
         }
-        more
+        any_added
     }
 
     /// The worker with this id, if it is known.
--- a/crates/pool/src/query.rs
+++ b/crates/pool/src/query.rs
@@ -31,11 +31,11 @@
     ///
     /// Highly ranked work can take all of the advisor's time while most of the capacity is free. If queries followed the
     /// ranks alone, other work would wait for as long as that lasts.
-    pub(crate) fn query_overdue(&mut self, now: Ms, order: &[(Rank, StageKey)]) {
+    pub(crate) fn query_overdue(&mut self, now: Ms, ranked: &[(Rank, StageKey)]) {
         if !self.may_query_overdue() {
             return;
         }
-        let mut overdue: Vec<_> = order
+        let mut overdue: Vec<_> = ranked
             .iter()
             .filter_map(|(_, key)| {
                 let since = self.awaiting_query_since(now, key)?;
@@ -88,7 +88,7 @@
         let stage = self.stage(key)?;
         let mut tickets = stage.advised.allowed.values();
         if stage.advised.query_since.is_some()
-            || tickets.any(|it| it.valid_until > now + TICKET_MARGIN)
+            || tickets.any(|ticket| ticket.valid_until > now + TICKET_MARGIN)
         {
             return None;
         }
@@ -104,7 +104,7 @@
         step: &Step,
         tasks: u32,
     ) {
-        let Some(advice) = job.policy.advice else {
+        let Some(policy) = job.policy.advice else {
             return;
         };
         if self.open_queries.len() >= self.options.max_queries || self.is_query_blocked(now, key) {
@@ -124,18 +124,18 @@
             tasks,
             approval_rate,
             max_workers: self.options.max_query_workers,
-            min_workers: self.min_query_size(&advice),
+            min_workers: self.min_query_size(&policy),
             seed: FxBuildHasher.hash_one(key),
         };
         let workers = choose_workers(&required, &candidates);
-        self.send_query(now, key, advice, workers);
+        self.send_query(now, key, policy, workers);
     }
 
     /// Queries the advisor about a step before any worker has free capacity for it, if the advisor has time. With the answer
     /// and a ticket at hand, capacity is used as soon as it becomes free; otherwise it would stay idle for as long as a query
     /// takes.
     pub(crate) fn query_ahead(&mut self, now: Ms, key: &StageKey, job: &Job, step: &Step) {
-        let Some(advice) = job.policy.advice else {
+        let Some(policy) = job.policy.advice else {
             return;
         };
         if !self.has(Mechanism::AdviceAhead) {
@@ -146,14 +146,14 @@
             return;
         }
         let Some(stage) = self.stage(key) else { return };
-        let min_workers = self.min_query_size(&advice).max(1);
-        let duration = advice::query_duration(&advice, min_workers);
+        let min_workers = self.min_query_size(&policy).max(1);
+        let duration = advice::query_duration(&policy, min_workers);
         let outlasts_query = |until: Ms| until > now + duration + TICKET_MARGIN;
         if stage
             .advised
             .allowed
             .values()
-            .any(|it| outlasts_query(it.valid_until))
+            .any(|ticket| outlasts_query(ticket.valid_until))
         {
             return;
         }
@@ -166,13 +166,13 @@
             seed: FxBuildHasher.hash_one(key),
         };
         let workers = choose_workers(&required, &candidates);
-        self.send_query(now, key, advice, workers);
+        self.send_query(now, key, policy, workers);
     }
 
     /// Number of workers that a query names in any case.
-    fn min_query_size(&self, advice: &AdvisorPolicy) -> usize {
+    fn min_query_size(&self, policy: &AdvisorPolicy) -> usize {
         if self.has(Mechanism::AdviceCheap) {
-            advice::min_query_size(advice)
+            advice::min_query_size(policy)
         } else {
             0
         }
@@ -198,10 +198,10 @@
         let Some(stage) = self.stage(key) else {
             return Vec::new();
         };
-        let same = stage.spread();
+        let same_step = stage.spread();
         let mut candidates = Vec::new();
         for worker in self.workers.values() {
-            if !fit::allowed(worker, &job.service, step)
+            if !fit::is_eligible(worker, &job.service, step)
                 || !worker.accepts_starts(now)
                 || stage.advised.denied.contains(&worker.id)
             {
@@ -213,7 +213,7 @@
             }) {
                 continue;
             }
-            let here = same.get(&worker.id).copied().unwrap_or(0);
+            let here = same_step.get(&worker.id).copied().unwrap_or(0);
             let limit = if step.per_worker > 0 {
                 step.per_worker.saturating_sub(here)
             } else {
@@ -235,13 +235,13 @@
         &mut self,
         now: Ms,
         key: &StageKey,
-        advice: AdvisorPolicy,
+        policy: AdvisorPolicy,
         workers: Vec<WorkerId>,
     ) {
         if workers.is_empty() {
             return;
         }
-        let expected_duration = advice::query_duration(&advice, workers.len());
+        let expected_duration = advice::query_duration(&policy, workers.len());
         self.open_queries.insert(key.clone());
         self.query_count += 1;
         if let Some(stage) = self.stage_mut(key) {
--- a/crates/pool/src/schedule.rs
+++ b/crates/pool/src/schedule.rs
@@ -14,7 +14,7 @@
 const STOP_RETRY_DELAY: Ms = 400;
 /// A start is resent only if at least this much time is left until its deadline.
 const RESEND_MARGIN: Ms = 100;
-/// Time after which a confirmed stop is sent again if the worker has not listed the end of the run.
+/// Time after which a confirmed stop is sent again if the worker has not reported the end of the run.
 const CONFIRMED_STOP_RETRY_DELAY: Ms = 1_500;
 
 impl Pool {
@@ -84,8 +84,8 @@
         }
         for worker in self.workers.values_mut() {
             if worker.lease_expires_at < now && !worker.orphaned_runs.is_empty() {
-                for stray in std::mem::take(&mut worker.orphaned_runs).into_values() {
-                    let size = stray.size.unwrap_or_default();
+                for orphan in std::mem::take(&mut worker.orphaned_runs).into_values() {
+                    let size = orphan.size.unwrap_or_default();
                     worker.used = worker.used.minus(size).unwrap_or_default();
                 }
             }
@@ -115,7 +115,7 @@
             let Some(task) = live
                 .open
                 .get(&key.stage.occurrence)
-                .and_then(|course| course.stages.get(usize::from(key.stage.step)))
+                .and_then(|occurrence| occurrence.stages.get(usize::from(key.stage.step)))
                 .and_then(|stage| stage.tasks.get(key.index as usize))
             else {
                 self.unconfirmed_runs.remove(&key);
@@ -125,11 +125,11 @@
                 self.unconfirmed_runs.remove(&key);
                 continue;
             };
-            let since = now.saturating_sub(run.stop_sent);
-            let answers = self
+            let since_stop = now.saturating_sub(run.stop_sent);
+            let response_time = self
                 .workers
                 .get(&run.worker)
-                .map_or(0, |it| it.response_time);
+                .map_or(0, |worker| worker.response_time);
             let command = match run.phase {
                 Phase::Stopping => {
                     let retry_delay = if run.stop_confirmed > 0 {
@@ -137,7 +137,7 @@
                     } else {
                         STOP_RETRY_DELAY
                     };
-                    (run.stop_sent == 0 || since >= retry_delay).then(|| {
+                    (run.stop_sent == 0 || since_stop >= retry_delay).then(|| {
                         Command::Stop(Stop {
                             task: key.clone(),
                             run: run.number,
@@ -149,7 +149,8 @@
                 Phase::Starting | Phase::Unconfirmed
                     if resend_enabled
                         && task.crashes() == 0
-                        && now.saturating_sub(run.sent) >= repeat::delay(answers, run.copies)
+                        && now.saturating_sub(run.sent)
+                            >= repeat::delay(response_time, run.copies)
                         && clock(&run.worker) + RESEND_MARGIN < run.start_deadline
                         && self.retry_budget.spend() =>
                 {
--- a/crates/pool/src/service_capacity.rs
+++ b/crates/pool/src/service_capacity.rs
@@ -71,7 +71,7 @@
 }
 
 impl Pool {
-    /// Total and used capacity of the listed workers, by service.
+    /// Total and used capacity of the registered workers, by service.
     pub(crate) fn service_capacities(&self) -> FxHashMap<String, ServiceCapacity> {
         let mut services: FxHashMap<String, ServiceCapacity> = FxHashMap::default();
         let all_dimensions = self.has(Mechanism::Scarcity);
@@ -83,12 +83,12 @@
             }
         };
         for worker in self.workers.values().filter(|worker| worker.registered) {
-            let news = &worker.info;
-            if !services.contains_key(&news.service) {
-                services.insert(news.service.clone(), ServiceCapacity::default());
+            let info = &worker.info;
+            if !services.contains_key(&info.service) {
+                services.insert(info.service.clone(), ServiceCapacity::default());
             }
-            if let Some(service) = services.get_mut(&news.service) {
-                service.total = service.total.plus(counted(news.capacity));
+            if let Some(service) = services.get_mut(&info.service) {
+                service.total = service.total.plus(counted(info.capacity));
                 service.used = service.used.plus(counted(worker.used));
             }
         }
--- a/crates/pool/src/unservable.rs
+++ b/crates/pool/src/unservable.rs
@@ -15,7 +15,7 @@
 use crate::worker::Worker;
 
 /// Time for which a job has to be unservable before it is transferred: workers that crash are back after a few seconds,
-/// and after an outage of the store it takes two seconds until all workers are listed.
+/// and after an outage of the store it takes two seconds until all workers are registered.
 const UNSERVABLE_DELAY: Ms = 3_000;
 /// Minimum time between two scans of all jobs.
 const SCAN_INTERVAL: Ms = 500;
@@ -60,8 +60,9 @@
         let mut fitting = 0;
         for worker in self.workers.values() {
             let present = worker.registered || worker.fenced && !worker.unresponsive;
-            if present && worker.leaves_at.is_none() && fit::allowed(worker, &job.service, step) {
-                fitting += count_fitting(worker, step);
+            if present && worker.leaves_at.is_none() && fit::is_eligible(worker, &job.service, step)
+            {
+                fitting += fitting_when_empty(worker, step);
                 if fitting >= required {
                     return true;
                 }
@@ -89,7 +90,7 @@
     /// Removes a job that is now in another pool. Information about it that arrives later is outdated and ignored.
     pub fn remove_transferred(&mut self, id: &JobId) {
         self.jobs.remove(id);
-        self.open.retain(|key| key.job != *id);
+        self.open_steps.retain(|key| key.job != *id);
         self.open_queries.retain(|key| key.job != *id);
         self.overdue_queries.retain(|key| key.job != *id);
         self.scheduled_jobs.remove(id);
@@ -99,7 +100,7 @@
 }
 
 /// How many tasks of a step the worker could run if it were empty.
-fn count_fitting(worker: &Worker, step: &Step) -> u32 {
+fn fitting_when_empty(worker: &Worker, step: &Step) -> u32 {
     let fitting = fit::count_fitting(step.demand(), worker.info.capacity);
     if step.per_worker > 0 {
         fitting.min(step.per_worker)
--- a/crates/pool/tests/advice.rs
+++ b/crates/pool/tests/advice.rs
@@ -49,39 +49,39 @@
         ticket_lifetime: 2_000,
     });
     adopt(&mut pool, 1_000, advised);
-    let orders = pool.schedule(1_001, UNIX);
-    let [Command::Query(ask)] = orders.as_slice() else {
-        panic!("expected one advisor query, got {orders:?}");
+    let commands = pool.schedule(1_001, UNIX);
+    let [Command::Query(query)] = commands.as_slice() else {
+        panic!("expected one advisor query, got {commands:?}");
     };
     assert!(
         pool.schedule(1_010, UNIX).is_empty(),
         "the query is sent only once"
     );
-    let rows = vec![(ask.workers[0].clone(), "t1".to_owned())];
-    pool.advisor_answered(1_050, ask, Some((&rows, 2_000)));
-    let orders = pool.schedule(1_051, UNIX);
-    let Some(Command::Start(start)) = orders.first() else {
-        panic!("{orders:?}");
+    let tickets = vec![(query.workers[0].clone(), "t1".to_owned())];
+    pool.advisor_answered(1_050, query, Some((&tickets, 2_000)));
+    let commands = pool.schedule(1_051, UNIX);
+    let Some(Command::Start(start)) = commands.first() else {
+        panic!("{commands:?}");
     };
     assert_eq!(
         (start.ticket.as_str(), &start.worker),
-        ("t1", &ask.workers[0])
+        ("t1", &query.workers[0])
     );
     pool.start_answered(1_060, start, StartAnswer::Ticket);
     for id in ["w00", "w01", "w02"] {
         report(&mut pool, 1_070, &id.into(), vec![], vec![]);
     }
     let again = pool.schedule(1_080, UNIX);
-    let asked: Vec<_> = again
+    let queried: Vec<_> = again
         .iter()
-        .filter_map(|order| match order {
-            Command::Query(ask) => Some(ask.workers.clone()),
+        .filter_map(|command| match command {
+            Command::Query(query) => Some(query.workers.clone()),
             _ => None,
         })
         .collect();
     assert!(
-        asked.is_empty() || asked[0].contains(&ask.workers[0]),
-        "{asked:?}"
+        queried.is_empty() || queried[0].contains(&query.workers[0]),
+        "{queried:?}"
     );
 }
 
@@ -95,19 +95,19 @@
         1_010,
         job_with_slow_advice("00000000000000a3", 4_000),
     );
-    let orders = pool.schedule(1_020, UNIX);
-    let [Command::Query(ask)] = orders.as_slice() else {
-        panic!("{orders:?}");
+    let commands = pool.schedule(1_020, UNIX);
+    let [Command::Query(query)] = commands.as_slice() else {
+        panic!("{commands:?}");
     };
     assert_eq!(
-        ask.workers.len(),
+        query.workers.len(),
         2,
         "all workers, since each adds little time"
     );
     let first = running[0].worker.clone();
     pool.advisor_answered(
         1_550,
-        ask,
+        query,
         Some((&[(first.clone(), "t".to_owned())], 2_000)),
     );
     let done = vec![end(&running[0], 1, RunOutcome::Done)];
@@ -144,21 +144,21 @@
         ticket_lifetime: 2_000,
     });
     adopt(&mut pool, 1_000, spread);
-    let orders = pool.schedule(1_001, UNIX);
-    let [Command::Query(first)] = orders.as_slice() else {
-        panic!("{orders:?}");
+    let commands = pool.schedule(1_001, UNIX);
+    let [Command::Query(first)] = commands.as_slice() else {
+        panic!("{commands:?}");
     };
-    let rows = vec![(first.workers[0].clone(), "t1".to_owned())];
-    pool.advisor_answered(1_050, first, Some((&rows, 50)));
+    let tickets = vec![(first.workers[0].clone(), "t1".to_owned())];
+    pool.advisor_answered(1_050, first, Some((&tickets, 50)));
     // The first ticket has expired when the start is due; the second one lets the worker run one task.
-    pool.advisor_answered(1_051, first, Some((&rows, 2_000)));
+    pool.advisor_answered(1_051, first, Some((&tickets, 2_000)));
     let started = run(&mut pool, 1_060);
     assert_eq!(started.len(), 1);
     report_all(&mut pool, 3_300, &started);
-    let orders = pool.schedule(3_400, UNIX);
-    for order in &orders {
-        if let Command::Query(ask) = order {
-            assert!(!ask.workers.contains(&first.workers[0]), "{ask:?}");
+    let commands = pool.schedule(3_400, UNIX);
+    for command in &commands {
+        if let Command::Query(query) = command {
+            assert!(!query.workers.contains(&first.workers[0]), "{query:?}");
         }
     }
 }
@@ -210,19 +210,19 @@
             short.accepted = UNIX + now;
             adopt(&mut pool, now, short);
         }
-        in_flight.retain(|(sent, ask): &(u64, pool::AdvisorQuery)| {
+        in_flight.retain(|(sent, query): &(u64, pool::AdvisorQuery)| {
             let due = now - sent >= 300;
             if due {
-                pool.advisor_answered(now, ask, Some((&[], 2_000)));
+                pool.advisor_answered(now, query, Some((&[], 2_000)));
             }
             !due
         });
-        for order in pool.schedule(now, UNIX + now) {
-            if let Command::Query(ask) = order {
-                if &*ask.stage.job == "00000000000000c0" {
+        for command in pool.schedule(now, UNIX + now) {
+            if let Command::Query(query) = command {
+                if &*query.stage.job == "00000000000000c0" {
                     return true;
                 }
-                in_flight.push((now, ask));
+                in_flight.push((now, query));
             }
         }
     }
@@ -247,21 +247,21 @@
         });
         adopt(&mut pool, 1_010, advised);
     }
-    let asked = pool
+    let queried = pool
         .schedule(1_020, UNIX)
         .into_iter()
-        .filter_map(|order| match order {
-            Command::Query(ask) => Some(ask.workers),
+        .filter_map(|command| match command {
+            Command::Query(query) => Some(query.workers),
             _ => None,
         });
-    let asked: Vec<_> = asked.collect();
-    assert_eq!(asked.len(), 3);
-    let shared = asked[0]
+    let queried: Vec<_> = queried.collect();
+    assert_eq!(queried.len(), 3);
+    let shared = queried[0]
         .iter()
-        .filter(|id| asked[1].contains(id) && asked[2].contains(id))
+        .filter(|id| queried[1].contains(id) && queried[2].contains(id))
         .count();
     assert!(
-        shared <= asked[0].len() / 3,
-        "{shared} workers are in all queries: {asked:?}"
+        shared <= queried[0].len() / 3,
+        "{shared} workers are in all queries: {queried:?}"
     );
 }
--- a/crates/pool/tests/owner_changes.rs
+++ b/crates/pool/tests/owner_changes.rs
@@ -121,7 +121,7 @@
 }
 
 /// The former owner starts a job just before the new one fences the worker, and the new owner reads the job's row only after
-/// the worker has listed the run, or even its end. It must adopt the run and not start the job again.
+/// the worker has reported the run, or even its end. It must adopt the run and not start the job again.
 #[test]
 fn a_job_that_becomes_known_after_its_runs_is_not_started_again() {
     for pause in [30, 400] {
@@ -230,15 +230,15 @@
         ));
     }
     sim.run_for(300);
-    let mut news = sim.owners[0]
+    let mut info = sim.owners[0]
         .pool
         .worker("w00")
         .expect("the worker is known")
         .info
         .clone();
-    news.draining = Some(2_000);
+    info.draining = Some(2_000);
     let now = sim.now;
-    sim.owners[0].pool.update_worker(now, &id(0), news);
+    sim.owners[0].pool.update_worker(now, &id(0), info);
     sim.run_for(100);
     for epoch in 1..3 {
         sim.disconnect(&id(0), epoch);
@@ -317,7 +317,7 @@
 }
 
 /// A part of the store is down when an owner takes over, so it can't read some of the jobs for seconds. Their runs and ends are
-/// left alone. Known jobs don't wait for them, even if a worker has listed an end of an unknown job before theirs.
+/// left alone. Known jobs don't wait for them, even if a worker has reported an end of an unknown job before theirs.
 #[test]
 fn known_jobs_do_not_wait_for_unknown_ones() {
     let mut sim = Simulation::new(11, 4);
--- a/crates/pool/tests/policies.rs
+++ b/crates/pool/tests/policies.rs
@@ -133,7 +133,7 @@
 }
 
 /// A job fails once a task has used up its attempts, and nothing of it starts any more. Each failure counts once, even if a
-/// worker lists it again.
+/// worker reports it again.
 #[test]
 fn attempts_are_counted_once() {
     let mut pool = pool(3);
@@ -174,7 +174,7 @@
     adopt(&mut pool, 1_000, long_running);
     let mut number = 0;
     let mut now = 1_001;
-    for how in [
+    for outcome in [
         RunOutcome::Failed,
         RunOutcome::Lapsed,
         RunOutcome::Done,
@@ -187,7 +187,7 @@
         let ids = [WorkerId::from("w00"), WorkerId::from("w01")];
         for id in &ids {
             let ended = if *id == started[0].worker {
-                vec![end(&started[0], number, how)]
+                vec![end(&started[0], number, outcome)]
             } else {
                 vec![]
             };
@@ -213,13 +213,13 @@
     let runs = run(&mut pool, 1_001);
     assert_eq!(runs.len(), 3);
     let drain = |pool: &mut Pool, now| {
-        let mut news = pool
+        let mut info = pool
             .worker("w00")
             .expect("the worker is known")
             .info
             .clone();
-        news.draining = Some(3_000);
-        pool.update_worker(now, &"w00".into(), news);
+        info.draining = Some(3_000);
+        pool.update_worker(now, &"w00".into(), info);
     };
     drain(&mut pool, 1_100);
     report_all(&mut pool, 1_200, &runs);
@@ -228,13 +228,13 @@
         0,
         "there is no other worker"
     );
-    let news = WorkerInfo {
+    let info = WorkerInfo {
         service: "s".into(),
         capacity: Size::new(4_000, 10_000, 0),
         incarnation: 1,
         ..WorkerInfo::default()
     };
-    pool.update_worker(1_300, &"w01".into(), news);
+    pool.update_worker(1_300, &"w01".into(), info);
     pool.set_stored_roster(&["w00".into(), "w01".into()]);
     report_all(&mut pool, 1_400, &runs);
     assert_eq!(
@@ -245,12 +245,12 @@
     for now in [2_000, 2_600, 3_100] {
         report_all(&mut pool, now, &runs);
     }
-    let orders = pool.schedule(3_200, UNIX);
-    let with_checkpoints = orders.iter().any(
-        |order| matches!(order, Command::Stop(stop) if &*stop.task.stage.job == "00000000000000v1"),
+    let commands = pool.schedule(3_200, UNIX);
+    let with_checkpoints = commands.iter().any(
+        |command| matches!(command, Command::Stop(stop) if &*stop.task.stage.job == "00000000000000v1"),
     );
-    let plain = orders.iter().any(
-        |order| matches!(order, Command::Stop(stop) if &*stop.task.stage.job == "00000000000000p1"),
+    let plain = commands.iter().any(
+        |command| matches!(command, Command::Stop(stop) if &*stop.task.stage.job == "00000000000000p1"),
     );
     assert!(with_checkpoints && !plain);
 }
--- a/crates/pool/tests/simulation/mod.rs
+++ b/crates/pool/tests/simulation/mod.rs
@@ -59,7 +59,7 @@
     Started(usize, Start, StartAnswer),
     Stop(usize, Stop),
     Stopped(usize, Stop, StopAnswer),
-    Listing(usize, WorkerId, WorkerReport),
+    Report(usize, WorkerId, WorkerReport),
     /// A task crashes its worker, if that still has this incarnation.
     Crash(WorkerId, u64, TaskKey),
     /// The owners read the directory's row of a worker.
@@ -96,12 +96,12 @@
     pub(crate) jobs: BTreeMap<String, Arc<Job>>,
     stored: BTreeMap<String, Progress>,
     roster: Vec<WorkerId>,
-    silent: Vec<pool::UnavailableWorker>,
+    unavailable: Vec<pool::UnavailableWorker>,
     in_transit: Vec<(Ms, Message)>,
     stored_ends: BTreeSet<TaskKey>,
     pub(crate) violations: Vec<String>,
     pub(crate) starts: usize,
-    /// Workers that carry out commands and polls but whose listings are lost.
+    /// Workers that carry out commands and polls but whose reports are lost.
     pub(crate) mute: BTreeSet<WorkerId>,
     /// Workers on which every run fails.
     pub(crate) faulty: BTreeSet<WorkerId>,
@@ -169,7 +169,7 @@
             jobs: BTreeMap::new(),
             stored: BTreeMap::new(),
             roster: Vec::new(),
-            silent: Vec::new(),
+            unavailable: Vec::new(),
             in_transit: Vec::new(),
             stored_ends: BTreeSet::new(),
             violations: Vec::new(),
@@ -220,7 +220,7 @@
         roster.sort();
         roster.dedup();
         pool.set_stored_roster(&roster);
-        pool.inherit(self.now, roster.clone(), &self.silent);
+        pool.inherit(self.now, roster.clone(), &self.unavailable);
         self.roster = roster;
         self.owners.push(Owner {
             epoch,
@@ -323,11 +323,11 @@
                 Message::Stopped(owner, stop, answer) => {
                     self.owners[owner].pool.stop_answered(now, &stop, answer);
                 }
-                Message::Listing(owner, id, listing) => {
+                Message::Report(owner, id, report) => {
                     let unix = self.unix();
                     self.owners[owner]
                         .pool
-                        .apply_report(now, unix, &id, &listing);
+                        .apply_report(now, unix, &id, &report);
                 }
                 Message::Crash(id, incarnation, task) => self.crash_under(&id, incarnation, &task),
                 Message::Row(id) => self.publish_row(&id),
@@ -390,7 +390,7 @@
         }
         owner.pool.batch_stored(&batch);
         self.roster = owner.pool.roster(self.now);
-        self.silent = owner.pool.unavailable_workers(self.now);
+        self.unavailable = owner.pool.unavailable_workers(self.now);
         owner.pool.set_stored_roster(&self.roster);
     }
 
--- a/crates/pool/tests/simulation/workers.rs
+++ b/crates/pool/tests/simulation/workers.rs
@@ -131,7 +131,7 @@
                 .runs
                 .iter()
                 .filter_map(|(key, run)| {
-                    let how = if expired {
+                    let outcome = if expired {
                         RunOutcome::Lapsed
                     } else if run.stops_at.is_some_and(|at| now >= at) {
                         RunOutcome::Stopped
@@ -144,17 +144,17 @@
                     } else {
                         return None;
                     };
-                    Some((key.clone(), how))
+                    Some((key.clone(), outcome))
                 })
                 .collect();
-            for (task, how) in ended {
+            for (task, outcome) in ended {
                 let run = worker.runs.remove(&task).map_or(0, |run| run.number);
                 worker.end_count += 1;
                 worker.unstored_ends.push(RunEnd {
                     number: worker.end_count,
                     task,
                     run,
-                    outcome: how,
+                    outcome,
                     checkpoint: String::new(),
                 });
             }
@@ -207,7 +207,7 @@
                     }
                     worker.unstored_ends.retain(|end| end.number > stored);
                 }
-                let listing = WorkerReport {
+                let report = WorkerReport {
                     clock,
                     incarnation: worker.incarnation,
                     lease: lease.unwrap_or(0),
@@ -228,7 +228,7 @@
                 if self.mute.contains(id) {
                     self.owners[owner].pool.mark_unresponsive(id);
                 } else {
-                    self.send_after(STEP, Message::Listing(owner, id.clone(), listing));
+                    self.send_after(STEP, Message::Report(owner, id.clone(), report));
                 }
             }
         }
