--- a/crates/host/src/claim.rs
+++ b/crates/host/src/claim.rs
@@ -1,21 +1,21 @@
-//! Who owns a pool, and which workers that owner may use: two rows.
+//! The claim of a pool: a row that names the owner, and a row with the workers that this owner may use.
 //!
-//! Hosts that look for an owner follow the owners' rows alone, which are small and change with the owner and its heirs. The
-//! roster is larger and changes with each worker that falls silent, so it is a row of its own.
+//! Hosts that look for an owner follow only the owners' rows, which are small and change with the owner and its successors. The
+//! roster is larger and changes whenever a worker becomes unreachable, so it has a row of its own.
 
 use serde::de::DeserializeOwned;
 
 use crate::outside::Row;
 use crate::rows::{OWNER, OwnerRow, ROSTER, RosterRow};
 
-/// An owner's row with its roster.
+/// The owner's row and the roster of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Claim {
     pub owner: OwnerRow,
     pub roster: RosterRow,
 }
 
-/// The transactions that wrote the two rows last; 0 for a row that isn't there.
+/// The transactions that wrote the two rows last; 0 for a row that doesn't exist.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct ClaimVersion {
     pub owner: u64,
@@ -23,8 +23,8 @@
 }
 
 impl ClaimVersion {
-    /// The conditions under which the claim is still as it was. A write of either row makes every other write with these
-    /// conditions impossible.
+    /// The conditions that hold as long as the claim is unchanged. After a write of either row, no transaction with these
+    /// conditions can succeed.
     pub(crate) fn checks(self) -> Vec<(String, String, u64)> {
         [(OWNER, self.owner), (ROSTER, self.roster)]
             .map(|(table, version)| (table.to_owned(), table.to_owned(), version))
@@ -33,10 +33,10 @@
 }
 
 impl Claim {
-    /// The write of the owner's row.
+    /// The write of the owner's row, for a transaction.
     ///
     /// # Errors
-    /// If it can't be encoded.
+    /// If the row can't be encoded.
     pub(crate) fn put_owner(&self) -> serde_json::Result<(String, String, Vec<u8>)> {
         Ok((
             OWNER.to_owned(),
@@ -45,10 +45,10 @@
         ))
     }
 
-    /// The write of the roster.
+    /// The write of the roster, for a transaction.
     ///
     /// # Errors
-    /// If it can't be encoded.
+    /// If the row can't be encoded.
     pub(crate) fn put_roster(&self) -> serde_json::Result<(String, String, Vec<u8>)> {
         Ok((
             ROSTER.to_owned(),
@@ -57,19 +57,19 @@
         ))
     }
 
-    /// The claim among these rows, with its version; `None` if one of the rows isn't there.
+    /// Finds the claim and its version among these rows; `None` if one of its two rows is missing.
     pub(crate) fn find(rows: &[Row]) -> Option<(Self, ClaimVersion)> {
-        let (owner, written) = parse(rows, OWNER)?;
-        let (roster, listed) = parse(rows, ROSTER)?;
+        let (owner, owner_version) = parse(rows, OWNER)?;
+        let (roster, roster_version) = parse(rows, ROSTER)?;
         let version = ClaimVersion {
-            owner: written,
-            roster: listed,
+            owner: owner_version,
+            roster: roster_version,
         };
         Some((Self { owner, roster }, version))
     }
 }
 
-/// The row of a table whose only key is its name.
+/// Finds and decodes the row of a table that has only one row, whose key is the name of the table; returns it with its version.
 pub(crate) fn parse<T: DeserializeOwned>(rows: &[Row], table: &str) -> Option<(T, u64)> {
     let row = rows
         .iter()
--- a/crates/host/src/lag.rs
+++ b/crates/host/src/lag.rs
@@ -1,16 +1,17 @@
-//! Whether a host has time for what it does.
+//! Detection of an overloaded host by the lateness of its timers.
 //!
-//! Answers the load in which an owner's machine turns several times slower, or has less time than its pool needs: it goes on owning,
-//! hears its workers seconds late, and plans once a second. Timers tell: what should run every few milliseconds runs late.
+//! An owner whose machine becomes several times slower, or has less processor time than its pool needs, goes on owning the
+//! pool: it receives answers of its workers seconds late and runs a scheduling pass once a second. Timers that should fire
+//! every few milliseconds then fire late.
 
 use pool::Ms;
 
-/// Part that the newest timer counts in the mean.
-const NEWEST: f64 = 0.25;
-/// A host has no time if its timers are later than this on average, in milliseconds: several times what a busy owner sees.
-const LATE: f64 = 120.0;
-/// It has to be so for this long.
-const LASTS: Ms = 400;
+/// Weight of the newest timer in the running mean.
+const NEWEST_WEIGHT: f64 = 0.25;
+/// A host is overloaded if its timers are later than this on average, in milliseconds: several times what a busy owner sees.
+const OVERLOAD_LATENESS_MS: f64 = 120.0;
+/// The mean has to stay above the bound for this long.
+const OVERLOAD_DURATION: Ms = 400;
 
 /// How late the timers of this host are.
 ///
@@ -25,21 +26,23 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TimerLag {
+    /// Running mean of the lateness, in milliseconds.
     mean: f64,
+    /// Since when the mean has been above the bound.
     since: Option<Ms>,
 }
 
 impl TimerLag {
-    /// A timer was this late, in milliseconds.
+    /// Records that a timer fired this late, in milliseconds.
     pub fn note(&mut self, now: Ms, late: Ms) {
-        self.mean += NEWEST * (late as f64 - self.mean);
-        self.since = (self.mean > LATE).then(|| self.since.unwrap_or(now));
+        self.mean += NEWEST_WEIGHT * (late as f64 - self.mean);
+        self.since = (self.mean > OVERLOAD_LATENESS_MS).then(|| self.since.unwrap_or(now));
     }
 
-    /// Whether the host has had too little time for a while.
+    /// Whether the timers have been too late on average for a while.
     #[must_use]
     pub fn is_overloaded(&self, now: Ms) -> bool {
         self.since
-            .is_some_and(|since| now.saturating_sub(since) >= LASTS)
+            .is_some_and(|since| now.saturating_sub(since) >= OVERLOAD_DURATION)
     }
 }
--- a/crates/host/src/link.rs
+++ b/crates/host/src/link.rs
@@ -1,4 +1,4 @@
-//! What a host says to an owner over their connection.
+//! A host's end of its connection to the owner of a pool: messages, and calls with their replies.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 use crate::host::lock;
 use crate::wire::{Call, Reply, ToOwner};
 
-/// A host's side of its connection to an owner.
+/// A host's end of its connection to an owner.
 ///
 /// ```
 /// # tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap().block_on(async {
@@ -31,48 +31,50 @@
 /// ```
 pub struct Link {
     to: mpsc::Sender<ToOwner>,
+    /// Calls that wait for their replies, by number.
     calls: Mutex<FxHashMap<u64, oneshot::Sender<Reply>>>,
-    number: AtomicU64,
+    next_number: AtomicU64,
 }
 
 impl Link {
-    /// What is said goes into this channel; the connection has ended when its receiver is dropped.
+    /// Creates a link that sends its messages into this channel. The connection has ended when the receiver of the channel is
+    /// dropped.
     #[must_use]
     pub fn new(to: mpsc::Sender<ToOwner>) -> Self {
         Self {
             to,
             calls: Mutex::default(),
-            number: AtomicU64::new(1),
+            next_number: AtomicU64::new(1),
         }
     }
 
-    /// Tells the owner something; `false` if the link is broken or full.
+    /// Sends a message to the owner; `false` if the link is broken or its queue is full.
     pub fn send(&self, message: ToOwner) -> bool {
         self.to.try_send(message).is_ok()
     }
 
-    /// Asks the owner something; `None` if it doesn't answer within `time`.
-    pub async fn call(&self, call: Call, time: Duration) -> Option<Reply> {
-        let (number, answer) = self.ask(call)?;
-        let reply = timeout(time, answer).await.ok().and_then(Result::ok);
+    /// Calls the owner; `None` if there is no reply within `limit`.
+    pub async fn call(&self, call: Call, limit: Duration) -> Option<Reply> {
+        let (number, reply) = self.send_call(call)?;
+        let reply = timeout(limit, reply).await.ok().and_then(Result::ok);
         lock(&self.calls).remove(&number);
         reply
     }
 
-    /// Asks the owner for something whose answer may take long to arrive; `None` if the connection ends before.
+    /// Calls the owner for something whose reply may take long to transfer; `None` if the connection ends before it is there.
     ///
-    /// There is no other limit: an answer that was given up would go on arriving, and delay the next one.
+    /// There is no timeout: the reply to a call that timed out would go on arriving and delay the next one.
     pub async fn fetch(&self, call: Call) -> Option<Reply> {
-        let (number, answer) = self.ask(call)?;
+        let (number, reply) = self.send_call(call)?;
         let reply = tokio::select! {
-            reply = answer => reply.ok(),
+            reply = reply => reply.ok(),
             () = self.to.closed() => None,
         };
         lock(&self.calls).remove(&number);
         reply
     }
 
-    /// The owner has answered the call with this number; tells the reply if nobody waits for it any more.
+    /// Passes the owner's reply to the call with this number; returns the reply if that call doesn't wait for it any more.
     pub fn deliver_reply(&self, number: u64, reply: Reply) -> Option<Reply> {
         match lock(&self.calls).remove(&number) {
             Some(to) => to.send(reply).err(),
@@ -80,13 +82,13 @@
         }
     }
 
-    /// Sends a call; `None` if the link is broken or full.
-    fn ask(&self, call: Call) -> Option<(u64, oneshot::Receiver<Reply>)> {
-        let number = self.number.fetch_add(1, Ordering::Relaxed);
-        let (to, answer) = oneshot::channel();
+    /// Sends a call; `None` if the link is broken or its queue is full.
+    fn send_call(&self, call: Call) -> Option<(u64, oneshot::Receiver<Reply>)> {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let (to, reply) = oneshot::channel();
         lock(&self.calls).insert(number, to);
         if self.send(ToOwner::Ask(number, call)) {
-            return Some((number, answer));
+            return Some((number, reply));
         }
         lock(&self.calls).remove(&number);
         None
--- a/crates/host/src/pool_state.rs
+++ b/crates/host/src/pool_state.rs
@@ -1,4 +1,4 @@
-//! What a host knows of the pools' owners.
+//! What a host knows about the owner of each pool.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,43 +13,45 @@
 use crate::route::Load;
 use crate::wire::Beat;
 
-/// An owner whose last beat is older than four of them may be gone.
-const RECENT: Ms = 1_000;
-/// What an owner said of the store counts for this long.
-const SERVED_NEWS: Ms = 1_500;
+/// A heartbeat counts as recent for four intervals; after that the owner may have failed.
+const RECENT_HEARTBEAT_AGE: Ms = 1_000;
+/// What a heartbeat says about the store counts for this long.
+const SERVED_BY_STORE_AGE: Ms = 1_500;
 
-/// What this host heard from an owner last.
+/// The last heartbeat that this host received from a pool's owner.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LastHeartbeat {
+    /// When it was received.
     pub received_at: Ms,
     pub heartbeat: Beat,
 }
 
-/// One pool, as a host that may own it sees it.
+/// What a host knows about the owner of one pool.
 #[derive(Clone, Default)]
 pub(crate) struct PoolState {
     /// The owner, if it is this host.
     pub owner: Option<Arc<Owner>>,
-    /// The way to the owner, if it is another host and there is one.
+    /// The link to the owner, if it is another host and there is a connection.
     pub link: Option<Arc<Link>>,
-    /// What the owner said last.
+    /// The last heartbeat of the owner.
     pub last_heartbeat: LastHeartbeat,
 }
 
 impl Host {
-    /// What is known of a pool's owner.
+    /// What this host knows about a pool's owner.
     pub(crate) fn pool_state(&self, pool: u32) -> PoolState {
         let pool_states = lock(&self.pool_states);
         pool_states.get(pool as usize).cloned().unwrap_or_default()
     }
 
+    /// Changes the state of a pool, which is created if there is none yet.
     pub(crate) fn update_pool_state(&self, pool: u32, change: impl FnOnce(&mut PoolState)) {
         let mut pool_states = lock(&self.pool_states);
-        let at = pool as usize;
-        if pool_states.len() <= at {
-            pool_states.resize_with(at + 1, PoolState::default);
+        let index = pool as usize;
+        if pool_states.len() <= index {
+            pool_states.resize_with(index + 1, PoolState::default);
         }
-        if let Some(state) = pool_states.get_mut(at) {
+        if let Some(state) = pool_states.get_mut(index) {
             change(state);
         }
     }
@@ -61,36 +63,36 @@
     }
 
     pub(crate) fn set_owner(&self, pool: u32, owner: Option<Arc<Owner>>) {
-        let known = owner.is_some();
-        self.change_holder(pool, known, |state| state.owner = owner);
+        let reachable = owner.is_some();
+        self.change_route(pool, reachable, |state| state.owner = owner);
     }
 
     pub(crate) fn set_link(&self, pool: u32, link: Option<Arc<Link>>) {
-        let known = link.is_some();
-        self.change_holder(pool, known, |state| state.link = link);
+        let reachable = link.is_some();
+        self.change_route(pool, reachable, |state| state.link = link);
     }
 
-    /// Changes by what a pool's owner is reached; `known` if there is a way to it.
-    fn change_holder(&self, pool: u32, known: bool, change: impl FnOnce(&mut PoolState)) {
-        if known {
+    /// Changes how a pool's owner is reached; `reachable` tells whether it can be reached afterwards.
+    fn change_route(&self, pool: u32, reachable: bool, change: impl FnOnce(&mut PoolState)) {
+        if reachable {
             self.knows_owner.store(true, Ordering::Relaxed);
         }
         self.update_pool_state(pool, change);
         self.unowned.notify_one();
     }
 
-    /// Whether there is a pool whose owner this host doesn't know.
+    /// Whether there is a pool whose owner this host neither is nor has a link to.
     pub(crate) fn has_unknown_owner(&self) -> bool {
         let pools = self.plan.load().pools() as usize;
         let pool_states = lock(&self.pool_states);
-        let known = pool_states.iter().take(pools);
-        known
+        let states = pool_states.iter().take(pools);
+        states
             .filter(|state| state.owner.is_some() || state.link.is_some())
             .count()
             < pools
     }
 
-    /// How many pools this host owns.
+    /// Number of pools that this host owns.
     pub(crate) fn owned_pool_count(&self) -> u32 {
         let pool_states = lock(&self.pool_states);
         pool_states
@@ -99,18 +101,19 @@
             .count() as u32
     }
 
-    /// How many of the pools up to this one, itself included, this host owns.
+    /// Number of pools up to and including this one that this host owns.
     pub(crate) fn owned_pool_count_up_to(&self, pool: u32) -> u32 {
         let pool_states = lock(&self.pool_states);
         let up_to = pool_states.iter().take(pool as usize + 1);
         up_to.filter(|state| state.owner.is_some()).count() as u32
     }
 
+    /// The link to the owner of a pool, if there is one.
     pub(crate) fn owner_link(&self, pool: u32) -> Option<Arc<Link>> {
         self.pool_state(pool).link
     }
 
-    /// Epoch of a pool's owner, if this host is linked to it or is it; 0 if not.
+    /// Epoch of a pool's owner if this host is the owner or has a link to it, otherwise 0.
     pub(crate) fn owner_epoch(&self, pool: u32) -> u64 {
         let state = self.pool_state(pool);
         match (state.owner, state.link) {
@@ -120,18 +123,19 @@
         }
     }
 
-    /// The way to an owner that the store serves, as far as this host knows.
+    /// The link to an owner that the store serves, according to a recent heartbeat.
     pub(crate) fn link_to_owner_with_store(&self) -> Option<Arc<Link>> {
         let now = clock::now();
         let pool_states = lock(&self.pool_states);
         let served = pool_states.iter().find(|state| {
             state.link.is_some()
                 && state.last_heartbeat.heartbeat.served
-                && now.saturating_sub(state.last_heartbeat.received_at) < SERVED_NEWS
+                && now.saturating_sub(state.last_heartbeat.received_at) < SERVED_BY_STORE_AGE
         });
         served.and_then(|state| state.link.clone())
     }
 
+    /// The last heartbeat of a pool's owner.
     pub(crate) fn last_heartbeat(&self, pool: u32) -> LastHeartbeat {
         let pool_states = lock(&self.pool_states);
         pool_states
@@ -139,7 +143,8 @@
             .map_or_else(LastHeartbeat::default, |state| state.last_heartbeat.clone())
     }
 
-    /// Sums up what owners said within the last `max_age` milliseconds; `None` if one of them wasn't heard or didn't know.
+    /// The sum of a value over the heartbeats of all pools' owners; `None` if one of the heartbeats is `max_age` milliseconds
+    /// old or older, or has no value.
     pub(crate) fn sum_over_pools(
         &self,
         max_age: Ms,
@@ -148,23 +153,23 @@
         let now = clock::now();
         let pools = self.plan.load().pools() as usize;
         let pool_states = lock(&self.pool_states);
-        let told = (0..pools).map(|pool| {
+        let values = (0..pools).map(|pool| {
             let state = pool_states.get(pool)?;
             let recent = now.saturating_sub(state.last_heartbeat.received_at) < max_age;
             recent
                 .then(|| part(&state.last_heartbeat.heartbeat))
                 .flatten()
         });
-        told.sum()
+        values.sum()
     }
 
-    /// How loaded the pools are, as far as this host knows.
+    /// The load of each pool according to the last heartbeat of its owner.
     pub(crate) fn pool_loads(&self) -> FxHashMap<u32, Load> {
         let now = clock::now();
         let pool_states = lock(&self.pool_states);
         let loads = pool_states.iter().enumerate().map(|(pool, state)| {
             let load = Load {
-                heard: now.saturating_sub(state.last_heartbeat.received_at) < RECENT
+                heard: now.saturating_sub(state.last_heartbeat.received_at) < RECENT_HEARTBEAT_AGE
                     && state.last_heartbeat.heartbeat.pending.is_some(),
                 taken: state.last_heartbeat.heartbeat.taken,
                 labels: state.last_heartbeat.heartbeat.labels.clone(),
@@ -174,15 +179,18 @@
         loads.collect()
     }
 
-    /// The way to an owner that was heard lately and knows something newer.
-    pub(crate) fn link_to_owner_where(&self, newer: impl Fn(&Beat) -> bool) -> Option<Arc<Link>> {
+    /// The link to an owner whose last heartbeat is recent and fulfils a condition.
+    pub(crate) fn link_to_owner_where(
+        &self,
+        condition: impl Fn(&Beat) -> bool,
+    ) -> Option<Arc<Link>> {
         let now = clock::now();
         let pool_states = lock(&self.pool_states);
-        let ahead = pool_states.iter().find(|state| {
-            now.saturating_sub(state.last_heartbeat.received_at) < RECENT
-                && newer(&state.last_heartbeat.heartbeat)
+        let found = pool_states.iter().find(|state| {
+            now.saturating_sub(state.last_heartbeat.received_at) < RECENT_HEARTBEAT_AGE
+                && condition(&state.last_heartbeat.heartbeat)
                 && state.link.is_some()
         });
-        ahead.and_then(|state| state.link.clone())
+        found.and_then(|state| state.link.clone())
     }
 }
--- a/crates/host/src/verdict.rs
+++ b/crates/host/src/verdict.rs
@@ -1,41 +1,43 @@
-//! Whether an owner that a host lost the link to is lost for all, or for this host only.
+//! Failure detection: whether an owner to which a host has lost its link has failed, or only this host is cut off from it.
 //!
-//! Answers the load in which the host's own line is full: neither beats nor answers come through, and the owner works. That no
-//! answer came says as much about the line as about the owner, so it counts only beside a call on the same line that was
-//! answered, or after a while. Where the owner and all its heirs have ended, their machines refuse connections, which is an
-//! answer; where they have lost power, the store still answers.
+//! When the host's own network connection is saturated, neither heartbeats nor answers arrive although the owner works. A
+//! missing answer says as much about the connection as about the owner, so it counts only beside a call over the same
+//! connection that was answered, or after some time. If the processes of the owner and of all its successors have ended, their
+//! machines refuse connections, which is an answer; if these machines have lost power, the store still answers.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Without an answer from any other host a host whose line works stands back for this long, and asks again meanwhile.
-const CUT_OFF_LIMIT: Duration = Duration::from_secs(1);
-/// A host whose line doesn't work, as far as it knows, stands back for this long. It is less than workers' leases last.
-const LINE_FULL_LIMIT: Duration = Duration::from_secs(5);
+/// A host whose connection works but that got no answer from any other host waits this long before it considers the owner lost,
+/// and asks again meanwhile.
+const NO_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// The same for a host whose connection doesn't work as far as it knows. It is shorter than the leases of workers, so that the
+/// pool is taken over before they lapse.
+const NO_CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What came back when a host was asked whether it hears a pool's owner.
+/// The result of asking another host whether it receives heartbeats of a pool's owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WitnessAnswer {
-    /// It hears the owner, or is it.
+    /// It receives them, or is the owner.
     Hears,
-    /// It is alive and doesn't hear the owner.
+    /// It is running and doesn't receive them.
     DoesNotHear,
-    /// Its machine refused the connection: the process has ended.
+    /// Its machine refused the connection, so the process has ended.
     Refused,
-    /// Nothing came in time.
+    /// There was no answer in time.
     TimedOut,
 }
 
-/// Answers of the hosts that were asked, counted.
+/// The answers of the hosts that were asked, counted by kind.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Tally {
-    /// How many answered [`WitnessAnswer::Hears`].
+    /// Number of answers [`WitnessAnswer::Hears`].
     pub hears: u32,
-    /// How many answered [`WitnessAnswer::DoesNotHear`].
+    /// Number of answers [`WitnessAnswer::DoesNotHear`].
     pub does_not_hear: u32,
-    /// How many answered [`WitnessAnswer::Refused`].
+    /// Number of answers [`WitnessAnswer::Refused`].
     pub refused: u32,
-    /// How many answered [`WitnessAnswer::TimedOut`].
+    /// Number of hosts without an answer, [`WitnessAnswer::TimedOut`].
     pub timed_out: u32,
 }
 
@@ -56,13 +58,13 @@
 }
 
 impl Tally {
-    /// How many hosts were asked.
+    /// Number of hosts that were asked.
     #[must_use]
     pub fn asked(&self) -> u32 {
         self.answered() + self.timed_out
     }
 
-    /// How many answered, whatever they said.
+    /// Number of hosts that answered, whatever the answer.
     #[must_use]
     pub fn answered(&self) -> u32 {
         self.hears + self.does_not_hear + self.refused
@@ -73,7 +75,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "of {} asked {} hear the owner, {} don't, {} refused, {} timed out",
+            "of {} hosts asked, {} hear the owner, {} don't, {} refused, {} timed out",
             self.asked(),
             self.hears,
             self.does_not_hear,
@@ -83,35 +85,35 @@
     }
 }
 
-/// What a host concludes.
+/// The conclusion of a host about an owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// The owner works: only this host doesn't hear it.
+    /// The owner works, and only this host is cut off from it.
     Alive,
-    /// The owner is lost: another host has to take the pool.
+    /// The owner has failed, and another host has to take over the pool.
     Lost,
-    /// It can't be told yet: others go first, and this host asks again.
+    /// The evidence isn't sufficient yet. This host asks again; another host may take over meanwhile.
     Unsure,
 }
 
-/// What is known of an owner without a link to it.
+/// What is known about an owner to which this host has no link.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Evidence {
-    /// What the owner's own address answered; `None` if the others had answered by then.
+    /// The answer from the owner's own address; `None` if the successors' answers came first and were sufficient.
     pub owner: Option<WitnessAnswer>,
-    /// What its heirs answered.
+    /// The answers of its successors.
     pub witnesses: Tally,
-    /// The store answered in half the time that the others had: an answer of theirs takes two round trips, one of the store's
-    /// takes one.
+    /// The store answered within half of the timeout for the hosts: an answer of a host takes two round trips, one of the
+    /// store takes one.
     pub store_answered: bool,
-    /// The owner's row was written by it since it could first not be told whether it is lost.
+    /// The owner has written its row since the first [`Verdict::Unsure`] about it.
     pub rewritten: bool,
-    /// Time since then.
+    /// Time since the first [`Verdict::Unsure`].
     pub unsure_for: Duration,
 }
 
 impl Evidence {
-    /// What follows from it.
+    /// The conclusion from this evidence.
     ///
     /// ```
     /// use host::verdict::{WitnessAnswer, Evidence, Verdict};
@@ -138,17 +140,17 @@
         if self.rewritten {
             return Verdict::Alive;
         }
-        if self.unsure_for >= self.limit() {
+        if self.unsure_for >= self.timeout() {
             return Verdict::Lost;
         }
         Verdict::Unsure
     }
 
-    /// How long a host stands back that got few answers.
-    fn limit(&self) -> Duration {
+    /// How long a host that got few answers waits before it considers the owner lost.
+    fn timeout(&self) -> Duration {
         match (self.store_answered, self.witnesses.answered()) {
-            (false, _) => LINE_FULL_LIMIT,
-            (true, 0) => CUT_OFF_LIMIT,
+            (false, _) => NO_CONNECTION_TIMEOUT,
+            (true, 0) => NO_ANSWER_TIMEOUT,
             (true, _) => Duration::ZERO,
         }
     }
@@ -159,9 +161,9 @@
         let (store, ms) = (self.store_answered, self.unsure_for.as_millis());
         write!(f, "{}", self.witnesses)?;
         match self.owner {
-            Some(answer) => write!(f, "; the owner: {answer:?}")?,
-            None => f.write_str("; the owner hadn't answered")?,
+            Some(answer) => write!(f, "; answer of the owner: {answer:?}")?,
+            None => f.write_str("; no answer of the owner yet")?,
         }
-        write!(f, "; the store answered: {store}; unsure for {ms} ms")
+        write!(f, "; store answered: {store}; unsure for {ms} ms")
     }
 }
--- a/crates/host/tests/beat.rs
+++ b/crates/host/tests/beat.rs
@@ -1,4 +1,4 @@
-//! What a host may conclude from an owner's beat.
+//! What a host may conclude from an owner's heartbeat.
 
 use host::wire::Beat;
 
@@ -12,16 +12,16 @@
     }
 }
 
-/// Guards against a late beat that makes an old configuration look current.
+/// Guards against a delayed heartbeat that makes an old configuration look current.
 #[test]
-fn a_beat_says_what_was_so_when_the_owner_heard_the_host() {
+fn a_heartbeat_refers_to_the_time_when_the_owner_heard_the_host() {
     assert_eq!(beat(7, 10_000, 400).confirms(7), Some(9_600));
     assert_eq!(beat(7, 200, 400).confirms(7), Some(0));
 }
 
-/// Guards against owners that are served and have another version, or don't know whether theirs is the newest.
+/// Guards against owners that the store serves but that have another version, or don't know whether theirs is the newest.
 #[test]
-fn only_an_owner_that_knows_confirms() {
+fn only_an_owner_with_the_newest_version_confirms() {
     assert_eq!(beat(8, 10_000, 0).confirms(7), None);
     assert_eq!(beat(6, 10_000, 0).confirms(7), None);
     assert_eq!(beat(0, 10_000, 0).confirms(0), None);
--- a/crates/host/tests/links.rs
+++ b/crates/host/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between hosts over lines that carry a frame slowly.
+//! Links between hosts over slow connections, which take long to transfer a frame.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Longest time without a byte.
-const SILENCE: Duration = Duration::from_millis(900);
-/// Time between two pieces on a thin line.
-const PIECE_EVERY: Duration = Duration::from_millis(100);
-/// Bytes in one piece: 10 Mbit/s.
-const PIECE_BYTES: usize = 125_000;
-/// Room for what is sent before the line has carried it.
-const BUFFER: usize = 8 << 20;
+/// A sender from which no byte arrives for this long is considered lost.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time between two chunks on a slow connection.
+const CHUNK_INTERVAL: Duration = Duration::from_millis(100);
+/// Bytes in one chunk; with the interval between chunks this is 10 Mbit/s.
+const CHUNK_BYTES: usize = 125_000;
+/// Capacity of the buffer for sent bytes that the connection has not transferred yet.
+const BUFFER_BYTES: usize = 8 << 20;
 
 fn beat(labels: usize) -> FromOwner {
     FromOwner::Beat(Beat {
@@ -26,8 +26,8 @@
     })
 }
 
-/// A frame of 3 MB, which takes 2.4 s on a thin line.
-fn large() -> FromOwner {
+/// A frame of 3 MB, which takes 2.4 s on a slow connection.
+fn large_frame() -> FromOwner {
     beat(3_000_000 / 36)
 }
 
@@ -38,23 +38,23 @@
     }
 }
 
-/// A line that carries `pieces` pieces and then nothing more, without being closed.
-fn line(
-    pieces: usize,
+/// A connection that transfers `chunks` chunks and then nothing more, without being closed.
+fn slow_connection(
+    chunks: usize,
 ) -> (
     Sender<FromOwner, DuplexStream>,
     Receiver<FromOwner, DuplexStream>,
 ) {
-    let (sender, mut from) = duplex(BUFFER);
-    let (mut to, receiver) = duplex(BUFFER);
+    let (sender, mut from) = duplex(BUFFER_BYTES);
+    let (mut to, receiver) = duplex(BUFFER_BYTES);
     tokio::spawn(async move {
-        let mut piece = vec![0; PIECE_BYTES];
-        for _ in 0..pieces {
-            sleep(PIECE_EVERY).await;
-            let bytes = from.read(&mut piece).await.expect("the sender is there");
-            to.write_all(&piece[..bytes])
+        let mut chunk = vec![0; CHUNK_BYTES];
+        for _ in 0..chunks {
+            sleep(CHUNK_INTERVAL).await;
+            let bytes = from.read(&mut chunk).await.expect("the sender is open");
+            to.write_all(&chunk[..bytes])
                 .await
-                .expect("the receiver is there");
+                .expect("the receiver is open");
         }
         std::future::pending::<()>().await;
     });
@@ -66,58 +66,64 @@
     sender.flush().await.expect("sent");
 }
 
-/// A sender is taken for silent while a frame of its arrives for longer than the limit.
+/// Guards against a sender that is considered lost while one of its frames takes longer than the timeout to arrive.
 #[tokio::test(start_paused = true)]
 async fn a_sender_is_not_silent_while_its_frame_arrives() {
-    let (mut sender, mut receiver) = line(usize::MAX);
-    send(&mut sender, &large()).await;
+    let (mut sender, mut receiver) = slow_connection(usize::MAX);
+    send(&mut sender, &large_frame()).await;
     send(&mut sender, &beat(1)).await;
     let began = Instant::now();
-    let first = receiver.next_within(SILENCE).await;
+    let first = receiver.next_within(SILENCE_TIMEOUT).await;
     assert_eq!(labels(first.expect("the bytes arrive")), 3_000_000 / 36);
-    assert!(began.elapsed() > SILENCE * 2, "the frame took long");
-    let second = receiver.next_within(SILENCE).await;
+    assert!(began.elapsed() > SILENCE_TIMEOUT * 2, "the frame took long");
+    let second = receiver.next_within(SILENCE_TIMEOUT).await;
     assert_eq!(labels(second.expect("the bytes arrive")), 1);
 }
 
-/// A sender that says nothing is not found out.
+/// Guards against a silent sender that is not detected.
 #[tokio::test(start_paused = true)]
-async fn a_sender_without_bytes_is_silent_after_the_limit() {
-    let (_sender, mut receiver) = line(usize::MAX);
+async fn a_sender_without_bytes_times_out() {
+    let (_sender, mut receiver) = slow_connection(usize::MAX);
     let began = Instant::now();
-    let error = receiver.next_within(SILENCE).await.expect_err("silent");
+    let error = receiver
+        .next_within(SILENCE_TIMEOUT)
+        .await
+        .expect_err("silent");
     assert_eq!(error.kind(), ErrorKind::TimedOut);
-    assert_eq!(began.elapsed().as_millis(), SILENCE.as_millis());
+    assert_eq!(began.elapsed().as_millis(), SILENCE_TIMEOUT.as_millis());
 }
 
-/// A sender that stops in the middle of a frame is found out late, or never.
+/// Guards against a sender that stops in the middle of a frame and is detected late or never.
 #[tokio::test(start_paused = true)]
-async fn a_sender_that_stops_within_a_frame_is_silent_after_the_limit() {
-    let pieces = 12;
-    let (mut sender, mut receiver) = line(pieces);
-    send(&mut sender, &large()).await;
+async fn a_sender_that_stops_within_a_frame_times_out() {
+    let chunks = 12;
+    let (mut sender, mut receiver) = slow_connection(chunks);
+    send(&mut sender, &large_frame()).await;
     let began = Instant::now();
-    let error = receiver.next_within(SILENCE).await.expect_err("silent");
+    let error = receiver
+        .next_within(SILENCE_TIMEOUT)
+        .await
+        .expect_err("silent");
     assert_eq!(error.kind(), ErrorKind::TimedOut);
-    let all = PIECE_EVERY * pieces as u32 + SILENCE;
+    let all = CHUNK_INTERVAL * chunks as u32 + SILENCE_TIMEOUT;
     assert_eq!(began.elapsed().as_millis(), all.as_millis());
 }
 
-/// What has arrived of a frame is lost when its receiver turns to something else meanwhile.
+/// Guards against losing the received part of a frame when the call that awaits it is cancelled.
 #[tokio::test(start_paused = true)]
-async fn a_frame_that_is_awaited_in_several_tries_is_whole() {
-    let (mut sender, mut receiver) = line(usize::MAX);
-    send(&mut sender, &large()).await;
-    let mut tries = 0;
+async fn a_frame_that_is_awaited_in_several_attempts_is_complete() {
+    let (mut sender, mut receiver) = slow_connection(usize::MAX);
+    send(&mut sender, &large_frame()).await;
+    let mut attempts = 0;
     let message = loop {
-        tries += 1;
-        let next = receiver.next_within(SILENCE);
+        attempts += 1;
+        let next = receiver.next_within(SILENCE_TIMEOUT);
         if let Ok(message) = timeout(Duration::from_millis(330), next).await {
             break message;
         }
     };
     assert_eq!(labels(message.expect("the bytes arrive")), 3_000_000 / 36);
-    assert!(tries > 5, "the frame came at once");
+    assert!(attempts > 5, "the frame arrived too fast for this test");
 }
 
 /// A configuration of 3 MB.
@@ -128,36 +134,37 @@
     }
 }
 
-/// An owner that answers each call with the configuration; tells how often it was asked.
+/// An owner that answers each call with the configuration; returns the number of calls.
 async fn answer_calls(
     mut calls: mpsc::Receiver<ToOwner>,
     mut sender: Sender<FromOwner, DuplexStream>,
 ) -> u32 {
-    let mut asked = 0;
+    let mut count = 0;
     while let Some(ToOwner::Ask(number, Call::Catalog)) = calls.recv().await {
-        asked += 1;
+        count += 1;
         let reply = Reply::Catalog(catalog());
         send(&mut sender, &FromOwner::Told(number, reply)).await;
     }
-    asked
+    count
 }
 
-/// Passes answers to the link.
+/// Passes replies to the link.
 async fn read_answers(link: &Link, mut receiver: Receiver<FromOwner, DuplexStream>) {
-    while let Ok(Some(message)) = receiver.next_within(SILENCE).await {
+    while let Ok(Some(message)) = receiver.next_within(SILENCE_TIMEOUT).await {
         if let FromOwner::Told(number, reply) = message {
             assert!(
                 link.deliver_reply(number, reply).is_none(),
-                "the call was given up"
+                "the call was cancelled"
             );
         }
     }
 }
 
-/// A configuration that arrives slowly is given up and asked for again from its start, so that it never comes.
+/// Guards against a call that times out while the configuration arrives slowly, and is repeated from the start, so that the
+/// configuration never arrives.
 #[tokio::test(start_paused = true)]
-async fn a_configuration_on_a_thin_line_is_fetched_once() {
-    let (sender, receiver) = line(usize::MAX);
+async fn a_configuration_on_a_slow_connection_is_fetched_once() {
+    let (sender, receiver) = slow_connection(usize::MAX);
     let (to, calls) = mpsc::channel(16);
     let owner = tokio::spawn(answer_calls(calls, sender));
     let link = Link::new(to);
@@ -172,7 +179,7 @@
     let reply = tokio::select! {
         reply = fetch => reply,
         () = read_answers(&link, receiver) => panic!("the owner is silent"),
-        () = sleep(Duration::from_secs(60)) => panic!("the configuration doesn't come"),
+        () = sleep(Duration::from_secs(60)) => panic!("the configuration does not arrive"),
     };
     let Reply::Catalog(catalog) = reply else {
         panic!("not a configuration: {reply:?}");
@@ -182,21 +189,21 @@
     assert_eq!(owner.await.expect("the owner ran"), 1);
 }
 
-/// A fetch goes on after the connection has ended, and its host never asks again.
+/// Guards against a fetch that goes on after its connection has ended, so that its host never asks again.
 #[tokio::test(start_paused = true)]
 async fn a_fetch_ends_with_its_connection() {
     let (to, calls) = mpsc::channel(16);
     let link = Link::new(to);
-    let lasts = Duration::from_secs(5);
+    let connection_lifetime = Duration::from_secs(5);
     let connection = async {
-        sleep(lasts).await;
+        sleep(connection_lifetime).await;
         drop(calls);
     };
     let began = Instant::now();
-    let fetch = timeout(lasts * 2, link.fetch(Call::Catalog));
+    let fetch = timeout(connection_lifetime * 2, link.fetch(Call::Catalog));
     let (reply, ()) = tokio::join!(fetch, connection);
     let reply = reply.expect("the fetch ends");
     assert!(reply.is_none());
-    assert_eq!(began.elapsed().as_millis(), lasts.as_millis());
+    assert_eq!(began.elapsed().as_millis(), connection_lifetime.as_millis());
     assert!(link.fetch(Call::Catalog).await.is_none());
 }
--- a/crates/host/tests/verdict.rs
+++ b/crates/host/tests/verdict.rs
@@ -1,10 +1,10 @@
-//! When an owner that a host doesn't hear is lost.
+//! When an owner to which a host has lost its link is considered lost.
 
 use std::time::Duration;
 
 use host::verdict::{Evidence, Verdict, WitnessAnswer};
 
-/// Evidence from what the witnesses answered.
+/// Evidence that consists of the answers of the witnesses.
 fn witnesses(answers: &[WitnessAnswer]) -> Evidence {
     Evidence {
         witnesses: answers.iter().copied().collect(),
@@ -12,20 +12,22 @@
     }
 }
 
-/// A host whose line was full took "no answer in time" for "nobody hears the owner", and took the pool from an owner that worked.
+/// A host with a saturated connection mistook missing answers for the answer that nobody hears the owner, and took the pool from
+/// an owner that worked.
 #[test]
-fn no_answer_in_time_is_not_a_no() {
+fn a_missing_answer_is_not_a_negative_answer() {
     let silent = witnesses(&[WitnessAnswer::TimedOut; 4]);
     assert_ne!(silent.verdict(), Verdict::Lost);
 }
 
-/// A host that had read the owner's row before the owner named its heirs asked nobody, and took that for a no.
+/// A host that had read the owner's row before the owner named its successors had nobody to ask, and mistook that for the answer
+/// that nobody hears the owner.
 #[test]
-fn a_host_that_can_ask_nobody_knows_nothing() {
+fn without_witnesses_there_is_no_conclusion() {
     assert_ne!(witnesses(&[]).verdict(), Verdict::Lost);
 }
 
-/// One host that hears the owner was enough to spare it, and has to stay enough.
+/// A single host that hears the owner proves that it works, whatever the others answer.
 #[test]
 fn an_owner_that_one_host_hears_is_alive() {
     let mixed = [
@@ -37,10 +39,10 @@
     assert_eq!(witnesses(&mixed).verdict(), Verdict::Alive);
 }
 
-/// The owner and its heirs are killed together: their machines refuse connections, which is an answer, and the pool must be
-/// taken at once.
+/// When the owner and its successors are killed together, their machines refuse connections. That is an answer, and the pool
+/// must be taken over at once.
 #[test]
-fn an_owner_that_all_answers_miss_is_lost() {
+fn an_owner_that_no_answering_host_hears_is_lost() {
     assert_eq!(
         witnesses(&[WitnessAnswer::DoesNotHear; 4]).verdict(),
         Verdict::Lost
@@ -51,9 +53,10 @@
     );
 }
 
-/// The owner's process has ended: whoever else is dead, its machine says so, and the pool must be taken at once.
+/// When the owner's process has ended, its machine refuses connections or another process answers there. The pool must be taken
+/// over at once, whichever other hosts have failed.
 #[test]
-fn an_owner_whose_machine_refuses_is_lost() {
+fn an_owner_whose_address_gives_a_negative_answer_is_lost() {
     for owner in [WitnessAnswer::Refused, WitnessAnswer::DoesNotHear] {
         let ended = Evidence {
             owner: Some(owner),
@@ -63,7 +66,7 @@
     }
 }
 
-/// Over a new connection the owner answers, which a link that went silent doesn't show.
+/// An owner whose link has become silent may still answer over a new connection.
 #[test]
 fn an_owner_that_answers_is_alive() {
     let answers = Evidence {
@@ -73,19 +76,19 @@
     assert_eq!(answers.verdict(), Verdict::Alive);
 }
 
-/// The line between the regions is full: hosts of the far region say that they don't hear the owner, those beside it can't
-/// answer, nor can the store. Two of seven are no majority.
+/// When the connection between the regions is saturated, hosts of the far region answer that they don't hear the owner, while
+/// answers of the store and of hosts in the owner's region don't arrive. Two of seven hosts are no majority.
 #[test]
-fn hosts_behind_the_same_full_line_depose_no_owner() {
+fn hosts_behind_the_same_saturated_connection_depose_no_owner() {
     let mut answers = [WitnessAnswer::TimedOut; 7];
     answers[..2].fill(WitnessAnswer::DoesNotHear);
     assert_eq!(witnesses(&answers).verdict(), Verdict::Unsure);
 }
 
-/// A region is lost with the owner and most heirs: the store answers at once, so the line works, and the other hosts of the
-/// far region don't hear the owner either. They must not wait longer than before.
+/// When a region fails with the owner and most successors, the store answers at once, so the connection works, and the other
+/// hosts don't hear the owner either. The takeover must not be delayed.
 #[test]
-fn a_lost_region_holds_nobody_up() {
+fn a_failed_region_does_not_delay_the_takeover() {
     let mut answers = [WitnessAnswer::TimedOut; 7];
     answers[..2].fill(WitnessAnswer::DoesNotHear);
     let lost = Evidence {
@@ -95,10 +98,10 @@
     assert_eq!(lost.verdict(), Verdict::Lost);
 }
 
-/// The owner and all heirs have lost power. Somebody takes the pool: soon if the store answers, and in any case before the
-/// workers' leases of six seconds lapse.
+/// When the owner and all successors have lost power, nobody answers. The pool must be taken over soon if the store answers,
+/// and in any case before the workers' leases of six seconds lapse.
 #[test]
-fn somebody_takes_the_pool_where_nobody_can_answer() {
+fn a_pool_is_taken_over_although_nobody_can_answer() {
     let after = |store_answered, ms| {
         let evidence = Evidence {
             store_answered,
@@ -113,7 +116,7 @@
     assert_eq!(after(false, 5_900), Verdict::Lost);
 }
 
-/// The owner wrote its row while a host could not tell whether it is lost, so it works.
+/// An owner that writes its row while a host is unsure about it works.
 #[test]
 fn an_owner_that_writes_its_row_is_alive() {
     let writes = Evidence {
