--- a/crates/host/src/election.rs
+++ b/crates/host/src/election.rs
@@ -1,12 +1,12 @@
-//! Which host owns which pool.
+//! The election of the owner of each pool.
 //!
-//! A host without a link to a pool's owner finds it by its row. If the owner can't be reached, and other hosts don't hear it
-//! either ([`crate::verdict`]), the host takes its place by compare-and-set on that row. An owner names its heirs there: hosts
-//! near the store, since an owner writes there often, with much of a processor, and without a pool of their own. Nobody has to
-//! know all hosts.
+//! A host without a link to a pool's owner finds the owner by its row in the store. If the owner can't be reached and other hosts
+//! don't hear it either ([`crate::verdict`]), the host replaces it by a compare-and-set on that row. The row also names the
+//! owner's successors: hosts with a large share of a processor and without a pool of their own, near the store since an owner
+//! writes there often. No host needs to know all other hosts.
 
-mod grounds;
-mod member;
+mod participant;
+mod takeover_reason;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,58 +18,58 @@
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use self::grounds::Grounds;
-use self::member::Member;
+use self::participant::Participant;
+use self::takeover_reason::TakeoverReason;
 use crate::claim::{Claim, ClaimVersion};
 use crate::clock;
 use crate::host::Host;
 use crate::outside::{StoreError, Transaction};
 use crate::owner::Owner;
-use crate::owner_rows::{self, Known};
+use crate::owner_rows::{self, KnownRow};
 use crate::peers::LinkEnd;
 use crate::plan::Plan;
 use crate::rows::{COMMON, OWNER, OwnerRow, PLAN, ROSTER, RosterRow, pool_part};
 use crate::suitability::Suitability;
 use crate::takeover_delay::TakeoverDelay;
 
-/// A store that answers within this is in the same region.
-pub(crate) const NEAR_MS: u64 = 12;
-/// Hosts that aren't heirs and are equally well placed are spread over this time, in milliseconds.
+/// A store that answers within this time is in the same region.
+pub(crate) const NEAR_STORE_RTT_MS: u64 = 12;
+/// Takeover attempts of equally suitable hosts that aren't successors are spread over this time, in milliseconds.
 const SPREAD_MS: u64 = 200;
-/// At the first start, hosts wait this long for others.
+/// A pool that has had no owner yet is claimed after this delay, so that more hosts can take part.
 const FIRST_CLAIM_DELAY: Duration = Duration::from_millis(150);
-/// A row that the former owner has changed meanwhile is tried again this often.
-const TRIES: usize = 3;
-/// After a try to take a pool that failed, the next one comes no sooner.
+/// Number of attempts to write a claim when the former owner changes its row meanwhile.
+const CLAIM_ATTEMPTS: usize = 3;
+/// Delay after a failed attempt to take over a pool.
 const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(120);
 
-/// Takes part in the choice of all owners until the host stops.
+/// Takes part in the elections of all pools until the host stops.
 pub(crate) async fn run(host: &Arc<Host>) {
     let mut tasks = JoinSet::new();
-    let part = async {
-        read_plan(host).await;
-        let mut begun = 0;
+    let elections = async {
+        read_pool_map(host).await;
+        let mut started = 0;
         loop {
             let replanned = host.replanned.notified();
             let pools = host.plan().pools();
-            for pool in begun..pools {
+            for pool in started..pools {
                 let host = Arc::clone(host);
                 tasks.spawn(async move { take_part(&host, pool).await });
             }
-            begun = pools;
+            started = pools;
             replanned.await;
         }
     };
     tokio::select! {
-        () = part => {}
+        () = elections => {}
         () = owner_rows::follow(host) => {}
         () = host.stop.ended() => {}
     }
     tasks.shutdown().await;
 }
 
-/// Reads which pools there are. Later changes come with the owners' beats.
-async fn read_plan(host: &Host) {
+/// Reads the pool map. Later changes are announced by the owners' heartbeats.
+async fn read_pool_map(host: &Host) {
     loop {
         match host.store.get(PLAN, COMMON, PLAN).await {
             Ok(row) => {
@@ -81,33 +81,35 @@
                 return;
             }
             Err(error) => {
-                warn!(error:% = error; "the plan of pools is not read yet");
+                warn!(error:% = error; "reading the pool map failed; retrying");
                 tokio::time::sleep(Duration::from_millis(200)).await;
             }
         }
     }
 }
 
-/// Takes part in the choice of one pool's owner.
+/// Takes part in the election of one pool's owner.
 async fn take_part(host: &Arc<Host>, pool: u32) {
     let mut rows = host.owner_rows.subscribe(pool);
-    let mut member = Member::default();
+    let mut participant = Participant::default();
     loop {
         let known = rows.borrow_and_update().clone();
         match known {
-            Known::Unread => drop(rows.changed().await),
-            Known::Absent => {
+            KnownRow::Unread => drop(rows.changed().await),
+            KnownRow::Absent => {
                 tokio::time::sleep(FIRST_CLAIM_DELAY).await;
-                if wait_turn(host, pool, None, &mut rows).await {
-                    own(host, pool, None, Grounds::NoOwnerYet).await;
-                    pause(&mut rows).await;
+                if wait_before_takeover(host, pool, None, &mut rows).await {
+                    claim_and_own(host, pool, None, TakeoverReason::NoOwnerYet).await;
+                    wait_before_retry(&mut rows).await;
                 }
             }
-            Known::There((row, _)) => {
-                let mine = row.host == host.settings.id;
-                if mine || member.gave_up(row.epoch) {
-                    member.stand(host, pool, &row, &mut rows).await;
-                } else if member.follow(host, pool, &row).await == LinkEnd::Stopped {
+            KnownRow::Present((row, _)) => {
+                let names_this_host = row.host == host.settings.id;
+                if names_this_host || participant.has_lost(row.epoch) {
+                    participant
+                        .take_over_if_lost(host, pool, &row, &mut rows)
+                        .await;
+                } else if participant.follow(host, pool, &row).await == LinkEnd::Stopped {
                     return;
                 }
             }
@@ -115,44 +117,44 @@
     }
 }
 
-/// After a try to take a pool, the owner's row is looked at again when it has changed, or a little later: a store that
-/// refuses is not asked at once.
-async fn pause(rows: &mut watch::Receiver<Known>) {
+/// Waits after an attempt to take over a pool until the owner's row has changed, or for a short time, so that a store that
+/// refuses calls isn't called again at once.
+async fn wait_before_retry(rows: &mut watch::Receiver<KnownRow>) {
     drop(timeout(CLAIM_RETRY_DELAY, rows.changed()).await);
 }
 
-/// Lets the heirs that the owner has named go first, one after the other, and then hosts that are well placed: near the
-/// store, with much of a processor, without a pool. Tells whether it is this host's turn: `false` if the owner's row has
-/// changed meanwhile.
-async fn wait_turn(
+/// Waits for the takeover delay of this host. The successors that the owner has named come first, one after the other, then
+/// suitable hosts: those near the store, with a large share of a processor, and without a pool. Returns `false` if the owner's
+/// row has changed meanwhile, so that this host must not take over.
+async fn wait_before_takeover(
     host: &Host,
     pool: u32,
     row: Option<&OwnerRow>,
-    rows: &mut watch::Receiver<Known>,
+    rows: &mut watch::Receiver<KnownRow>,
 ) -> bool {
-    let heirs = row.map_or(&[][..], |row| &row.heirs);
+    let successors = row.map_or(&[][..], |row| &row.heirs);
     let id = &host.settings.id;
     let hash = xxh3_64_with_seed(id.as_bytes(), pool.into());
-    let post = Suitability {
-        near: host.away() <= NEAR_MS,
+    let suitability = Suitability {
+        near_store: host.away() <= NEAR_STORE_RTT_MS,
         processors: host.settings.processors,
-        line: host.settings.line,
+        bandwidth_mbps: host.settings.line,
         pools: host.owned_pool_count() + 1,
     };
-    let turn = TakeoverDelay {
-        own: host.has(Mechanism::Restart) && row.is_some_and(|row| row.host == *id),
-        place: heirs.iter().position(|heir| heir.host == *id),
-        heirs: heirs.len(),
-        far: host.away() > NEAR_MS,
+    let delay = TakeoverDelay {
+        is_former_owner: host.has(Mechanism::Restart) && row.is_some_and(|row| row.host == *id),
+        successor_index: successors.iter().position(|it| it.host == *id),
+        successors: successors.len(),
+        remote: host.away() > NEAR_STORE_RTT_MS,
         processors: host.settings.processors,
-        owns: host.owned_pool_count(),
-        weak: post.wait(host.plan().size(pool)),
+        owned_pools: host.owned_pool_count(),
+        insufficiency_delay: suitability.insufficiency_delay(host.plan().size(pool)),
         spread: Duration::from_millis(hash % SPREAD_MS),
     };
-    timeout(turn.wait(), rows.changed()).await.is_err()
+    timeout(delay.total(), rows.changed()).await.is_err()
 }
 
-/// Reads who owns a pool and which workers it may use; `None` if that can't be read.
+/// Reads the claim of a pool; `None` if it can't be read.
 async fn read_claim(host: &Host, pool: u32) -> Option<(Claim, ClaimVersion)> {
     let part = pool_part(pool);
     let (owner, roster) = tokio::join!(
@@ -162,51 +164,52 @@
     Claim::find(&[owner.ok()?.rows, roster.ok()?.rows].concat())
 }
 
-/// Takes the pool, and owns it until another does or this host leaves.
-async fn own(
+/// Claims the pool, and owns it until another host does or this host leaves.
+async fn claim_and_own(
     host: &Arc<Host>,
     pool: u32,
-    mut before: Option<(Claim, ClaimVersion)>,
-    grounds: Grounds,
+    mut previous: Option<(Claim, ClaimVersion)>,
+    reason: TakeoverReason,
 ) {
     let began = clock::now();
-    for _ in 0..TRIES {
-        let former = before.as_ref().map(|(claim, _)| claim);
+    for _ in 0..CLAIM_ATTEMPTS {
+        let former = previous.as_ref().map(|(claim, _)| claim);
         let claim = new_claim(host, former);
-        let version = before
+        let version = previous
             .as_ref()
             .map_or_else(ClaimVersion::default, |(_, version)| *version);
-        match write(host, pool, &claim, version).await {
-            Written::Yes(version) => {
-                let former = before.map(|(claim, _)| claim);
-                info!(pool = pool, epoch = claim.owner.epoch, before = former.as_ref().map_or("", |claim| claim.owner.host.as_str()), workers = claim.roster.roster.len(), grounds:% = grounds, ms = clock::now().saturating_sub(began); "took the pool");
+        match write_claim(host, pool, &claim, version).await {
+            ClaimOutcome::Written(version) => {
+                let former = previous.map(|(claim, _)| claim);
+                info!(pool = pool, epoch = claim.owner.epoch, before = former.as_ref().map_or("", |claim| claim.owner.host.as_str()), workers = claim.roster.roster.len(), grounds:% = reason, ms = clock::now().saturating_sub(began); "pool ownership acquired");
                 host.owner_rows
                     .note(pool, Some((claim.owner.clone(), version)));
                 let roster = former.map_or_else(Vec::new, |claim| claim.roster.roster);
                 Owner::run(host, pool, claim, roster, version).await;
                 return;
             }
-            // Reads may lag behind: the same owner has written its row since it was read.
-            Written::Other(found, version) => {
+            // Reads may return old data. With an unchanged epoch, the former owner has written its rows since, and the claim is
+            // tried again with their new version.
+            ClaimOutcome::Conflict(found, version) => {
                 host.owner_rows
                     .note(pool, Some((found.owner.clone(), version.owner)));
                 if former.is_none_or(|former| former.owner.epoch != found.owner.epoch) {
                     return;
                 }
-                before = Some((found, version));
+                previous = Some((found, version));
             }
-            Written::No => return,
+            ClaimOutcome::Failed => return,
         }
     }
 }
 
-/// The claim by which this host takes a pool: what the former owner has stored of workers goes on. Workers that it did not
-/// know are added by the first write.
+/// The claim by which this host takes over a pool. It keeps the roster that the former owner has stored; the first write of the
+/// new owner adds workers that the former one didn't know.
 fn new_claim(host: &Host, former: Option<&Claim>) -> Claim {
-    let heirs = former.map_or_else(Vec::new, |claim| claim.owner.heirs.clone());
-    let others = heirs
+    let successors = former.map_or_else(Vec::new, |claim| claim.owner.heirs.clone());
+    let others = successors
         .into_iter()
-        .filter(|heir| heir.host != host.settings.id);
+        .filter(|it| it.host != host.settings.id);
     Claim {
         owner: OwnerRow {
             host: host.settings.id.clone(),
@@ -219,19 +222,20 @@
     }
 }
 
-/// What became of the write of a claim.
-enum Written {
-    /// It is there, as of this transaction.
-    Yes(u64),
-    /// Another is there, of this version.
-    Other(Claim, ClaimVersion),
-    /// It is not there, as far as can be told.
-    No,
+/// The outcome of writing a claim.
+enum ClaimOutcome {
+    /// The claim was written by this transaction.
+    Written(u64),
+    /// The store holds another claim, with this version.
+    Conflict(Claim, ClaimVersion),
+    /// The claim wasn't written, as far as is known.
+    Failed,
 }
 
-async fn write(host: &Host, pool: u32, claim: &Claim, version: ClaimVersion) -> Written {
+/// Writes a claim if the stored one still has this version.
+async fn write_claim(host: &Host, pool: u32, claim: &Claim, version: ClaimVersion) -> ClaimOutcome {
     let (Ok(owner), Ok(roster)) = (claim.put_owner(), claim.put_roster()) else {
-        return Written::No;
+        return ClaimOutcome::Failed;
     };
     let transaction = Transaction {
         part: pool_part(pool),
@@ -240,17 +244,17 @@
         ..Transaction::default()
     };
     match host.store.commit(&transaction).await {
-        Ok(version) => Written::Yes(version),
+        Ok(version) => ClaimOutcome::Written(version),
         Err(StoreError::Lost { .. }) => match read_claim(host, pool).await {
-            Some((found, version)) if found == *claim => Written::Yes(version.roster),
-            _ => Written::No,
+            Some((found, version)) if found == *claim => ClaimOutcome::Written(version.roster),
+            _ => ClaimOutcome::Failed,
         },
         Err(StoreError::Conflict { rows }) => {
             let found = Claim::find(&rows);
-            found.map_or(Written::No, |(claim, version)| {
-                Written::Other(claim, version)
+            found.map_or(ClaimOutcome::Failed, |(claim, version)| {
+                ClaimOutcome::Conflict(claim, version)
             })
         }
-        Err(_) => Written::No,
+        Err(_) => ClaimOutcome::Failed,
     }
 }
--- a/crates/host/src/owner.rs
+++ b/crates/host/src/owner.rs
@@ -1,11 +1,11 @@
-//! The owner of a pool.
+//! The owner of a pool: takes over jobs and workers, schedules tasks, and stores progress.
 
 mod advice;
 mod calls;
+mod connected_hosts;
 mod directory;
-mod members;
-mod news;
-mod planned;
+mod scheduling_stats;
+mod store_changes;
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -31,73 +31,80 @@
 use crate::sample::is_told_in_full;
 use crate::unserved::Unserved;
 use crate::writer;
-use advice::Question;
+use advice::PendingRequest;
+use connected_hosts::ConnectedHost;
 use directory::Directory;
-use members::Member;
-use news::Courses;
-use planned::Planned;
+use scheduling_stats::SchedulingStats;
+use store_changes::ProgressById;
 
-/// Jobs are told to the owner directly; the table tells those whose hosts could not.
-const JOBS_PACE: Duration = Duration::from_millis(200);
-/// Rows of workers change with each of their heartbeats, some thirty a second for 48 workers. A worker that drains gets
-/// nothing new from 2.5 s after its row says so.
-const WORKERS_PACE: Duration = Duration::from_millis(350);
-/// A new owner begins with the jobs that it knows after this time; it takes a quarter of it where the store is well.
-const JOBS_WAIT: Duration = Duration::from_millis(400);
-/// Longest time between two plans: leases, doubts and paces are looked at so often.
-const TICK: Duration = Duration::from_millis(50);
-/// Shortest time between two plans: news that comes together is planned together.
-const GAP: Duration = Duration::from_millis(4);
-/// Time between two looks at the owner's row.
-const LOOK: Duration = Duration::from_millis(1_000);
-/// Time between two lines about the pool as a whole.
-const TELL: Ms = 1_000;
+/// Pause after each answer with changed jobs. Hosts report accepted jobs to the owner directly; the table is followed for those
+/// jobs whose hosts could not.
+const JOBS_FEED_PAUSE: Duration = Duration::from_millis(200);
+/// Pause after each answer with changed workers. The row of a worker changes with each of its heartbeats, which makes some thirty
+/// changes a second for 48 workers. A draining worker must get nothing new from 2.5 s after its row says so.
+const WORKERS_FEED_PAUSE: Duration = Duration::from_millis(350);
+/// A new owner starts with the jobs that it has read by this time. A healthy store takes a quarter of it for all jobs.
+const JOBS_READ_TIMEOUT: Duration = Duration::from_millis(400);
+/// Longest time between two scheduling passes, which also check leases, suspicions and paces.
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(50);
+/// Shortest time between two scheduling passes, so that changes that arrive together are handled in one pass.
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(4);
+/// Time between two reads of the owner's row.
+const OWNER_ROW_READ_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Time between two log lines about the load of the pool.
+const LOAD_LOG_INTERVAL: Ms = 1_000;
 
 /// The owner of a pool.
 pub struct Owner {
     host: Arc<Host>,
-    /// The pool's number.
-    number: u32,
+    /// Number of the pool.
+    pool_number: u32,
+    /// Epoch of this ownership, the fencing token of its commands.
     epoch: u64,
     pub(crate) pool: Mutex<Pool>,
-    /// There is news to plan for.
+    /// Wakes the scheduler: something has changed.
     pub(crate) wake: Notify,
-    /// There is something to store.
+    /// Wakes the writer: there is something to store.
     pub(crate) dirty: Notify,
-    /// Something was stored.
+    /// Notified after each write that was stored.
     pub(crate) stored: Notify,
-    pub(crate) over: CancellationToken,
-    members: Mutex<FxHashMap<String, Member>>,
-    numbers: AtomicU64,
-    questions: Mutex<FxHashMap<u64, Question>>,
-    /// How this host answers its own questions to the advisor.
+    /// Cancelled when this ownership ends.
+    pub(crate) ended: CancellationToken,
+    /// Other hosts that are connected to this owner, by name.
+    hosts: Mutex<FxHashMap<String, ConnectedHost>>,
+    /// Number of the next connection or advisor request.
+    next_number: AtomicU64,
+    /// Advisor requests that other hosts make for this owner, by number.
+    advisor_requests: Mutex<FxHashMap<u64, PendingRequest>>,
+    /// How fast the advisor answers this host.
     helper: Mutex<Helper>,
-    /// Jobs are known: callers may be told what isn't there.
+    /// All jobs have been read, so callers may be told that a job is unknown.
     loaded: AtomicBool,
-    /// The transaction up to which they were read then.
-    read_to: AtomicU64,
-    /// Since when the store refuses or doesn't answer this owner's writes, if it does.
+    /// The transaction as of which the jobs were read.
+    jobs_read_as_of: AtomicU64,
+    /// Since when the store has refused or not answered this owner's writes; `None` if the last one succeeded.
     pub(crate) unserved: Mutex<Option<Unserved>>,
-    /// How common lost answers of workers are.
+    /// The share of polls of workers whose answers were lost.
     pub(crate) lost_answers: Mutex<Lost>,
-    /// Holds that may be asked for again.
-    pub(crate) copies: Mutex<Budget>,
+    /// Limits how many polls are repeated because their answers are overdue.
+    pub(crate) repeat_budget: Mutex<Budget>,
+    /// Workers with which there is a session.
     sessions: Mutex<FxHashSet<WorkerId>>,
     directory: Mutex<Directory>,
 }
 
 impl Owner {
-    /// Owns a pool until another host does, or this one leaves.
+    /// Owns a pool until another host does or this one leaves.
     pub(crate) async fn run(
         host: &Arc<Host>,
-        number: u32,
+        pool_number: u32,
         claim: Claim,
-        former: Vec<String>,
+        former_roster: Vec<String>,
         version: u64,
     ) {
         let owner = Arc::new(Self {
             host: Arc::clone(host),
-            number,
+            pool_number,
             epoch: claim.owner.epoch,
             pool: Mutex::new(Pool::new(pool::Options {
                 epoch: claim.owner.epoch,
@@ -106,43 +113,43 @@
             wake: Notify::new(),
             dirty: Notify::new(),
             stored: Notify::new(),
-            over: CancellationToken::new(),
-            members: Mutex::default(),
-            numbers: AtomicU64::new(1),
-            questions: Mutex::default(),
+            ended: CancellationToken::new(),
+            hosts: Mutex::default(),
+            next_number: AtomicU64::new(1),
+            advisor_requests: Mutex::default(),
             helper: Mutex::default(),
             loaded: AtomicBool::new(false),
-            read_to: AtomicU64::new(0),
+            jobs_read_as_of: AtomicU64::new(0),
             unserved: Mutex::default(),
             lost_answers: Mutex::default(),
-            copies: Mutex::default(),
+            repeat_budget: Mutex::default(),
             sessions: Mutex::default(),
             directory: Mutex::default(),
         });
-        host.set_owner(number, Some(Arc::clone(&owner)));
+        host.set_owner(pool_number, Some(Arc::clone(&owner)));
         let mut tasks = JoinSet::new();
-        tasks.spawn(Arc::clone(&owner).beat());
-        tasks.spawn(Arc::clone(&owner).hand_over());
-        tasks.spawn(Arc::clone(&owner).look());
-        tasks.spawn(Arc::clone(&owner).divide());
-        tasks.spawn(Arc::clone(&owner).work(claim, former, version));
+        tasks.spawn(Arc::clone(&owner).send_heartbeats());
+        tasks.spawn(Arc::clone(&owner).run_handover());
+        tasks.spawn(Arc::clone(&owner).watch_owner_row());
+        tasks.spawn(Arc::clone(&owner).assign_workers());
+        tasks.spawn(Arc::clone(&owner).take_over(claim, former_roster, version));
         tokio::select! {
-            () = owner.over.cancelled() => {}
+            () = owner.ended.cancelled() => {}
             () = host.stop.ended() => {}
         }
-        owner.over.cancel();
-        host.set_owner(number, None);
+        owner.ended.cancel();
+        host.set_owner(pool_number, None);
         tasks.shutdown().await;
-        info!(pool = number, epoch = owner.epoch; "gave up the pool");
+        info!(pool = pool_number, epoch = owner.epoch; "pool ownership ended");
     }
 
-    /// The pool's number.
+    /// Number of the pool.
     #[must_use]
     pub fn pool_number(&self) -> u32 {
-        self.number
+        self.pool_number
     }
 
-    /// Its epoch, the fencing token of its orders.
+    /// Epoch of this ownership, the fencing token of its commands.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
@@ -152,120 +159,125 @@
         &self.host
     }
 
-    /// The store did not take a write that was sent then; `refused` if it was surely not done.
-    pub(crate) fn note_unserved(&self, asked: Ms, refused: bool) {
+    /// Records that the store did not confirm a write that was sent at `sent_at`; `refused` if it was certainly not done.
+    pub(crate) fn note_unserved(&self, sent_at: Ms, refused: bool) {
         let mut unserved = lock(&self.unserved);
-        *unserved = Some(Unserved::note(*unserved, asked, clock::now(), refused));
+        *unserved = Some(Unserved::note(*unserved, sent_at, clock::now(), refused));
     }
 
-    pub(crate) fn is_over(&self) -> bool {
-        self.over.is_cancelled()
+    /// Whether this ownership has ended.
+    pub(crate) fn has_ended(&self) -> bool {
+        self.ended.is_cancelled()
     }
 
-    /// Looks whether another host has taken the pool. An owner usually learns that from the workers or from a write, but
-    /// one that can't reach either would go on telling other hosts that it is the owner.
-    async fn look(self: Arc<Self>) {
+    /// Checks periodically whether another host has taken over the pool. An owner usually learns this from the workers or from a
+    /// failed write, but one that can reach neither would go on claiming towards other hosts that it is the owner.
+    async fn watch_owner_row(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(LOOK).await;
-            let read = owner_rows::read(&self.host, self.number).await;
+            tokio::time::sleep(OWNER_ROW_READ_INTERVAL).await;
+            let read = owner_rows::read(&self.host, self.pool_number).await;
             if let Some((Some((row, _)), _)) = read
                 && row.epoch > self.epoch
             {
-                warn!(pool = self.number, epoch = self.epoch, newer = row.epoch, owner = row.host; "another host owns the pool");
-                self.over.cancel();
+                warn!(pool = self.pool_number, epoch = self.epoch, newer = row.epoch, owner = row.host; "another host owns the pool; ownership ended");
+                self.ended.cancel();
             }
         }
     }
 
-    /// Takes up jobs and workers, then works.
-    async fn work(self: Arc<Self>, claim: Claim, former: Vec<String>, version: u64) {
+    /// Takes over the pool's jobs and workers, then schedules tasks and stores progress.
+    async fn take_over(self: Arc<Self>, claim: Claim, former_roster: Vec<String>, version: u64) {
         let began = clock::now();
-        self.read_to.store(version, Ordering::Relaxed);
+        self.jobs_read_as_of.store(version, Ordering::Relaxed);
         lock(&self.pool).set_partial(began, true);
-        let wait = if self.host.has(Mechanism::PartialJobs) {
-            JOBS_WAIT
+        let limit = if self.host.has(Mechanism::PartialJobs) {
+            JOBS_READ_TIMEOUT
         } else {
             Duration::MAX
         };
-        let (to, mut pages) = mpsc::unbounded_channel();
-        let mut reading = Box::pin(self.read_jobs(version, to));
-        let ((listed, courses), read) = tokio::join!(
+        let (sender, mut pages) = mpsc::unbounded_channel();
+        let mut reading = Box::pin(self.read_jobs(version, sender));
+        let ((listed, progress), read) = tokio::join!(
             self.read_workers(version),
-            tokio::time::timeout(wait, reading.as_mut()),
+            tokio::time::timeout(limit, reading.as_mut()),
         );
         let (all, after) = (read.is_ok(), listed.version);
         while let Ok(page) = pages.try_recv() {
-            self.take_up_jobs(&page, &courses);
+            self.load_jobs(&page, &progress);
         }
-        self.inherit(listed, &claim.roster, &former);
+        self.load_workers(listed, &claim.roster, &former_roster);
         let took = clock::now().saturating_sub(began);
         metrics::counter!("lentilyoke_takeovers_total").increment(1);
         metrics::histogram!("lentilyoke_takeover_ms").record(took as f64);
-        info!(pool = self.number, epoch = self.epoch, all = all, ms = took; "jobs are known");
+        info!(pool = self.pool_number, epoch = self.epoch, all = all, ms = took; "takeover completed");
         let rest = async {
             if !all {
-                tokio::join!(reading, self.take_up_rest(pages, &courses));
+                tokio::join!(reading, self.load_remaining_jobs(pages, &progress));
                 let took = clock::now().saturating_sub(began);
-                info!(pool = self.number, epoch = self.epoch, ms = took; "all jobs are known");
+                info!(pool = self.pool_number, epoch = self.epoch, ms = took; "all jobs loaded");
             }
             lock(&self.pool).set_partial(clock::now(), false);
             self.loaded.store(true, Ordering::Relaxed);
         };
         let parts: Vec<String> = job_parts().collect();
-        let common = [String::new()];
+        let unnamed_part = [String::new()];
         let store = Arc::clone(&self.host.store);
         let places = self.host.settings.places.clone();
-        let on_jobs = follow(
+        let follow_jobs = follow(
             store.as_ref(),
             JOBS,
             &parts,
             Some(version),
-            Rhythm::default().pause(JOBS_PACE),
+            Rhythm::default().pause(JOBS_FEED_PAUSE),
             |change| {
                 self.jobs_changed(change);
             },
         );
-        let on_workers = follow(
+        let follow_workers = follow(
             store.as_ref(),
             &places.workers,
-            &common,
+            &unnamed_part,
             Some(after),
-            Rhythm::default().pause(WORKERS_PACE),
+            Rhythm::default().pause(WORKERS_FEED_PAUSE),
             |change| {
                 self.workers_changed(change);
             },
         );
         tokio::join!(
             rest,
-            on_jobs,
-            on_workers,
+            follow_jobs,
+            follow_workers,
             writer::run(&self, claim, version),
-            self.drive(),
+            self.run_scheduler(),
         );
     }
 
-    /// Takes up jobs of pages that come later, until all are read.
-    async fn take_up_rest(&self, mut pages: mpsc::UnboundedReceiver<Page>, courses: &Courses) {
+    /// Loads the jobs of pages that arrive later, until all are read.
+    async fn load_remaining_jobs(
+        &self,
+        mut pages: mpsc::UnboundedReceiver<Page>,
+        progress: &ProgressById,
+    ) {
         while let Some(page) = pages.recv().await {
-            self.take_up_jobs(&page, courses);
+            self.load_jobs(&page, progress);
         }
     }
 
-    /// Plans and gives orders.
-    async fn drive(self: &Arc<Self>) {
-        let mut told = clock::now();
-        let mut planned = Planned::default();
+    /// Runs scheduling passes and sends the commands that they give.
+    async fn run_scheduler(self: &Arc<Self>) {
+        let mut logged_at = clock::now();
+        let mut stats = SchedulingStats::default();
         loop {
             tokio::select! {
                 () = self.wake.notified() => {}
-                () = tokio::time::sleep(TICK) => {}
+                () = tokio::time::sleep(MAX_PASS_INTERVAL) => {}
             }
             let began = Instant::now();
-            let (orders, unsaved, deposed, steps, lost, given_up) = {
+            let (commands, unsaved, deposed, steps, lost, given_up) = {
                 let mut pool = lock(&self.pool);
-                let orders = pool.plan(clock::now(), clock::unix());
+                let commands = pool.plan(clock::now(), clock::unix());
                 (
-                    orders,
+                    commands,
                     pool.unsaved(),
                     pool.deposed(),
                     pool.take_steps_done(),
@@ -275,67 +287,69 @@
             };
             let took = began.elapsed();
             metrics::histogram!("lentilyoke_plan_ms").record(took.as_secs_f64() * 1_000.0);
-            planned.add(took, orders.len());
-            if clock::now().saturating_sub(told) > TELL {
-                told = clock::now();
-                self.tell_unseen();
-                self.tell_load(std::mem::take(&mut planned));
+            stats.add(took, commands.len());
+            if clock::now().saturating_sub(logged_at) > LOAD_LOG_INTERVAL {
+                logged_at = clock::now();
+                self.log_unseen_workers();
+                self.log_load(std::mem::take(&mut stats));
             }
             if deposed {
-                warn!(epoch = self.epoch; "a worker obeys a newer owner");
-                self.over.cancel();
+                warn!(epoch = self.epoch; "worker follows an owner with a newer epoch");
+                self.ended.cancel();
                 return;
             }
-            for order in orders {
-                self.give(order);
+            for command in commands {
+                self.send_command(command);
             }
             if unsaved {
                 self.dirty.notify_one();
             }
-            steps.iter().for_each(tell_step);
+            steps.iter().for_each(log_step);
             lost.iter().for_each(log_lost_run);
             given_up.iter().for_each(log_given_up);
-            self.expire_questions();
-            tokio::time::sleep(GAP).await;
+            self.expire_advisor_requests();
+            tokio::time::sleep(MIN_PASS_INTERVAL).await;
         }
     }
 
-    /// How full the pool is, by service, and how long decisions took since the last line.
-    fn tell_load(&self, planned: Planned) {
+    /// Logs the used capacity of the pool by service, and the duration of scheduling passes since the last such line.
+    fn log_load(&self, stats: SchedulingStats) {
         let load = lock(&self.pool).load();
         for (service, room) in &load.services {
             let share = |used: u64, all: u64| used as f64 / all.max(1) as f64;
             info!(
-                pool = self.number, epoch = self.epoch, service = service.as_str(),
+                pool = self.pool_number, epoch = self.epoch, service = service.as_str(),
                 processors = share(room.used.millicores, room.room.millicores),
                 memory = share(room.used.memory_mib, room.room.memory_mib),
                 accelerators = share(room.used.accelerators, room.room.accelerators),
-                taken = load.taken, steps = load.steps, plans = planned.plans, orders = planned.orders,
-                plan_us = planned.mean().as_micros() as u64, longest_us = planned.longest.as_micros() as u64;
+                taken = load.taken, steps = load.steps, plans = stats.passes, orders = stats.commands,
+                plan_us = stats.mean().as_micros() as u64, longest_us = stats.longest.as_micros() as u64;
                 "load"
             );
         }
     }
 
-    fn tell_unseen(&self) {
+    /// Logs how many workers of the former owner haven't answered yet, if any.
+    fn log_unseen_workers(&self) {
         let pool = lock(&self.pool);
         if let Some(first) = pool.unseen().first() {
             let (count, proved) = (pool.unseen().len(), pool.proved(clock::now()));
-            warn!(epoch = self.epoch, workers = count, first = &**first, majority = proved; "inherited jobs wait for workers");
+            warn!(epoch = self.epoch, workers = count, first = &**first, majority = proved; "inherited jobs wait until workers have answered");
         }
     }
 
+    /// The address of a worker, if the pool knows it.
     fn address(&self, id: &str) -> Option<String> {
         let pool = lock(&self.pool);
         pool.worker(id).map(|worker| worker.news.address.clone())
     }
 
-    /// Carries an order out, beside others.
-    fn give(self: &Arc<Self>, order: Order) {
+    /// Sends a command concurrently with others, and applies the answer to the pool.
+    fn send_command(self: &Arc<Self>, command: Order) {
         let owner = Arc::clone(self);
         let workers = Arc::clone(&self.host.workers);
         let epoch = self.epoch;
-        match order {
+        match command {
             Order::Start(start) => {
                 let Some(address) = self.address(&start.worker) else {
                     return;
@@ -395,13 +409,13 @@
                     }
                 });
             }
-            Order::Ask(ask) => self.ask(ask),
+            Order::Ask(ask) => self.request_advice(ask),
         }
     }
 }
 
-/// Logs the course of a step that is complete; -1 where something did not happen under this owner.
-fn tell_step(step: &StepTimes) {
+/// Logs the times of a completed step; -1 stands for an event that did not happen under this owner.
+fn log_step(step: &StepTimes) {
     let key = &step.stage;
     let time = |time: Option<Ms>| time.map_or(-1, |time| time as i64);
     info!(
@@ -414,7 +428,7 @@
     );
 }
 
-/// Logs and counts a run that is over without an end.
+/// Logs and counts a run that was lost without a reported end.
 fn log_lost_run(lost: &LostRun) {
     metrics::counter!("lentilyoke_runs_lost_total", "loss" => lost.loss.name()).increment(1);
     let key = &lost.task;
@@ -426,7 +440,7 @@
     );
 }
 
-/// Logs and counts a task that was given up because its runs crashed their workers.
+/// Logs and counts a task that was abandoned because its runs crashed their workers.
 fn log_given_up(given_up: &GivenUp) {
     metrics::counter!("lentilyoke_tasks_given_up_total").increment(1);
     let key = &given_up.task;
--- a/crates/host/src/owner/advice.rs
+++ b/crates/host/src/owner/advice.rs
@@ -1,4 +1,4 @@
-//! Questions to the advisor, asked by the host that is free soonest.
+//! Advisor requests of the owner, each made by the host that can get the answer soonest.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,7 +8,7 @@
 use pool::{Ask, Ms};
 
 use super::Owner;
-use super::members::QUIET;
+use super::connected_hosts::MAX_SILENCE;
 use crate::clock;
 use crate::helpers::Due;
 use crate::host::lock;
@@ -16,39 +16,44 @@
 use crate::sample::is_told_in_full;
 use crate::wire::FromOwner;
 
-/// A question that another host asks the advisor.
-pub(super) struct Question {
+/// A request that another host makes to the advisor for this owner.
+pub(super) struct PendingRequest {
     ask: Ask,
-    until: Ms,
-    /// The host that asks, and when its answer is due.
-    helper: String,
+    /// The request counts as failed after this time.
+    expires: Ms,
+    /// Name of the host that makes the request.
+    host: String,
+    /// When its answer is due.
     due: Due,
 }
 
 impl Owner {
-    /// Has the advisor asked by the host that is free soonest: it serves one question at a time for each host.
-    pub(super) fn ask(self: &Arc<Self>, ask: Ask) {
+    /// Makes a request to the advisor, by way of the host that can get the answer soonest: the advisor serves one request at
+    /// a time for each host.
+    pub(super) fn request_advice(self: &Arc<Self>, ask: Ask) {
         let now = clock::now();
         let helper = {
             let own = lock(&self.helper).place(now, 0, ask.takes);
-            let mut members = lock(&self.members);
-            let best = members
+            let mut hosts = lock(&self.hosts);
+            let best = hosts
                 .iter_mut()
-                .filter(|(_, member)| member.helps && now.saturating_sub(member.heard) < QUIET)
-                .map(|(name, member)| {
-                    let place = member.helper.place(now, member.away, ask.takes);
-                    (place, name, member)
+                .filter(|(_, host)| {
+                    host.asks_advisor && now.saturating_sub(host.last_heard) < MAX_SILENCE
+                })
+                .map(|(name, host)| {
+                    let place = host.helper.place(now, host.store_rtt_ms, ask.takes);
+                    (place, name, host)
                 })
                 .min_by_key(|(place, ..)| *place);
             best.filter(|(place, ..)| *place < own)
-                .map(|(_, name, member)| {
-                    let due = member.helper.ask(now, ask.takes);
-                    (name.clone(), member.to.clone(), due)
+                .map(|(_, name, host)| {
+                    let due = host.helper.ask(now, ask.takes);
+                    (name.clone(), host.sender.clone(), due)
                 })
         };
         match helper {
-            Some((name, to, due)) => {
-                let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+            Some((name, sender, due)) => {
+                let number = self.next_number.fetch_add(1, Ordering::Relaxed);
                 let key = &ask.stage;
                 let message = FromOwner::Advise {
                     number,
@@ -56,15 +61,15 @@
                     workers: ask.workers.iter().map(ToString::to_string).collect(),
                     takes: ask.takes,
                 };
-                let question = Question {
-                    until: now + ask.takes * 3 + 1_000,
+                let request = PendingRequest {
+                    expires: now + ask.takes * 3 + 1_000,
                     ask,
-                    helper: name,
+                    host: name,
                     due,
                 };
-                lock(&self.questions).insert(number, question);
-                if to.try_send(message).is_err() {
-                    self.told_advice(number, None);
+                lock(&self.advisor_requests).insert(number, request);
+                if sender.try_send(message).is_err() {
+                    self.receive_advice(number, None);
                 }
             }
             None => {
@@ -75,23 +80,25 @@
                     let advisor = Arc::clone(&owner.host.advisor);
                     let allowed = advisor.ask(&ask.stage, &ask.workers, takes).await;
                     lock(&owner.helper).answered(clock::now(), due);
-                    owner.advised(&ask, allowed.as_ref());
+                    owner.apply_advice(&ask, allowed.as_ref());
                 });
             }
         }
     }
 
-    pub(super) fn told_advice(&self, number: u64, allowed: Option<&Allowed>) {
-        let question = lock(&self.questions).remove(&number);
-        if let Some(question) = question {
-            if let Some(member) = lock(&self.members).get_mut(&question.helper) {
-                member.helper.answered(clock::now(), question.due);
+    /// Applies the answer to a request that another host made; `None` if the request failed.
+    pub(super) fn receive_advice(&self, number: u64, allowed: Option<&Allowed>) {
+        let request = lock(&self.advisor_requests).remove(&number);
+        if let Some(request) = request {
+            if let Some(host) = lock(&self.hosts).get_mut(&request.host) {
+                host.helper.answered(clock::now(), request.due);
             }
-            self.advised(&question.ask, allowed);
+            self.apply_advice(&request.ask, allowed);
         }
     }
 
-    pub(super) fn advised(&self, ask: &Ask, allowed: Option<&Allowed>) {
+    /// Logs the answer to a request and passes it to the pool.
+    pub(super) fn apply_advice(&self, ask: &Ask, allowed: Option<&Allowed>) {
         let outcome = if allowed.is_some() {
             "answered"
         } else {
@@ -110,15 +117,16 @@
         self.wake.notify_one();
     }
 
-    pub(super) fn expire_questions(&self) {
+    /// Fails requests of other hosts that were not answered in time.
+    pub(super) fn expire_advisor_requests(&self) {
         let now = clock::now();
-        let late: Vec<u64> = lock(&self.questions)
+        let late: Vec<u64> = lock(&self.advisor_requests)
             .iter()
-            .filter(|(_, question)| question.until < now)
+            .filter(|(_, request)| request.expires < now)
             .map(|(&number, _)| number)
             .collect();
         for number in late {
-            self.told_advice(number, None);
+            self.receive_advice(number, None);
         }
     }
 }
--- a/crates/host/src/owner/calls.rs
+++ b/crates/host/src/owner/calls.rs
@@ -1,4 +1,4 @@
-//! What hosts ask of the owner for their callers.
+//! Calls of hosts to the owner, on behalf of their callers.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,17 +13,18 @@
 use crate::insert::{Inserted, Place, insert};
 use crate::wire::Reply;
 
-/// A caller that cancels waits this long for the note of it.
-const CANCEL_WAIT: Duration = Duration::from_millis(1_500);
+/// How long a caller that cancels a job waits until the cancellation is stored.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Owner {
-    /// A job's row is written: takes it up at once. The feed tells it too, a little later.
+    /// Adds a job whose row was written. The feed of the table reports it too, a little later.
     ///
-    /// A host may be paused between the two. Meanwhile the job may have gone to another pool, and this one to another owner:
-    /// taken up without its progress it would run a second time. What was written before this owner read the jobs is known
-    /// by that, and what is more than the job itself is told by the row.
+    /// The host that reports the job may have been paused since it wrote the row. Meanwhile the job may have been transferred to
+    /// another pool, and this pool may have got another owner: added without its progress, the job would run a second time. A job
+    /// that was written before this owner read the table is known from there, and for a transferred job, its row is needed
+    /// besides the job itself.
     pub(crate) fn add_accepted_job(&self, job: Job, place: Place) {
-        let known = place.version <= self.read_to.load(Ordering::Relaxed);
+        let known = place.version <= self.jobs_read_as_of.load(Ordering::Relaxed);
         if !self.loaded.load(Ordering::Relaxed) || known || place.moved {
             return;
         }
@@ -32,23 +33,23 @@
         self.wake.notify_one();
     }
 
-    /// State of a job, as it is stored; `None` if this owner doesn't know it, or may have been replaced.
+    /// The stored state of a job; `None` if this owner doesn't know the job or may have been replaced.
     ///
-    /// An owner that was paused and goes on would tell states of before its pause: a caller that was told "completed" would
-    /// see the job run again. It fails the proof until the workers have answered it.
+    /// An owner that resumes after a pause would return states from before the pause: a caller that has seen "completed" would
+    /// see the job run again. Such an owner is not confirmed until a majority of its workers has answered it.
     pub(crate) fn state(&self, id: &str) -> Option<State> {
         let pool = lock(&self.pool);
         pool.state(id).filter(|_| pool.proved(clock::now()))
     }
 
-    /// Cancels a job; answers when that is stored.
+    /// Cancels a job; replies when the cancellation is stored.
     pub(crate) async fn cancel(&self, id: &str) -> Reply {
         if lock(&self.pool).cancel(clock::unix(), id).is_none() {
             return Reply::Unknown;
         }
         self.wake.notify_one();
         self.dirty.notify_one();
-        let until = Instant::now() + CANCEL_WAIT;
+        let until = Instant::now() + CANCEL_TIMEOUT;
         loop {
             let stored = self.stored.notified();
             let state = lock(&self.pool).state(id);
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Inserts a job's row for a host that the store doesn't serve.
+    /// Inserts a job's row on behalf of a host that the store doesn't serve.
     pub(crate) async fn insert(&self, pool: u32, job: Job) -> Reply {
         if !self.host.served() {
             return Reply::Refused;
--- /dev/null
+++ b/crates/host/src/owner/connected_hosts.rs
@@ -0,0 +1,456 @@
+//! The hosts that are connected to an owner: the heartbeats that it sends to them, the messages that it receives, and the choice
+//! of a host that should own the pool instead.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use log::info;
+use pool::{Mechanism, Ms, WorkerId};
+use rustc_hash::FxHashMap;
+use tokio::sync::mpsc;
+use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
+
+use super::Owner;
+use crate::clock;
+use crate::election::NEAR_STORE_RTT_MS;
+use crate::helpers::Helper;
+use crate::host::lock;
+use crate::lag::TimerLag;
+use crate::peers::HEARTBEAT_INTERVAL;
+use crate::rows::Heir;
+use crate::suitability::Suitability;
+use crate::unserved::Candidate;
+use crate::wire::{Beat, FromOwner, ToOwner};
+
+/// A more suitable host gets a pool only if the store has served it for this long.
+const MIN_SERVED_TIME: Ms = 800;
+/// An owner with sufficient resources hands the pool over to a more suitable host only after this long, since hosts come and go
+/// at the first start.
+const MIN_OWNERSHIP: Ms = 5_000;
+/// The same for an owner with insufficient resources: long enough for other hosts to connect.
+const MIN_OWNERSHIP_INSUFFICIENT: Ms = 600;
+/// The same for an owner whose writes are not answered.
+const MIN_OWNERSHIP_UNANSWERED: Ms = 3_000;
+/// Shortest time between two heartbeats: a store that answers every other call must not make the owner saturate its network
+/// connection with heartbeats.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(120);
+/// The same for an overloaded owner.
+const MIN_OWNERSHIP_OVERLOADED: Ms = 1_500;
+/// Time between two checks whether another host should own the pool.
+const HANDOVER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// A host that was requested to take over the pool has this long to do so before another host is requested.
+const TAKEOVER_REQUEST_TIMEOUT: Ms = 1_000;
+/// Number of successors that an owner names: enough that some remain when a data centre fails together with the owner.
+const MAX_SUCCESSORS: usize = 8;
+/// A host from which nothing was received for this long gets no advisor requests and isn't considered for a handover.
+pub(super) const MAX_SILENCE: Ms = 800;
+
+/// A host that is connected to this owner.
+pub(super) struct ConnectedHost {
+    /// Number of the connection.
+    pub(super) connection: u64,
+    /// The address at which it accepts connections of other hosts.
+    address: SocketAddr,
+    /// Its share of a processor.
+    processors: f64,
+    /// Its network bandwidth, in Mbit/s.
+    bandwidth_mbps: f64,
+    /// Messages to it.
+    pub(super) sender: mpsc::Sender<FromOwner>,
+    /// When its last heartbeat was received.
+    pub(super) last_heard: Ms,
+    /// When that heartbeat was sent, on the clock of that host; 0 if there was none.
+    heartbeat_sent_at: Ms,
+    /// Since when the store has served it, according to its heartbeats; `None` if the store doesn't.
+    served_since: Option<Ms>,
+    /// When the store answered it last, according to its heartbeats.
+    store_answered_at: Ms,
+    /// Its round-trip time to the store, in milliseconds.
+    pub(super) store_rtt_ms: u64,
+    /// Number of pools that it owns.
+    owned_pools: u32,
+    /// How fast the advisor answers it.
+    pub(super) helper: Helper,
+    /// It makes advisor requests for this pool. The advisor serves one request at a time for each host, so the hosts are divided
+    /// among the pools.
+    pub(super) asks_advisor: bool,
+}
+
+impl ConnectedHost {
+    /// Whether its last heartbeat is recent and the store has served it for at least `min_time`.
+    fn is_served(&self, now: Ms, min_time: Ms) -> bool {
+        let served_for = self.served_since.map(|since| now.saturating_sub(since));
+        served_for.is_some_and(|time| time >= min_time)
+            && now.saturating_sub(self.last_heard) < MAX_SILENCE
+    }
+
+    fn candidate(&self) -> Candidate {
+        Candidate {
+            served: self.served_since,
+            answered: self.store_answered_at,
+        }
+    }
+
+    /// Its suitability as the owner of one more pool.
+    fn suitability(&self) -> Suitability {
+        Suitability {
+            near_store: self.store_rtt_ms <= NEAR_STORE_RTT_MS,
+            processors: self.processors,
+            bandwidth_mbps: self.bandwidth_mbps,
+            pools: self.owned_pools + 1,
+        }
+    }
+}
+
+impl Owner {
+    /// Requests that another host take over the pool if this host is stopping, isn't served by the store, is overloaded, or is
+    /// clearly less suitable.
+    ///
+    /// This owner works until another host owns the pool, which it learns from the workers or the store. If it stopped
+    /// earlier and the other host could not write the owner's row (a part of the store may be down for all hosts), the pool
+    /// would have no owner.
+    pub(super) async fn run_handover(self: Arc<Self>) {
+        let began = clock::now();
+        let mut requested: FxHashMap<String, Ms> = FxHashMap::default();
+        let mut lag = TimerLag::default();
+        loop {
+            let due = clock::now() + HANDOVER_CHECK_INTERVAL.as_millis() as Ms;
+            tokio::time::sleep(HANDOVER_CHECK_INTERVAL).await;
+            let now = clock::now();
+            lag.note(now, now.saturating_sub(due));
+            let recent = requested
+                .values()
+                .any(|&at| now.saturating_sub(at) < TAKEOVER_REQUEST_TIMEOUT);
+            if recent {
+                continue;
+            }
+            if let Some(name) =
+                self.request_takeover(now, began, lag.is_overloaded(now), &requested)
+            {
+                requested.insert(name, now);
+            }
+        }
+    }
+
+    /// Requests that the most suitable host take over the pool, if one should own it in place of this one; returns its name.
+    /// `requested` holds the times of earlier requests.
+    fn request_takeover(
+        &self,
+        now: Ms,
+        began: Ms,
+        overloaded: bool,
+        requested: &FxHashMap<String, Ms>,
+    ) -> Option<String> {
+        let unserved = lock(&self.unserved).filter(|unserved| {
+            // A write that was sent just before the store recovered may be unanswered while other calls are answered again.
+            let all_fail = if unserved.refused {
+                self.host.failing_since().is_some()
+            } else {
+                !self.host.served()
+            };
+            // This host could write its row when it claimed the pool. Shortly after, missing answers are due to a saturated
+            // network connection, and the next owner would have to read everything over a similar one.
+            let owned_long_enough =
+                unserved.refused || now.saturating_sub(began) > MIN_OWNERSHIP_UNANSWERED;
+            unserved.gives_up(now) && all_fail && owned_long_enough
+        });
+        let draining = self.host.stop.is_draining();
+        // A new owner is busy at first, and a pool that overloads every host must not be handed around.
+        let overloaded = overloaded && now.saturating_sub(began) > MIN_OWNERSHIP_OVERLOADED;
+        let leaving = unserved.is_some() || draining || overloaded;
+        let workers = self.worker_count();
+        let own = Suitability {
+            near_store: self.host.away() <= NEAR_STORE_RTT_MS,
+            processors: self.host.settings.processors,
+            bandwidth_mbps: self.host.settings.line,
+            pools: self.host.owned_pool_count_up_to(self.pool_number),
+        };
+        // An owner with insufficient resources may never have loaded all jobs.
+        let owned_long_enough = if own.is_sufficient(workers) {
+            self.loaded.load(Ordering::Relaxed) && now.saturating_sub(began) > MIN_OWNERSHIP
+        } else {
+            now.saturating_sub(began) > MIN_OWNERSHIP_INSUFFICIENT
+        };
+        if !leaving && !owned_long_enough {
+            return None;
+        }
+        let is_eligible = |host: &ConnectedHost| match unserved {
+            Some(unserved) if !draining => unserved.takes(now, &host.candidate()),
+            None if !draining => host.is_served(now, MIN_SERVED_TIME),
+            _ => true,
+        };
+        let hosts = lock(&self.hosts);
+        let (name, host) = hosts
+            .iter()
+            .filter(|(_, host)| host.is_served(now, 0) && is_eligible(host))
+            .filter(|(_, host)| {
+                !overloaded || draining || host.suitability().is_sufficient(workers)
+            })
+            .filter(|(_, host)| leaving || host.suitability().is_clearly_better(&own, workers))
+            .min_by(|(a_name, a), (b_name, b)| {
+                let requested_at = |name| requested.get(name).copied().unwrap_or(0);
+                let score = |host: &ConnectedHost| host.suitability().score(workers);
+                (requested_at(*a_name).cmp(&requested_at(*b_name)))
+                    .then_with(|| score(b).total_cmp(&score(a)))
+                    .then_with(|| self.tie_break(a_name).cmp(&self.tie_break(b_name)))
+            })?;
+        info!(pool = self.pool_number, heir = name.as_str(), epoch = self.epoch, unserved = unserved.is_some(), overloaded = overloaded, suits = own.is_sufficient(workers); "requested that another host take over the pool");
+        drop(host.sender.try_send(FromOwner::Take { epoch: self.epoch }));
+        Some(name.clone())
+    }
+
+    /// Size of the largest pool that this host or one of the connected hosts should own, in workers.
+    pub(super) fn largest_pool(&self) -> u32 {
+        let own = Suitability {
+            near_store: true,
+            processors: self.host.settings.processors,
+            bandwidth_mbps: self.host.settings.line,
+            pools: 1,
+        };
+        let hosts = lock(&self.hosts);
+        let others = hosts.values().map(|host| {
+            let suitability = Suitability {
+                pools: 1,
+                ..host.suitability()
+            };
+            suitability.capacity()
+        });
+        others.fold(own.capacity(), u32::max).max(1)
+    }
+
+    /// Number of workers in the pool, or the number that the pool map states if that is larger.
+    fn worker_count(&self) -> u32 {
+        let listed = lock(&self.pool).workers().filter(|it| it.listed).count() as u32;
+        listed.max(self.host.plan().size(self.pool_number))
+    }
+
+    /// Order of equally suitable hosts. It differs between pools; otherwise all pools of a host would be handed over to the same
+    /// host, and from there to the next.
+    fn tie_break(&self, name: &str) -> u64 {
+        xxh3_64_with_seed(name.as_bytes(), self.pool_number.into())
+    }
+
+    /// Hosts that should take over the pool when this one is lost, the most suitable first.
+    pub(crate) fn successors(&self) -> Vec<Heir> {
+        if !self.host.has(Mechanism::Heirs) {
+            return Vec::new();
+        }
+        let now = clock::now();
+        let workers = self.worker_count();
+        let hosts = lock(&self.hosts);
+        let mut successors: Vec<(f64, Heir)> = hosts
+            .iter()
+            .filter(|(_, host)| host.is_served(now, 0))
+            .map(|(name, host)| {
+                let successor = Heir {
+                    host: name.clone(),
+                    address: host.address,
+                };
+                (host.suitability().score(workers), successor)
+            })
+            .collect();
+        successors.sort_by(|(a_score, a), (b_score, b)| {
+            b_score
+                .total_cmp(a_score)
+                .then_with(|| self.tie_break(&a.host).cmp(&self.tie_break(&b.host)))
+        });
+        successors.truncate(MAX_SUCCESSORS);
+        successors.into_iter().map(|(_, host)| host).collect()
+    }
+
+    /// Sends heartbeats with the state of this owner to all connected hosts.
+    pub(super) async fn send_heartbeats(self: Arc<Self>) {
+        loop {
+            let (pending, load) = {
+                let pool = lock(&self.pool);
+                (pool.pending(), pool.load())
+            };
+            let loaded = self.loaded.load(Ordering::Relaxed);
+            self.update_gauges(&load, pending.values().sum());
+            let heartbeat = Beat {
+                pool: self.pool_number,
+                epoch: self.epoch,
+                catalog: self.host.catalog_version(),
+                catalog_as_of: 0,
+                catalog_age: Ms::MAX,
+                heard: 0,
+                served: self.host.served(),
+                failing: self.host.failing_since().is_some(),
+                plan: self.host.plan().version,
+                pending: loaded.then_some(pending),
+                taken: load.taken,
+                labels: load.labels,
+            };
+            let mut advisor_hosts = 1;
+            {
+                let now = clock::now();
+                let mut hosts = lock(&self.hosts);
+                for (name, host) in hosts.iter_mut() {
+                    host.asks_advisor = self.is_advisor_host(name);
+                    drop(
+                        host.sender
+                            .try_send(FromOwner::Beat(self.heartbeat_to(host, &heartbeat))),
+                    );
+                    advisor_hosts += usize::from(
+                        host.asks_advisor && now.saturating_sub(host.last_heard) < MAX_SILENCE,
+                    );
+                }
+            }
+            lock(&self.pool).set_askers(advisor_hosts);
+            self.host.hear(heartbeat);
+            let changed = self.host.current.changed.notified();
+            let store_changed = self.host.store_changed.notified();
+            tokio::time::sleep(MIN_HEARTBEAT_INTERVAL).await;
+            tokio::select! {
+                () = tokio::time::sleep(HEARTBEAT_INTERVAL - MIN_HEARTBEAT_INTERVAL) => {}
+                () = changed => {}
+                // Hosts that the store doesn't serve let the owner store their callers' jobs. When the store stops serving
+                // the owner, the other hosts have to check whether it serves them.
+                () = store_changed => {}
+            }
+        }
+    }
+
+    /// The heartbeat for one host. Its statement about the configuration refers to the time when that host's last heartbeat was
+    /// received.
+    fn heartbeat_to(&self, host: &ConnectedHost, heartbeat: &Beat) -> Beat {
+        let (catalog_as_of, catalog_age) = (self.host.catalog_as_of(), self.host.catalog_age());
+        Beat {
+            heard: host.heartbeat_sent_at,
+            catalog_as_of,
+            catalog_age,
+            // Read after the other two: a version that was installed in between is only newer.
+            catalog: self.host.catalog_version(),
+            ..heartbeat.clone()
+        }
+    }
+
+    /// Whether a host makes advisor requests for this pool.
+    fn is_advisor_host(&self, name: &str) -> bool {
+        let pools = u64::from(self.host.plan().pools());
+        xxh3_64(name.as_bytes()) % pools == u64::from(self.pool_number)
+    }
+
+    /// Updates the metrics of the pool's load.
+    fn update_gauges(&self, load: &pool::Load, pending: u64) {
+        let pool = self.pool_number.to_string();
+        metrics::gauge!("lentilyoke_room_used_share", "pool" => pool.clone()).set(load.used);
+        metrics::gauge!("lentilyoke_steps_open", "pool" => pool.clone()).set(load.steps as f64);
+        metrics::gauge!("lentilyoke_jobs_pending", "pool" => pool.clone()).set(pending as f64);
+        for (service, room) in &load.services {
+            let parts = [
+                ("processors", room.used.millicores, room.room.millicores),
+                ("memory", room.used.memory_mib, room.room.memory_mib),
+                (
+                    "accelerators",
+                    room.used.accelerators,
+                    room.room.accelerators,
+                ),
+            ];
+            for (part, used, all) in parts.into_iter().filter(|(_, _, all)| *all > 0) {
+                let share = used as f64 / all as f64;
+                metrics::gauge!("lentilyoke_service_used_share", "pool" => pool.clone(), "service" => service.clone(), "part" => part)
+                    .set(share);
+            }
+        }
+    }
+
+    /// Adds a host that has connected; returns the number of its connection.
+    pub(crate) fn host_connected(
+        &self,
+        name: &str,
+        address: SocketAddr,
+        (processors, bandwidth_mbps): (f64, f64),
+        sender: mpsc::Sender<FromOwner>,
+    ) -> u64 {
+        let connection = self.next_number.fetch_add(1, Ordering::Relaxed);
+        drop(sender.try_send(FromOwner::Beat(
+            self.host.last_heartbeat(self.pool_number).heartbeat,
+        )));
+
+        lock(&self.hosts).insert(
+            name.to_owned(),
+            ConnectedHost {
+                connection,
+                address,
+                processors,
+                bandwidth_mbps,
+                sender,
+                last_heard: clock::now(),
+                heartbeat_sent_at: 0,
+                served_since: None,
+                store_answered_at: 0,
+                store_rtt_ms: u64::MAX,
+                owned_pools: 0,
+                asks_advisor: self.is_advisor_host(name),
+                helper: Helper::default(),
+            },
+        );
+        info!(pool = self.pool_number, host = name, epoch = self.epoch; "host connected to the pool owner");
+        connection
+    }
+
+    /// Removes a host whose connection has ended, unless it has a newer connection.
+    pub(crate) fn host_disconnected(&self, name: &str, connection: u64) {
+        let mut hosts = lock(&self.hosts);
+        if hosts
+            .get(name)
+            .is_some_and(|host| host.connection == connection)
+        {
+            hosts.remove(name);
+        }
+    }
+
+    /// Handles a message of a host.
+    pub(crate) fn handle_message(
+        self: &Arc<Self>,
+        name: &str,
+        connection: u64,
+        message: ToOwner,
+        sender: &mpsc::Sender<FromOwner>,
+    ) {
+        match message {
+            ToOwner::Beat {
+                served,
+                away,
+                owns,
+                sent,
+                answered,
+                ..
+            } => {
+                if let Some(host) = lock(&self.hosts).get_mut(name)
+                    && host.connection == connection
+                {
+                    host.last_heard = clock::now();
+                    host.served_since =
+                        served.then(|| host.served_since.unwrap_or(host.last_heard));
+                    host.store_answered_at =
+                        answered.map_or(0, |age| host.last_heard.saturating_sub(age));
+                    host.store_rtt_ms = away;
+                    host.owned_pools = owns;
+                    host.heartbeat_sent_at = sent;
+                }
+            }
+            ToOwner::Accepted(job, place) => self.add_accepted_job(*job, place),
+            ToOwner::Advised(number, allowed) => {
+                let allowed = allowed.map(|(rows, valid)| {
+                    let rows = rows
+                        .into_iter()
+                        .map(|(id, text)| (WorkerId::from(id), text));
+                    (rows.collect(), valid)
+                });
+                self.receive_advice(number, allowed.as_ref());
+            }
+            ToOwner::Ask(number, call) => {
+                let (owner, sender) = (Arc::clone(self), sender.clone());
+                self.host.stop.spawn(async move {
+                    let reply = owner.handle_call(call).await;
+                    drop(sender.send(FromOwner::Told(number, reply)).await);
+                });
+            }
+            ToOwner::Hello { .. } | ToOwner::Hears(_) => {}
+        }
+    }
+}
--- a/crates/host/src/owner/directory.rs
+++ b/crates/host/src/owner/directory.rs
@@ -1,4 +1,4 @@
-//! Dividing workers over pools: which of those that the store lists are this owner's.
+//! The division of workers into pools: which of the workers that the store lists belong to this owner's pool.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,29 +16,30 @@
 use crate::rows::{COMMON, PLAN};
 use crate::session;
 
-/// Racks are given to pools when no worker without one was seen first for this long: at a first start all workers appear
-/// within a few of their heartbeats of 1.5 s, and the number of pools should go by all of them.
-const QUIET: Ms = 1_000;
-/// Workers wait no longer than this for a pool.
-const LONGEST: Ms = 5_000;
-/// Time between two looks whether racks wait for a pool.
-const LOOK: Duration = Duration::from_millis(100);
+/// Racks are assigned to pools when no new worker without a pool has appeared for this long. At the first start, all workers
+/// appear within a few of their heartbeats of 1.5 s, and the number of pools should result from all of them.
+const MIN_QUIET_TIME: Ms = 1_000;
+/// Longest time until the racks of new workers are assigned to pools.
+const MAX_ASSIGNMENT_DELAY: Ms = 5_000;
+/// Time between two checks for racks without a pool.
+const ASSIGNMENT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Workers as the store lists them, as far as they aren't in the owner's pool.
+/// The workers that the store lists but that aren't in the owner's pool.
 #[derive(Debug, Default)]
 pub(super) struct Directory {
-    /// Workers of other pools. A worker stays in its rack and a rack in its pool, so their rows need not be read.
+    /// Workers of other pools. A worker stays in its rack and a rack in its pool, so the rows of these workers need not be
+    /// decoded.
     foreign: FxHashSet<WorkerId>,
     /// Workers whose rack has no pool yet.
-    homeless: FxHashMap<WorkerId, News>,
-    /// Rack of each worker of the deployment; kept by the owner of pool 0 alone.
+    unassigned: FxHashMap<WorkerId, News>,
+    /// Rack of each worker of the deployment; kept only by the owner of pool 0.
     racks: FxHashMap<WorkerId, String>,
-    /// When a worker without a pool was seen first, and last.
-    seen: Option<(Ms, Ms)>,
+    /// When the first and the last of the workers without a pool appeared.
+    unassigned_since: Option<(Ms, Ms)>,
 }
 
 impl Directory {
-    /// Workers of each rack.
+    /// Number of workers in each rack.
     fn counts(&self) -> BTreeMap<String, u32> {
         let mut counts = BTreeMap::new();
         for rack in self.racks.values() {
@@ -49,55 +50,55 @@
 }
 
 impl Owner {
-    /// Whether the row of this worker says nothing to this owner.
+    /// Whether this worker is known to belong to another pool.
     pub(super) fn is_foreign(&self, id: &str) -> bool {
         lock(&self.directory).foreign.contains(id)
     }
 
-    /// The store lists a worker.
-    pub(super) fn found(self: &Arc<Self>, now: Ms, id: WorkerId, news: News) {
+    /// Handles a worker that the store lists: adds it to the pool, or records where it belongs.
+    pub(super) fn worker_listed(self: &Arc<Self>, now: Ms, id: WorkerId, news: News) {
         let rack = rack_of(&news.rack, &id);
-        let home = self.host.plan().pool_of(&rack);
+        let assigned = self.host.plan().pool_of(&rack);
         let mut directory = lock(&self.directory);
-        if self.number == 0 {
+        if self.pool_number == 0 {
             directory.racks.insert(Arc::clone(&id), rack);
         }
-        if home.is_none() {
-            let new = directory.homeless.insert(id, news).is_none();
-            let first = directory.seen.map_or(now, |(first, _)| first);
+        if assigned.is_none() {
+            let new = directory.unassigned.insert(id, news).is_none();
+            let first = directory.unassigned_since.map_or(now, |(first, _)| first);
             if new {
-                directory.seen = Some((first, now));
+                directory.unassigned_since = Some((first, now));
             }
             return;
         }
-        if home == Some(self.number) {
+        if assigned == Some(self.pool_number) {
             drop(directory);
-            self.take_up(now, id, news);
+            self.add_worker(now, id, news);
         } else {
             directory.foreign.insert(Arc::clone(&id));
             drop(directory);
-            // Its rack was another one before: from now on another owner holds it.
+            // If it was in this pool, its rack has changed, and from now on another owner polls it.
             lock(&self.pool).unlisted(&id);
         }
     }
 
-    /// The store lists all workers anew: what is known of those that aren't in this pool counts no more. One that left while
-    /// changes weren't told would be taken up when its rack gets a pool.
-    pub(super) fn begin_list(&self) {
+    /// Clears the directory before the store lists all workers again. Otherwise a worker that left while changes weren't received
+    /// would be added when its rack is assigned to this pool.
+    pub(super) fn clear_directory(&self) {
         *lock(&self.directory) = Directory::default();
     }
 
-    /// The store lists a worker no more.
-    pub(super) fn gone(&self, id: &str) {
+    /// Handles the removal of a worker from the store's list.
+    pub(super) fn worker_removed(&self, id: &str) {
         lock(&self.pool).unlisted(id);
         let mut directory = lock(&self.directory);
         directory.foreign.remove(id);
-        directory.homeless.remove(id);
+        directory.unassigned.remove(id);
         directory.racks.remove(id);
     }
 
-    /// A worker of this pool: holds it from now on.
-    fn take_up(self: &Arc<Self>, now: Ms, id: WorkerId, news: News) {
+    /// Adds a worker to the pool and starts a session with it, unless there is one.
+    fn add_worker(self: &Arc<Self>, now: Ms, id: WorkerId, news: News) {
         lock(&self.pool).listed(now, &id, news);
         if lock(&self.sessions).insert(Arc::clone(&id)) {
             let owner = Arc::clone(self);
@@ -108,64 +109,65 @@
         }
     }
 
-    /// Gives racks to pools, and takes up the workers of this pool.
-    pub(super) async fn divide(self: Arc<Self>) {
+    /// Periodically adds workers whose racks were assigned to this pool. The owner of pool 0 also assigns the racks.
+    pub(super) async fn assign_workers(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(LOOK).await;
-            self.house();
+            tokio::time::sleep(ASSIGNMENT_INTERVAL).await;
+            self.add_assigned_workers();
             let due = {
                 let now = clock::now();
-                let seen = lock(&self.directory).seen;
-                seen.is_some_and(|(first, last)| {
-                    now.saturating_sub(last) > QUIET || now.saturating_sub(first) > LONGEST
+                let since = lock(&self.directory).unassigned_since;
+                since.is_some_and(|(first, last)| {
+                    now.saturating_sub(last) > MIN_QUIET_TIME
+                        || now.saturating_sub(first) > MAX_ASSIGNMENT_DELAY
                 })
             };
-            if due && self.number == 0 {
-                self.extend_plan().await;
+            if due && self.pool_number == 0 {
+                self.extend_pool_map().await;
             }
         }
     }
 
-    /// Takes up workers whose rack has got a pool.
-    fn house(self: &Arc<Self>) {
+    /// Adds workers whose racks were assigned to this pool meanwhile.
+    fn add_assigned_workers(self: &Arc<Self>) {
         let plan = self.host.plan();
-        let housed: Vec<(WorkerId, News)> = {
+        let assigned: Vec<(WorkerId, News)> = {
             let mut directory = lock(&self.directory);
-            if directory.homeless.is_empty() {
+            if directory.unassigned.is_empty() {
                 return;
             }
-            let homeless = std::mem::take(&mut directory.homeless);
-            let (housed, rest) = homeless
+            let unassigned = std::mem::take(&mut directory.unassigned);
+            let (assigned, rest) = unassigned
                 .into_iter()
                 .partition(|(id, news)| plan.pool_of(&rack_of(&news.rack, id)).is_some());
-            directory.homeless = rest;
-            if directory.homeless.is_empty() {
-                directory.seen = None;
+            directory.unassigned = rest;
+            if directory.unassigned.is_empty() {
+                directory.unassigned_since = None;
             }
-            FxHashMap::into_iter(housed).collect()
+            FxHashMap::into_iter(assigned).collect()
         };
         let now = clock::now();
-        let mut any = false;
-        for (id, news) in housed {
-            if plan.pool_of(&rack_of(&news.rack, &id)) == Some(self.number) {
-                any = true;
-                self.take_up(now, id, news);
+        let mut added = false;
+        for (id, news) in assigned {
+            if plan.pool_of(&rack_of(&news.rack, &id)) == Some(self.pool_number) {
+                added = true;
+                self.add_worker(now, id, news);
             }
         }
-        if any {
+        if added {
             self.dirty.notify_one();
             self.wake.notify_one();
         }
     }
 
-    /// Writes a plan in which each rack has a pool. Others may write it too (a former owner of pool 0), so the row as it
-    /// was read is the condition.
-    async fn extend_plan(&self) {
+    /// Writes a pool map in which each rack has a pool. A former owner of pool 0 may write it too, so the transaction
+    /// requires that the row is unchanged since it was read.
+    async fn extend_pool_map(&self) {
         let store = &self.host.store;
         let (stored, version) = match store.get(PLAN, COMMON, PLAN).await {
             Ok(row) => parse(row.as_ref()).unwrap_or_default(),
             Err(error) => {
-                warn!(error:% = error; "the plan of pools can't be read");
+                warn!(error:% = error; "reading the pool map failed");
                 return;
             }
         };
@@ -186,7 +188,7 @@
         };
         match store.commit(&transaction).await {
             Ok(_) => {
-                info!(version = next.version, pools = next.pools(), racks = next.racks.len(), workers = counts.values().sum::<u32>(); "gave racks to pools");
+                info!(version = next.version, pools = next.pools(), racks = next.racks.len(), workers = counts.values().sum::<u32>(); "racks assigned to pools");
                 self.host.put_plan(next);
             }
             Err(StoreError::Conflict { rows }) => {
@@ -195,11 +197,12 @@
                     self.host.put_plan(found);
                 }
             }
-            Err(error) => warn!(error:% = error; "the plan of pools is not written yet"),
+            Err(error) => warn!(error:% = error; "writing the pool map failed; retrying"),
         }
     }
 }
 
+/// Decodes the row of the pool map; returns it with its version.
 fn parse(row: Option<&Row>) -> Option<(Plan, u64)> {
     let row = row?;
     let plan = serde_json::from_slice(row.value.as_deref()?).ok()?;
--- /dev/null
+++ b/crates/host/src/owner/store_changes.rs
@@ -0,0 +1,177 @@
+//! Jobs, cancellations and workers that the owner reads from the store.
+
+use std::sync::Arc;
+
+use log::warn;
+use pool::{Job, Progress, State, WorkerId};
+use rustc_hash::{FxHashMap, FxHashSet};
+use tokio::sync::mpsc;
+
+use super::Owner;
+use crate::clock;
+use crate::follow::{Change, read, read_each};
+use crate::host::lock;
+use crate::outside::{Page, Row};
+use crate::rows::{CANCEL, JOBS, JobRow, PROGRESS, RosterRow, job_parts, pool_part};
+
+/// The stored progress of jobs, by id.
+pub(super) type ProgressById = FxHashMap<String, Progress>;
+
+impl Owner {
+    /// Reads the workers and the progress of jobs. `claimed` is the transaction by which this owner claimed the pool.
+    pub(super) async fn read_workers(&self, claimed: u64) -> (Page, ProgressById) {
+        // As of that transaction, everything that the former owner has stored is visible. Reads may return older data;
+        // without this bound, tasks whose ends are stored would start again.
+        let own_part = [pool_part(self.pool_number)];
+        let unnamed_part = [String::new()];
+        let store = self.host.store.as_ref();
+        let (progress, listed) = tokio::join!(
+            read(store, PROGRESS, &own_part, claimed),
+            read(store, &self.host.settings.places.workers, &unnamed_part, 0),
+        );
+        let progress = progress.rows.into_iter().filter_map(|row| {
+            let progress = serde_json::from_slice(row.value.as_deref()?).ok()?;
+            Some((row.key, progress))
+        });
+        (listed, progress.collect())
+    }
+
+    /// Reads all jobs that were accepted before this owner claimed the pool, and sends them page by page.
+    ///
+    /// A part of the store may be down for seconds, and some jobs with it. The other jobs need not wait for these: runs and
+    /// ends of unknown jobs are left alone until all jobs are known.
+    pub(super) async fn read_jobs(&self, claimed: u64, pages: mpsc::UnboundedSender<Page>) {
+        let parts: Vec<String> = job_parts().collect();
+        let store = self.host.store.as_ref();
+        read_each(store, JOBS, &parts, claimed, |page| drop(pages.send(page))).await;
+    }
+
+    /// Adds the jobs of a page to the pool, with their progress.
+    pub(super) fn load_jobs(&self, page: &Page, progress: &ProgressById) {
+        let (now, unix) = (clock::now(), clock::unix());
+        let mut pool = lock(&self.pool);
+        for row in &page.rows {
+            if let Some(id) = row.key.strip_prefix(CANCEL) {
+                pool.cancel(unix, id);
+                continue;
+            }
+            let progress = progress.get(&row.key);
+            if let Some(completed) = progress.filter(|it| it.state == State::Completed) {
+                pool.adopt(now, unix, Arc::new(job_id_only(row)), Some(completed), true);
+            } else if let Some((job, before)) = self.parse_job(row) {
+                pool.adopt(now, unix, Arc::new(job), progress.or(before.as_ref()), true);
+            }
+        }
+        drop(pool);
+        self.wake.notify_one();
+    }
+
+    /// Adds the workers to the pool, with the roster of the claim and that of the former owner. As many jobs as possible
+    /// should be known by then, since a worker that lists ends of unknown jobs is polled again and again.
+    pub(super) fn load_workers(
+        self: &Arc<Self>,
+        listed: Page,
+        claimed: &RosterRow,
+        former_roster: &[String],
+    ) {
+        self.workers_changed(Change::All(listed));
+        let ids =
+            |ids: &[String]| -> Vec<WorkerId> { ids.iter().map(|id| id.as_str().into()).collect() };
+        let mut pool = lock(&self.pool);
+        pool.enroll(&ids(&claimed.roster));
+        // The former owner may have used only the workers of its roster. The list of all workers may be old and contain removed
+        // ones.
+        pool.inherit(clock::now(), ids(former_roster), &claimed.silent);
+    }
+
+    /// Handles changes of the table of jobs.
+    pub(super) fn jobs_changed(&self, change: Change) {
+        let rows = match change {
+            Change::All(page) => page.rows,
+            Change::Some(feed) => feed.rows,
+            Change::Failed(error) => {
+                warn!(error:% = error; "following jobs failed; retrying");
+                return;
+            }
+        };
+        if rows.is_empty() {
+            return;
+        }
+        let (now, unix) = (clock::now(), clock::unix());
+        let mut pool = lock(&self.pool);
+        for row in rows.iter().filter(|row| row.value.is_some()) {
+            if let Some(id) = row.key.strip_prefix(CANCEL) {
+                pool.cancel(unix, id);
+            } else if !pool.knows(&row.key)
+                && let Some((job, before)) = self.parse_job(row)
+            {
+                pool.adopt(now, unix, Arc::new(job), before.as_ref(), false);
+            }
+        }
+        drop(pool);
+        self.wake.notify_one();
+        self.dirty.notify_one();
+    }
+
+    /// Handles changes of the table of workers.
+    pub(super) fn workers_changed(self: &Arc<Self>, change: Change) {
+        let (rows, all) = match change {
+            Change::All(page) => (page.rows, true),
+            Change::Some(feed) => (feed.rows, false),
+            Change::Failed(error) => {
+                warn!(error:% = error; "following workers failed; retrying");
+                return;
+            }
+        };
+        let now = clock::now();
+        if all {
+            self.clear_directory();
+            let present: FxHashSet<&str> = rows.iter().map(|row| row.key.as_str()).collect();
+            let removed: Vec<WorkerId> = lock(&self.pool)
+                .workers()
+                .filter(|worker| !present.contains(&*worker.id))
+                .map(|worker| Arc::clone(&worker.id))
+                .collect();
+            for id in removed {
+                self.worker_removed(&id);
+            }
+        }
+        for row in &rows {
+            if row.value.is_some() && self.is_foreign(&row.key) {
+                continue;
+            }
+            let news = row
+                .value
+                .as_deref()
+                .and_then(|value| self.host.decode.worker(&row.key, value));
+            match news {
+                Some(news) => self.worker_listed(now, row.key.as_str().into(), news),
+                None if row.value.is_none() => self.worker_removed(&row.key),
+                None => warn!(row = row.key.as_str(); "worker row can't be decoded"),
+            }
+        }
+        self.dirty.notify_one();
+    }
+
+    /// Decodes a job's row if the job is in this pool: returns the job, and its progress in another pool if it was transferred.
+    fn parse_job(&self, row: &Row) -> Option<(Job, Option<Progress>)> {
+        let value = row.value.as_deref()?;
+        match serde_json::from_slice::<JobRow<Job>>(value) {
+            Ok(found) if found.pool != self.pool_number => None,
+            Ok(found) => Some((found.job, found.moved.map(|moved| moved.progress))),
+            Err(error) => {
+                warn!(row = row.key.as_str(), error:% = error; "job row can't be decoded");
+                None
+            }
+        }
+    }
+}
+
+/// A completed job with nothing but its id. Nothing of it runs or will run, and callers ask only for its state. Most rows that a
+/// new owner reads are of such jobs, and decoding them whole took half of the time until other jobs were resumed.
+fn job_id_only(row: &Row) -> Job {
+    Job {
+        id: row.key.as_str().into(),
+        ..Job::default()
+    }
+}
--- a/crates/host/src/owner_rows.rs
+++ b/crates/host/src/owner_rows.rs
@@ -1,10 +1,10 @@
-//! Rows of the pools' owners, as last read.
+//! The rows of the pools' owners, as last read from the store.
 //!
-//! The pattern: all hosts lose power or are killed at once, and come back within the same second. Reading the row of each
-//! pool's owner ten times a second, 300 hosts with six pools would make 18,000 reads a second, three times what the store of
-//! such a deployment takes. One question for changes, which the store answers when there is something new, tells a host of
-//! all pools. It begins at the rows as they are, never in the past: 150 hosts that were told of all rewrites since they had
-//! last asked lost the store for seconds when one owner was killed.
+//! All hosts may lose power or be killed at once and restart within the same second. If each of 300 hosts read the rows of six
+//! owners ten times a second, that would make 18,000 reads a second, three times what the store of such a deployment
+//! takes. So a host makes one long poll for changes of all these rows, which the store answers when there is something new. The
+//! poll starts from the present rows, never from an earlier version: when one owner was killed, 150 hosts that received all
+//! rewrites since their last poll lost the store for seconds.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -17,67 +17,67 @@
 use crate::outside::StoreError;
 use crate::rows::{OWNER, OwnerRow, pool_part};
 
-/// A question for changes waits this long; then owners without a link are looked for anew.
-const WAIT: Duration = Duration::from_millis(900);
-/// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(120);
+/// Longest wait of a long poll for changes; after it, the loop checks again which owners are unknown.
+const POLL_WAIT: Duration = Duration::from_millis(900);
+/// Pause after a failed call to the store.
+const RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// An owner's row with its version.
-pub(crate) type Found = (OwnerRow, u64);
+pub(crate) type VersionedRow = (OwnerRow, u64);
 
-/// What is known of one owner's row.
+/// What is known about one owner's row.
 #[derive(Clone, Debug, Default)]
-pub(crate) enum Known {
-    /// It has not been read.
+pub(crate) enum KnownRow {
+    /// It has not been read yet.
     #[default]
     Unread,
-    /// There was none when it was read.
+    /// It did not exist when it was read.
     Absent,
     /// The row as last read.
-    There(Found),
+    Present(VersionedRow),
 }
 
-impl Known {
-    fn is_older_than(&self, found: &Known) -> bool {
+impl KnownRow {
+    fn is_older_than(&self, found: &KnownRow) -> bool {
         match (self, found) {
             (_, Self::Unread) => false,
-            (Self::Unread, _) | (Self::Absent, Self::There(_)) => true,
-            (Self::There((_, known)), Self::There((_, version))) => known < version,
-            (Self::Absent | Self::There(_), Self::Absent) => false,
+            (Self::Unread, _) | (Self::Absent, Self::Present(_)) => true,
+            (Self::Present((_, known)), Self::Present((_, version))) => known < version,
+            (Self::Absent | Self::Present(_), Self::Absent) => false,
         }
     }
 }
 
-impl From<Option<Found>> for Known {
-    fn from(found: Option<Found>) -> Self {
-        found.map_or(Self::Absent, Self::There)
+impl From<Option<VersionedRow>> for KnownRow {
+    fn from(found: Option<VersionedRow>) -> Self {
+        found.map_or(Self::Absent, Self::Present)
     }
 }
 
-/// What is known of the owners' rows.
+/// What is known about the owners' rows of all pools.
 #[derive(Debug, Default)]
 pub(crate) struct OwnerRows {
-    pools: Mutex<Vec<watch::Sender<Known>>>,
+    pools: Mutex<Vec<watch::Sender<KnownRow>>>,
 }
 
 impl OwnerRows {
-    /// Tells the row of a pool's owner whenever a newer one is known.
-    pub(crate) fn subscribe(&self, pool: u32) -> watch::Receiver<Known> {
+    /// Returns a receiver that is notified whenever a newer row of a pool's owner is known.
+    pub(crate) fn subscribe(&self, pool: u32) -> watch::Receiver<KnownRow> {
         self.with(pool, watch::Sender::subscribe)
     }
 
-    fn with<T>(&self, pool: u32, act: impl FnOnce(&watch::Sender<Known>) -> T) -> T {
+    fn with<T>(&self, pool: u32, act: impl FnOnce(&watch::Sender<KnownRow>) -> T) -> T {
         let mut pools = lock(&self.pools);
-        let at = pool as usize;
-        while pools.len() <= at {
-            pools.push(watch::Sender::new(Known::Unread));
+        let index = pool as usize;
+        while pools.len() <= index {
+            pools.push(watch::Sender::new(KnownRow::Unread));
         }
-        act(&pools[at])
+        act(&pools[index])
     }
 
-    /// A row was read. An older one than is known already changes nothing: reads may lag behind.
-    pub(crate) fn note(&self, pool: u32, found: Option<Found>) {
-        let found = Known::from(found);
+    /// Records a row that was read. A row older than the known one is ignored, since reads may return old data.
+    pub(crate) fn note(&self, pool: u32, found: Option<VersionedRow>) {
+        let found = KnownRow::from(found);
         self.with(pool, |known| {
             known.send_if_modified(|known| {
                 let newer = known.is_older_than(&found);
@@ -90,15 +90,15 @@
     }
 }
 
-/// Reads the row of a pool's owner and notes it; tells also up to which transaction it was read.
-pub(crate) async fn read(host: &Host, pool: u32) -> Option<(Option<Found>, u64)> {
+/// Reads and records the row of a pool's owner; returns it with the transaction as of which it was read.
+pub(crate) async fn read(host: &Host, pool: u32) -> Option<(Option<VersionedRow>, u64)> {
     let page = host.store.list(OWNER, &pool_part(pool)).await.ok()?;
     let found = parse(&page.rows, OWNER);
     host.owner_rows.note(pool, found.clone());
     Some((found, page.version))
 }
 
-/// Reads the rows of all pools' owners; tells up to which transaction.
+/// Reads and records the rows of all pools' owners; returns the oldest transaction as of which one of them was read.
 async fn read_all(host: &Host) -> Option<u64> {
     let mut version = u64::MAX;
     for pool in 0..host.plan().pools() {
@@ -108,14 +108,14 @@
     Some(version)
 }
 
-/// Follows the owners' rows while one of the pools has no owner that this host knows.
+/// Follows the owners' rows as long as there is a pool whose owner this host doesn't know.
 pub(crate) async fn follow(host: &Arc<Host>) {
     let mut after = None;
     let mut pools = 0;
     loop {
         let unowned = host.unowned.notified();
         if !host.has_unknown_owner() {
-            // All that changes until then is of no interest: the rows are read anew.
+            // Changes until then don't matter, since all rows are read again.
             after = None;
             unowned.await;
             continue;
@@ -127,11 +127,11 @@
             pools = host.plan().pools();
             after = read_all(host).await;
             if after.is_none() {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
             continue;
         };
-        match host.store.feed(OWNER, newest, WAIT).await {
+        match host.store.feed(OWNER, newest, POLL_WAIT).await {
             Ok(feed) => {
                 after = Some(feed.version.max(newest));
                 for row in &feed.rows {
@@ -146,10 +146,10 @@
             }
             Err(StoreError::Gone) => after = None,
             Err(error) => {
-                warn!(error:% = error; "owners are not followed for now");
-                // What was missed meanwhile may not be told any more.
+                warn!(error:% = error; "following owner rows failed; retrying");
+                // The feed may no longer contain the changes that were missed meanwhile.
                 after = None;
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -18,46 +18,48 @@
 use crate::verdict::WitnessAnswer;
 use crate::wire::{Call, FromOwner, Receiver, Reply, Sender, ToOwner};
 
-/// Time between two beats. A shorter one finds a lost owner sooner and costs each host a wake-up more.
-pub(crate) const BEAT: Duration = Duration::from_millis(250);
-/// An owner from which no byte has come for this long is taken as lost: three beats, and some for the way between regions.
-pub(crate) const SILENCE: Duration = Duration::from_millis(900);
-/// Time in which a connection has to be made; the way between regions takes 40 ms there and back.
-const CONNECT: Duration = Duration::from_millis(400);
-/// Frames that wait to be written to one host; more means that it doesn't read.
-const QUEUE: usize = 4_096;
+/// Time between two heartbeats. A shorter interval would detect the loss of an owner sooner, at the price of more wake-ups on
+/// each host.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// An owner from which no byte has arrived for this long is considered lost: three heartbeats, and some time for the connection
+/// between regions.
+pub(crate) const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
+/// Timeout for establishing a connection; the round trip between regions takes 40 ms.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Frames that may wait to be written to one host; more mean that it doesn't read.
+const QUEUE_FRAMES: usize = 4_096;
 
 /// Why a link to the owner ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum LinkEnd {
-    /// There is none any more.
-    Lost(Loss),
-    /// That host is not the owner.
+    /// The connection failed or was not established.
+    Lost(LinkLoss),
+    /// The host at the address is not the owner.
     NotOwner {
-        /// Start of its life in Unix milliseconds.
+        /// Start of that host's process in Unix milliseconds.
         life: u64,
     },
-    /// It wants this host to take the pool over.
+    /// The owner requests that this host take over the pool.
     Take,
-    /// This host is stopped.
+    /// This host is stopping.
     Stopped,
 }
 
 /// How a link to the owner was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Loss {
-    /// No connection was made in time.
+pub(crate) enum LinkLoss {
+    /// No connection was established in time.
     NotReached,
-    /// The owner's machine refused the connection: the process has ended.
+    /// The owner's machine refused the connection, so the process has ended.
     Refused,
-    /// Nothing came for [`SILENCE`].
+    /// Nothing arrived for [`HEARTBEAT_TIMEOUT`].
     Silent,
-    /// The connection broke off, or this host could not write to it.
+    /// The connection was closed, or this host could not write to it.
     Broken,
 }
 
-/// Writes what comes through a channel, several frames at a time.
-async fn write<T: Serialize>(mut sender: Sender<T>, mut from: mpsc::Receiver<T>) {
+/// Writes the messages of a channel to a connection, several frames at a time.
+async fn write_messages<T: Serialize>(mut sender: Sender<T>, mut from: mpsc::Receiver<T>) {
     while let Some(message) = from.recv().await {
         if sender.feed(&message).await.is_err() {
             return;
@@ -73,27 +75,27 @@
     }
 }
 
-async fn connect(address: SocketAddr, time: Duration) -> Result<TcpStream, Loss> {
-    let connected = timeout(time, TcpStream::connect(address)).await;
+async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, LinkLoss> {
+    let connected = timeout(limit, TcpStream::connect(address)).await;
     let stream = connected
-        .map_err(|_| Loss::NotReached)?
+        .map_err(|_| LinkLoss::NotReached)?
         .map_err(|error| match error.kind() {
-            ErrorKind::ConnectionRefused => Loss::Refused,
-            _ => Loss::NotReached,
+            ErrorKind::ConnectionRefused => LinkLoss::Refused,
+            _ => LinkLoss::NotReached,
         })?;
-    stream.set_nodelay(true).map_err(|_| Loss::Broken)?;
+    stream.set_nodelay(true).map_err(|_| LinkLoss::Broken)?;
     Ok(stream)
 }
 
-/// Keeps a link to the owner until it ends.
+/// Connects to the owner of a pool and keeps the link until it ends.
 pub(crate) async fn join(host: &Arc<Host>, pool: u32, address: SocketAddr, epoch: u64) -> LinkEnd {
-    let stream = match connect(address, CONNECT).await {
+    let stream = match connect(address, CONNECT_TIMEOUT).await {
         Ok(stream) => stream,
         Err(loss) => return LinkEnd::Lost(loss),
     };
     let (read, half) = stream.into_split();
     let mut receiver = Receiver::<FromOwner>::new(read);
-    let (to, from) = mpsc::channel(QUEUE);
+    let (to, from) = mpsc::channel(QUEUE_FRAMES);
     let link = Arc::new(Link::new(to));
     link.send(ToOwner::Hello {
         host: host.settings.id.clone(),
@@ -103,7 +105,7 @@
         processors: host.settings.processors,
         line: host.settings.line,
     });
-    let beats = async {
+    let heartbeats = async {
         loop {
             let catalog = host.catalog_version();
             let beat = ToOwner::Beat {
@@ -118,33 +120,33 @@
                 return;
             }
             tokio::select! {
-                () = tokio::time::sleep(BEAT) => {}
+                () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
                 () = host.probed.notified() => {}
             }
         }
     };
     let reads = async {
         loop {
-            let message = match receiver.next_within(SILENCE).await {
+            let message = match receiver.next_within(HEARTBEAT_TIMEOUT).await {
                 Ok(Some(message)) => message,
                 Err(error) if error.kind() == ErrorKind::TimedOut => {
-                    return LinkEnd::Lost(Loss::Silent);
+                    return LinkEnd::Lost(LinkLoss::Silent);
                 }
-                Ok(None) | Err(_) => return LinkEnd::Lost(Loss::Broken),
+                Ok(None) | Err(_) => return LinkEnd::Lost(LinkLoss::Broken),
             };
             match message {
                 FromOwner::Beat(beat) => {
                     host.hear(beat);
                     if host.owner_link(pool).is_none() {
                         host.set_link(pool, Some(Arc::clone(&link)));
-                        info!(pool = pool, owner:% = address, epoch = epoch; "joined the owner");
+                        info!(pool = pool, owner:% = address, epoch = epoch; "connected to the pool owner");
                     }
                 }
                 FromOwner::NotOwner { life } => return LinkEnd::NotOwner { life },
-                FromOwner::Take { epoch: of } if of == epoch => return LinkEnd::Take,
+                FromOwner::Take { epoch: taken } if taken == epoch => return LinkEnd::Take,
                 FromOwner::Told(number, reply) => {
                     if let Some(late) = link.deliver_reply(number, reply) {
-                        warn!(pool = pool, owner:% = address, reply = late.name(); "an answer came too late");
+                        warn!(pool = pool, owner:% = address, reply = late.name(); "reply received after its call timed out");
                     }
                 }
                 FromOwner::Advise {
@@ -178,20 +180,24 @@
     };
     let ended = tokio::select! {
         ended = reads => ended,
-        () = beats => LinkEnd::Lost(Loss::Broken),
-        () = write(Sender::new(half), from) => LinkEnd::Lost(Loss::Broken),
+        () = heartbeats => LinkEnd::Lost(LinkLoss::Broken),
+        () = write_messages(Sender::new(half), from) => LinkEnd::Lost(LinkLoss::Broken),
         () = host.stop.ended() => LinkEnd::Stopped,
     };
     host.set_link(pool, None);
     ended
 }
 
-/// Asks another host, for this long, whether it hears the owner of a pool or is it.
-pub(crate) async fn hears(address: SocketAddr, pool: u32, time: Duration) -> WitnessAnswer {
+/// Asks another host whether it receives heartbeats of a pool's owner or is the owner; waits at most `limit` for the answer.
+pub(crate) async fn ask_if_owner_heard(
+    address: SocketAddr,
+    pool: u32,
+    limit: Duration,
+) -> WitnessAnswer {
     let ask = async {
-        let (read, half) = match connect(address, time).await {
+        let (read, half) = match connect(address, limit).await {
             Ok(stream) => stream.into_split(),
-            Err(Loss::Refused) => return WitnessAnswer::Refused,
+            Err(LinkLoss::Refused) => return WitnessAnswer::Refused,
             Err(_) => return WitnessAnswer::TimedOut,
         };
         let mut sender = Sender::<ToOwner>::new(half);
@@ -204,16 +210,16 @@
             _ => WitnessAnswer::TimedOut,
         }
     };
-    timeout(time, ask).await.unwrap_or(WitnessAnswer::TimedOut)
+    timeout(limit, ask).await.unwrap_or(WitnessAnswer::TimedOut)
 }
 
-/// Answers other hosts.
+/// Accepts connections of other hosts and serves them until this host stops.
 pub(crate) async fn listen(host: &Arc<Host>) {
     let listener = loop {
         match TcpListener::bind(host.settings.address).await {
             Ok(listener) => break listener,
             Err(error) => {
-                warn!(address:% = host.settings.address, error:% = error; "can't listen for other hosts");
+                warn!(address:% = host.settings.address, error:% = error; "binding the listen address for hosts failed; retrying");
                 if !host.stop.sleep(Duration::from_millis(500)).await {
                     return;
                 }
@@ -241,13 +247,14 @@
     }
 }
 
+/// Serves a connection of another host: its link to this owner, or a question about the owner of a pool.
 async fn serve(host: Arc<Host>, stream: TcpStream) {
     let (read, half) = stream.into_split();
     let mut receiver = Receiver::<ToOwner>::new(read);
-    let (to, from) = mpsc::channel::<FromOwner>(QUEUE);
+    let (to, from) = mpsc::channel::<FromOwner>(QUEUE_FRAMES);
     let reads = async {
-        let first = receiver.next_within(SILENCE).await;
-        let (name, address, power, owner) = match first {
+        let first = receiver.next_within(HEARTBEAT_TIMEOUT).await;
+        let (name, address, resources, owner) = match first {
             Ok(Some(ToOwner::Hello {
                 host: name,
                 address,
@@ -274,28 +281,28 @@
             _ => return,
         };
         let since = Instant::now();
-        let member = owner.joined(&name, address, power, to.clone());
+        let connection = owner.host_connected(&name, address, resources, to.clone());
         loop {
-            let Ok(Some(message)) = receiver.next_within(SILENCE * 2).await else {
+            let Ok(Some(message)) = receiver.next_within(HEARTBEAT_TIMEOUT * 2).await else {
                 break;
             };
-            owner.told(&name, member, message, &to);
-            if owner.is_over() {
+            owner.handle_message(&name, connection, message, &to);
+            if owner.has_ended() {
                 drop(to.send(FromOwner::NotOwner { life: host.life }).await);
                 break;
             }
         }
-        owner.left(&name, member);
-        info!(host = name, ms = since.elapsed().as_millis() as u64; "a host left the owner");
+        owner.host_disconnected(&name, connection);
+        info!(host = name, ms = since.elapsed().as_millis() as u64; "host disconnected from the pool owner");
     };
     tokio::select! {
         () = reads => {}
-        () = write(Sender::new(half), from) => {}
+        () = write_messages(Sender::new(half), from) => {}
     }
 }
 
 impl Owner {
-    /// Answers a call of a host, or of this one.
+    /// Handles a call of another host or of this one.
     pub(crate) async fn handle_call(self: &Arc<Self>, call: Call) -> Reply {
         match call {
             Call::State(id) => self.state(&id).map_or(Reply::Unknown, Reply::State),
@@ -303,7 +310,7 @@
             Call::Insert(pool, job) => self.insert(pool, *job).await,
             Call::Catalog => match self.host().packed_catalog() {
                 Some(packed) => {
-                    info!(version = packed.version, bytes = packed.text.len(); "told the configuration");
+                    info!(version = packed.version, bytes = packed.text.len(); "configuration sent to a host");
                     Reply::Catalog(packed)
                 }
                 None => Reply::Unsure,
--- a/crates/host/src/session.rs
+++ b/crates/host/src/session.rs
@@ -1,8 +1,8 @@
-//! Holding one worker: renewing its lease, hearing what runs and what ended.
+//! The owner's session with one worker: long polls that renew its lease and list its runs and the ends of runs.
 //!
-//! Answers the load in which the way to a worker is full, and its answers arrive late. A worker whose answer is due gets nothing
-//! new and is asked again. The answer is taken all the same when it comes: it may tell of ends, and if the lease were over before
-//! one is known, the task would run again.
+//! The connection to a worker may be saturated, so that its answers arrive late. A worker whose answer is overdue gets no new
+//! tasks and is polled again. A late answer is processed all the same: it may list ends, and if the lease lapsed before an end is
+//! known, the task would run again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,46 +18,48 @@
 use crate::owner::Owner;
 use crate::sample::is_told_in_full;
 
-/// A hold waits this long for an end. A worker counts as silent after 1.6 s, so one lost hold is borne.
-const WAIT: Duration = Duration::from_millis(600);
-/// The same while many answers are lost: what a worker has to tell waits for as long as a hold that is lost.
-const WAIT_LOSSY: Duration = Duration::from_millis(250);
-/// An answer is due this long after the hold's own wait: the way there and back, and a connection to be made.
+/// Longest time for which a worker delays its answer to a poll until a run ends. A worker counts as silent after 1.6 s, so a
+/// single lost poll does no harm.
+const POLL_WAIT: Duration = Duration::from_millis(600);
+/// The same while many answers are lost: after a lost answer, the ends on a worker are known only with the next poll.
+const POLL_WAIT_LOSSY: Duration = Duration::from_millis(250);
+/// Time for an answer beyond the wait of the poll itself: a round trip, and the set-up of a connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(650);
-/// An owner without a majority renews no lease, and holds a worker that it has heard for this long, so that the lease is
-/// asked for soon after the majority is there. Without any wait, each worker was asked 4,000 times a second.
-const UNPROVED: Duration = Duration::from_millis(150);
-/// Ends are stored in groups; a hold that would be answered with the same ends again waits this long for that.
-const STORED: Duration = Duration::from_millis(80);
-/// Pause after an answer that brought nothing new while ends are not stored; it grows by this much each time.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Longest such pause. While the store is down, each worker would be asked ten times a second, which a host with 500 of them
-/// has no time for; news of ends and the lease come soon enough at a third of that.
-const PAUSE_MOST: Duration = Duration::from_millis(400);
-/// Pause after a hold that failed at once.
-const HOLD_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// The wait of a poll while the owner isn't confirmed by a majority of its workers and therefore renews no lease. It is short, so
+/// that the lease is renewed soon after the confirmation. Without any wait, each worker was polled 4,000 times a second.
+const POLL_WAIT_UNCONFIRMED: Duration = Duration::from_millis(150);
+/// Ends are stored in batches. A poll that would list the same ends again is delayed by at most this until they are stored.
+const ENDS_STORED_TIMEOUT: Duration = Duration::from_millis(80);
+/// Delay before the next poll after an answer that brought nothing new while ends are not stored. It grows by this much each
+/// time.
+const UNSTORED_ENDS_DELAY: Duration = Duration::from_millis(100);
+/// Longest such delay. While the store is down, each worker would be polled ten times a second, for which a host with 500 of
+/// them has no time. A third of that rate is enough to learn of ends and to renew the leases.
+const MAX_UNSTORED_ENDS_DELAY: Duration = Duration::from_millis(400);
+/// Delay before the next poll after a failed one.
+const POLL_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Holds a worker as long as it is known and the owner owns.
+/// Polls a worker as long as the pool knows it and the owner owns the pool.
 pub(crate) async fn run(owner: &Arc<Owner>, id: &WorkerId) {
     tokio::select! {
-        () = hold(owner, id) => {}
-        () = owner.over.cancelled() => {}
+        () = poll_loop(owner, id) => {}
+        () = owner.ended.cancelled() => {}
     }
 }
 
-/// A hold and what became of it.
-struct Held {
-    /// When it was asked for.
+/// The result of a poll.
+struct PollResult {
+    /// When the poll was sent.
     asked: Ms,
-    /// Life, applied and noted number of ends as they were known then.
+    /// What was known of the worker's ends when the poll was sent, as in [`PollRequest::ends`].
     ends: (u64, u64, u64),
     outcome: Result<Listing, HoldFailure>,
 }
 
-async fn hold(owner: &Arc<Owner>, id: &WorkerId) {
+async fn poll_loop(owner: &Arc<Owner>, id: &WorkerId) {
     let mut lost = false;
-    let mut pause = PAUSE;
-    let mut holds = Hedge::default();
+    let mut delay = UNSTORED_ENDS_DELAY;
+    let mut polls = Hedge::default();
     loop {
         let (address, mut ends) = {
             let pool = lock(&owner.pool);
@@ -74,7 +76,7 @@
                 .worker(id)
                 .is_some_and(|worker| worker.ends().1 <= worker.ends().2);
             if !noted {
-                drop(tokio::time::timeout(STORED, stored).await);
+                drop(tokio::time::timeout(ENDS_STORED_TIMEOUT, stored).await);
             }
             match lock(&owner.pool).worker(id) {
                 Some(worker) => ends = worker.ends(),
@@ -92,21 +94,21 @@
         };
         let all_noted = ends.1 <= ends.2;
         let wait = match lease {
-            Some(_) if all_noted && lock(&owner.lost_answers).is_common() => WAIT_LOSSY,
-            Some(_) if all_noted => WAIT,
-            None if all_noted && responsive => UNPROVED,
+            Some(_) if all_noted && lock(&owner.lost_answers).is_common() => POLL_WAIT_LOSSY,
+            Some(_) if all_noted => POLL_WAIT,
+            None if all_noted && responsive => POLL_WAIT_UNCONFIRMED,
             _ => Duration::ZERO,
         };
-        // A worker that did not answer may be in a new life, whose numbers begin anew: it must not forget ends by those of the
-        // former one.
+        // A worker that did not answer may have restarted. Its new incarnation numbers ends from the start, and must not forget
+        // ends because of the numbers of the former one.
         let noted = if lost { 0 } else { ends.2 };
-        let question = Question {
+        let request = PollRequest {
             address,
             ends,
             lease,
             noted,
         };
-        match hold_once(owner, id, &question, asked, wait, &mut holds).await {
+        match poll_once(owner, id, &request, asked, wait, &mut polls).await {
             Ok(()) => {
                 if lost {
                     info!(dependency = "worker", worker = &**id; "regained");
@@ -118,17 +120,17 @@
                         .is_some_and(pool::Worker::lists_unknown_ends)
                 };
                 if all_noted && !unknown_ends {
-                    pause = PAUSE;
+                    delay = UNSTORED_ENDS_DELAY;
                 } else {
-                    tokio::time::sleep(pause).await;
+                    tokio::time::sleep(delay).await;
                     if owner.host().has(Mechanism::HoldPause) {
-                        pause = (pause + PAUSE).min(PAUSE_MOST);
+                        delay = (delay + UNSTORED_ENDS_DELAY).min(MAX_UNSTORED_ENDS_DELAY);
                     }
                 }
             }
             Err(HoldFailure::Fenced) => {
-                warn!(worker = &**id, epoch = owner.epoch(); "a worker obeys a newer owner");
-                owner.over.cancel();
+                warn!(worker = &**id, epoch = owner.epoch(); "worker follows an owner with a newer epoch");
+                owner.ended.cancel();
                 return;
             }
             Err(failure) => {
@@ -138,32 +140,33 @@
                     warn!(dependency = "worker", worker = &**id, failure:? = failure; "lost");
                     lost = true;
                 }
-                tokio::time::sleep(HOLD_RETRY_DELAY).await;
+                tokio::time::sleep(POLL_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// What a hold says.
+/// The contents of a poll.
 #[derive(Clone)]
-struct Question {
+struct PollRequest {
     address: String,
-    /// Life, applied and noted number of ends as they are known.
+    /// Incarnation of the worker, number of the last end that was applied, and number of the last end that is stored.
     ends: (u64, u64, u64),
+    /// End of the renewed lease on the worker's clock; `None` if the lease isn't renewed.
     lease: Option<Ms>,
-    /// Ends up to this number may be forgotten.
+    /// The worker may forget ends up to this number.
     noted: u64,
 }
 
-impl Question {
-    /// Asks for a hold that waits this long for an end.
-    fn ask(
+impl PollRequest {
+    /// Sends a poll whose answer the worker delays by at most `wait` until a run ends.
+    fn send(
         &self,
         owner: &Owner,
         id: &WorkerId,
         asked: Ms,
         wait: Duration,
-    ) -> BoxFuture<'static, Held> {
+    ) -> BoxFuture<'static, PollResult> {
         let (workers, id, epoch) = (
             Arc::clone(&owner.host().workers),
             Arc::clone(id),
@@ -173,7 +176,7 @@
         let (lease, noted) = (self.lease, self.noted);
         Box::pin(async move {
             let outcome = workers.hold(&address, &id, epoch, lease, noted, wait).await;
-            Held {
+            PollResult {
                 asked,
                 ends,
                 outcome,
@@ -182,36 +185,36 @@
     }
 }
 
-/// Holds a worker once and takes what it lists.
-async fn hold_once(
+/// Polls a worker once, with a second call if the answer is overdue, and applies what it lists.
+async fn poll_once(
     owner: &Owner,
     id: &WorkerId,
-    question: &Question,
+    request: &PollRequest,
     asked: Ms,
     wait: Duration,
-    holds: &mut Hedge<Held>,
+    polls: &mut Hedge<PollResult>,
 ) -> Result<(), HoldFailure> {
     let overdue = lock(&owner.pool)
         .worker(id)
         .map_or(ANSWER_TIMEOUT, |worker| {
             Duration::from_millis(worker.overdue_after())
         });
-    let first = question.ask(owner, id, asked, wait);
-    lock(&owner.copies).earn();
+    let first = request.send(owner, id, asked, wait);
+    lock(&owner.repeat_budget).earn();
     let again = || {
-        if !lock(&owner.copies).spend() {
+        if !lock(&owner.repeat_budget).spend() {
             return None;
         }
-        // It may be in a new life by now.
-        let question = Question {
+        // The worker may have restarted since.
+        let request = PollRequest {
             noted: 0,
-            ..question.clone()
+            ..request.clone()
         };
-        Some(question.ask(owner, id, clock::now(), Duration::ZERO))
+        Some(request.send(owner, id, clock::now(), Duration::ZERO))
     };
-    let take = |held: Held, turn| match (held.outcome, turn) {
+    let process = |result: PollResult, call| match (result.outcome, call) {
         (Ok(listing), _) => {
-            take(owner, id, held.ends, held.asked, listing);
+            apply_listing(owner, id, result.ends, result.asked, listing);
             Ok(())
         }
         (Err(HoldFailure::Fenced), _) => Err(HoldFailure::Fenced),
@@ -219,7 +222,9 @@
         (Err(failure), Call::Present) => Err(failure),
     };
     let due = wait + ANSWER_TIMEOUT;
-    let outcome = holds.ask(first, again, wait + overdue, due, take).await?;
+    let outcome = polls
+        .ask(first, again, wait + overdue, due, process)
+        .await?;
     lock(&owner.lost_answers).note(outcome == Outcome::Lost);
     let answered = || {
         let pool = lock(&owner.pool);
@@ -233,36 +238,42 @@
     }
 }
 
-/// Takes what a worker lists.
-fn take(owner: &Owner, id: &WorkerId, ends: (u64, u64, u64), asked: Ms, mut listing: Listing) {
+/// Applies what a worker lists, and logs the ends that it lists for the first time.
+fn apply_listing(
+    owner: &Owner,
+    id: &WorkerId,
+    ends: (u64, u64, u64),
+    asked: Ms,
+    mut listing: Listing,
+) {
     listing.asked = asked;
-    // An answer that came meanwhile may have told of some of them.
-    let told = lock(&owner.pool)
+    // The answer to another poll may have listed some of the ends meanwhile.
+    let known = lock(&owner.pool)
         .worker(id)
         .map_or(ends, |worker| worker.ends().max(ends));
-    let same_life = listing.born == told.0;
+    let same_incarnation = listing.born == known.0;
     for end in listing
         .ended
         .iter()
-        .filter(|end| !same_life || end.number > told.1)
+        .filter(|end| !same_incarnation || end.number > known.1)
     {
-        tell_end(id, end);
+        log_end(id, end);
     }
     let (now, unix) = (clock::now(), clock::unix());
-    let news = {
+    let unsaved = {
         let mut pool = lock(&owner.pool);
         pool.apply_listing(now, unix, id, &listing);
         pool.unsaved()
     };
     owner.wake.notify_one();
-    if news {
+    if unsaved {
         owner.dirty.notify_one();
     }
 }
 
-/// Logs and counts an end that a worker lists for the first time. An end that is not good says more than a good one, of
-/// which there are hundreds a second.
-fn tell_end(id: &WorkerId, end: &pool::End) {
+/// Counts an end that a worker lists for the first time, and logs it unless it is a successful one outside of the log sample:
+/// there are hundreds of these a second.
+fn log_end(id: &WorkerId, end: &pool::End) {
     metrics::counter!("lentilyoke_ends_total", "how" => end.how.name()).increment(1);
     let key = &end.task;
     if end.how != How::Done || is_told_in_full(&key.stage.job) {
--- a/crates/host/src/suitability.rs
+++ b/crates/host/src/suitability.rs
@@ -1,83 +1,84 @@
-//! How well a host is placed to own a pool.
+//! How suitable a host is to own a pool.
 //!
-//! Answers the load in which hosts are unlike: one of an eighth of a core on a line of 10 Mbit/s that takes a pool of hundreds of
-//! workers can neither hear them all nor read the jobs. Leases lapse and nothing starts, while hosts of half a core stand by.
-//! What a pool needs grows with its workers; a host that has too little for it is the last choice, and hands the pool on as
-//! soon as another is there.
+//! Hosts differ much. A host with an eighth of a core and a network bandwidth of 10 Mbit/s that takes over a pool of hundreds
+//! of workers can neither receive what they all report nor read the jobs: leases lapse and nothing starts, while hosts with
+//! half a core are idle. What a pool needs grows with its workers. A host that has too little for it is the last choice, and
+//! hands the pool over as soon as another host is available.
 
 use std::time::Duration;
 
 /// Share of a core that an owner needs for each worker of its pool.
-const PROCESSORS_EACH: f64 = 0.000_6;
-/// What an owner needs of its line for each worker, in Mbit/s.
-const LINE_EACH: f64 = 0.04;
-/// A host that is too weak for a pool leaves it to others for this much longer.
-const WEAK_WAIT: Duration = Duration::from_millis(1_500);
+const PROCESSORS_PER_WORKER: f64 = 0.000_6;
+/// Network bandwidth that an owner needs for each worker of its pool, in Mbit/s.
+const BANDWIDTH_PER_WORKER_MBPS: f64 = 0.04;
+/// Longest extra takeover delay of a host that has too little for a pool.
+const INSUFFICIENCY_DELAY: Duration = Duration::from_millis(1_500);
 
-/// A host, as far as it matters for owning a pool.
+/// The properties of a host that matter for owning a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct Suitability {
     /// It is in the store's region.
-    pub near: bool,
+    pub near_store: bool,
     /// Its share of a processor.
     pub processors: f64,
-    /// Its line, in Mbit/s.
-    pub line: f64,
-    /// How many pools it would own with this one. An owner of several counts those up to this one, so that it keeps the
-    /// first and hands the others over, rather than all at once.
+    /// Its network bandwidth, in Mbit/s.
+    pub bandwidth_mbps: f64,
+    /// Number of pools that it would own with this one. An owner of several pools counts those up to this one, so that it
+    /// keeps the first and hands over the others, rather than all at once.
     pub pools: u32,
 }
 
 impl Suitability {
-    /// How much of what a pool of so many workers needs the host has, at most 1.
+    /// The share that the host has of what a pool of this many workers needs, at most 1.
     ///
     /// ```
     /// use host::suitability::Suitability;
     ///
-    /// let weak = Suitability { near: true, processors: 0.12, line: 10.0, pools: 1 };
-    /// assert!(weak.suits(48) && !weak.suits(350));
+    /// let weak = Suitability { near_store: true, processors: 0.12, bandwidth_mbps: 10.0, pools: 1 };
+    /// assert!(weak.is_sufficient(48) && !weak.is_sufficient(350));
     /// ```
     #[must_use]
-    pub fn share(&self, workers: u32) -> f64 {
+    pub fn sufficiency(&self, workers: u32) -> f64 {
         let pools = f64::from(self.pools.max(1));
         let need = f64::from(workers.max(1)) * pools;
-        let processors = self.processors / (PROCESSORS_EACH * need);
-        let line = self.line / (LINE_EACH * need);
-        processors.min(line).min(1.0)
+        let processors = self.processors / (PROCESSORS_PER_WORKER * need);
+        let bandwidth = self.bandwidth_mbps / (BANDWIDTH_PER_WORKER_MBPS * need);
+        processors.min(bandwidth).min(1.0)
     }
 
     /// The largest pool that the host should own, in workers.
     #[must_use]
     pub fn capacity(&self) -> u32 {
-        let processors = self.processors / PROCESSORS_EACH;
-        let line = self.line / LINE_EACH;
-        (processors.min(line) / f64::from(self.pools.max(1))) as u32
+        let processors = self.processors / PROCESSORS_PER_WORKER;
+        let bandwidth = self.bandwidth_mbps / BANDWIDTH_PER_WORKER_MBPS;
+        (processors.min(bandwidth) / f64::from(self.pools.max(1))) as u32
     }
 
-    /// Whether the host has what a pool of so many workers needs.
+    /// Whether the host has what a pool of this many workers needs.
     #[must_use]
-    pub fn suits(&self, workers: u32) -> bool {
-        self.share(workers) >= 1.0
+    pub fn is_sufficient(&self, workers: u32) -> bool {
+        self.sufficiency(workers) >= 1.0
     }
 
-    /// The higher, the better. A host near the store may have half the processor of one that is far; pools share it. What a
-    /// pool lacks counts twice.
+    /// Compares hosts; a higher score is better. A host near the store is as good as a far one with twice its processor share.
+    /// The pools of a host share its processor. The square makes insufficient resources count twice.
     #[must_use]
-    pub fn rank(&self, workers: u32) -> f64 {
-        let near = if self.near { 2.0 } else { 1.0 };
-        let share = self.share(workers);
-        self.processors * near * share * share / f64::from(self.pools.max(1))
+    pub fn score(&self, workers: u32) -> f64 {
+        let proximity = if self.near_store { 2.0 } else { 1.0 };
+        let sufficiency = self.sufficiency(workers);
+        self.processors * proximity * sufficiency * sufficiency / f64::from(self.pools.max(1))
     }
 
-    /// Whether it is so much better placed that handing the pool over pays: a change costs about a second of starts.
+    /// Whether this host is so much better that handing the pool over to it pays: during a handover nothing starts for about
+    /// a second.
     #[must_use]
-    pub fn better(&self, than: &Self, workers: u32) -> bool {
-        self.rank(workers) >= than.rank(workers) * 1.9
+    pub fn is_clearly_better(&self, than: &Self, workers: u32) -> bool {
+        self.score(workers) >= than.score(workers) * 1.9
     }
 
-    /// How much longer than others it leaves the pool to them.
+    /// Extra takeover delay of a host that has too little for the pool.
     #[must_use]
-    pub fn wait(&self, workers: u32) -> Duration {
-        WEAK_WAIT.mul_f64(1.0 - self.share(workers))
+    pub fn insufficiency_delay(&self, workers: u32) -> Duration {
+        INSUFFICIENCY_DELAY.mul_f64(1.0 - self.sufficiency(workers))
     }
 }
--- a/crates/host/src/takeover_delay.rs
+++ b/crates/host/src/takeover_delay.rs
@@ -1,66 +1,72 @@
-//! How long a host leaves others to take a pool before it does.
+//! How long a host waits before it tries to take over a pool.
 //!
-//! Answers the load in which all hosts lose power at once and are back a second later: the one that the owner's row names is
-//! among them, in a new life, and so are the heirs. All hosts want the pool, one should get it, at once. Whoever takes it, the
-//! row's version lets one through, and the epoch fences the others; the order only spares the others the try.
+//! When all hosts lose power at once and are back a second later, the host that the owner's row names is among them, in a new
+//! incarnation, and so are its successors. All hosts want the pool, and one of them should get it without delay. This order
+//! isn't needed for safety: the version of the row lets only one write succeed, and the epoch fences all other hosts. It only
+//! spares the others a futile write.
 
 use std::time::Duration;
 
-/// Hosts far from the store leave the others this much time to take a pool that has had no owner yet.
-const FAR_WAIT: Duration = Duration::from_millis(500);
-/// Hosts far from the store leave this much more time where the owner has named heirs: when the way between the regions is
-/// cut or full, all hosts of the far region lose the owner at once, and none of them should take its place.
-const FAR_HEIR_WAIT: Duration = Duration::from_millis(1_500);
-/// Hosts with a smaller share of a processor leave the others up to this much time.
-const SMALL_WAIT: Duration = Duration::from_millis(500);
-/// Heirs go one after the other, with this much time for a write, its answer, and the news of it.
-const STEP: Duration = Duration::from_millis(40);
+/// Extra delay of hosts far from the store, for a pool that has had no owner yet.
+const REMOTE_DELAY: Duration = Duration::from_millis(500);
+/// Extra delay of hosts far from the store, for a pool whose owner has named successors. When the connection between the
+/// regions is cut or saturated, all hosts of the far region lose the owner at once, and none of them should replace it.
+const REMOTE_DELAY_WITH_SUCCESSORS: Duration = Duration::from_millis(1_500);
+/// Longest extra delay of hosts with a smaller share of a processor, and extra delay for each pool that a host owns already.
+const LOAD_DELAY: Duration = Duration::from_millis(500);
+/// Time between two successors: enough for a write, its answer, and for other hosts to learn of it.
+const SUCCESSOR_INTERVAL: Duration = Duration::from_millis(40);
 
-/// What a host's turn depends on.
+/// What the takeover delay of a host depends on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TakeoverDelay {
-    /// The row names an earlier life of this host.
-    pub own: bool,
-    /// Its place among the heirs, from 0.
-    pub place: Option<usize>,
-    /// How many heirs the owner has named.
-    pub heirs: usize,
-    /// It is in another region than the store.
-    pub far: bool,
-    /// Its share of a processor, at most 1.
+    /// The owner's row names an earlier incarnation of this host.
+    pub is_former_owner: bool,
+    /// Index of this host among the successors; `None` if it isn't one.
+    pub successor_index: Option<usize>,
+    /// Number of successors that the owner has named.
+    pub successors: usize,
+    /// This host is in another region than the store.
+    pub remote: bool,
+    /// This host's share of a processor, at most 1.
     pub processors: f64,
-    /// How many pools it owns.
-    pub owns: u32,
-    /// What it leaves to others because it is too weak for the pool.
-    pub weak: Duration,
-    /// Its part of the time over which equally placed hosts are spread.
+    /// Number of pools that this host owns.
+    pub owned_pools: u32,
+    /// Extra delay because this host has too few resources for the pool.
+    pub insufficiency_delay: Duration,
+    /// Extra delay that spreads equally suitable hosts over time.
     pub spread: Duration,
 }
 
 impl TakeoverDelay {
-    /// How long to wait.
+    /// The total delay.
     ///
     /// ```
     /// use host::takeover_delay::TakeoverDelay;
     ///
-    /// let named = TakeoverDelay { own: true, heirs: 3, ..TakeoverDelay::default() };
-    /// assert!(named.wait().is_zero(), "nobody else can be the owner that the row names");
+    /// let former_owner = TakeoverDelay { is_former_owner: true, successors: 3, ..TakeoverDelay::default() };
+    /// assert!(former_owner.total().is_zero(), "no other host can be the owner that the row names");
     /// ```
     #[must_use]
-    pub fn wait(&self) -> Duration {
-        if self.own {
-            return self.weak;
+    pub fn total(&self) -> Duration {
+        if self.is_former_owner {
+            return self.insufficiency_delay;
         }
-        if let Some(place) = self.place {
-            return STEP * place as u32 + self.weak;
+        if let Some(index) = self.successor_index {
+            return SUCCESSOR_INTERVAL * index as u32 + self.insufficiency_delay;
         }
-        let far = match (self.far, self.heirs) {
+        let remote = match (self.remote, self.successors) {
             (false, _) => Duration::ZERO,
-            (true, 0) => FAR_WAIT,
-            (true, _) => FAR_HEIR_WAIT,
+            (true, 0) => REMOTE_DELAY,
+            (true, _) => REMOTE_DELAY_WITH_SUCCESSORS,
         };
-        let small = SMALL_WAIT.mul_f64((1.0 - self.processors).max(0.0));
-        let heirs = STEP * self.heirs as u32 * 2;
-        heirs + self.spread + far + small + SMALL_WAIT * self.owns + self.weak
+        let small = LOAD_DELAY.mul_f64((1.0 - self.processors).max(0.0));
+        let successors = SUCCESSOR_INTERVAL * self.successors as u32 * 2;
+        successors
+            + self.spread
+            + remote
+            + small
+            + LOAD_DELAY * self.owned_pools
+            + self.insufficiency_delay
     }
 }
--- a/crates/host/src/writer.rs
+++ b/crates/host/src/writer.rs
@@ -1,8 +1,8 @@
-//! Storing progress in groups.
+//! Stores the progress of a pool's jobs in batches.
 //!
-//! Every transaction has the owner's claim as a condition, so nothing of an owner that was replaced is written. A lost
-//! answer leaves a transaction that may be carried out later, over newer progress: the next one rewrites the roster,
-//! after which the condition of the lost one can't hold any more.
+//! Every transaction has the owner's claim as a condition, so an owner that was replaced can't write anything. If the answer to
+//! a transaction is lost, the store may still execute that transaction later and overwrite newer progress. The next one
+//! therefore rewrites the roster, after which the condition of the lost transaction can't hold any more.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,22 +19,22 @@
 use crate::rows::{CANCEL, JOBS, PROGRESS, RosterRow, job_part, pool_part};
 use crate::transfer::{self, Outcome};
 
-/// Heirs are stored with whatever else changes, or after this: hosts come and go together.
-const HEIRS_PACE: Duration = Duration::from_millis(1_500);
-/// Most rows of progress in one transaction; the store takes 100 entries.
-const ROWS_MOST: usize = 80;
-/// Progress that nobody waits for is collected for this long.
-const COLLECT: Duration = Duration::from_millis(25);
-/// Pause after a transaction that failed.
-const PAUSE: Duration = Duration::from_millis(60);
-/// Pause after a rejected write of the roster alone, and time for which a rejected row of progress is held back.
-const REJECTED_PAUSE: Duration = Duration::from_secs(2);
-/// Time between two looks for jobs that may be forgotten.
-const SWEEP: Duration = Duration::from_secs(5);
-/// Most jobs that are forgotten in one transaction: two rows each in the table of jobs.
-const SWEEP_MOST: usize = 30;
+/// Shortest time between two writes of the successors, since hosts often join or leave together.
+const SUCCESSORS_WRITE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Maximum number of progress rows in one transaction; the store accepts 100 entries.
+const MAX_PROGRESS_ROWS: usize = 80;
+/// Progress that no caller waits for is collected for this long.
+const BATCH_DELAY: Duration = Duration::from_millis(25);
+/// Delay after a failed transaction.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Delay after a rejected write of the roster alone, and time after which a rejected progress row is written again.
+const REJECTED_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Time between two scans for old jobs whose rows may be deleted.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum number of jobs that are deleted in one transaction; each has two rows in the table of jobs.
+const MAX_SWEPT_JOBS: usize = 30;
 
-/// Stores what the pool wants stored, until the owner is replaced.
+/// Stores changes of the pool until the owner is replaced.
 pub(crate) async fn run(owner: &Arc<Owner>, mut claim: Claim, taken: u64) {
     let mut version = ClaimVersion {
         owner: taken,
@@ -42,19 +42,19 @@
     };
     let mut unsure = false;
     let mut swept = tokio::time::Instant::now();
-    let mut renamed = swept;
-    let mut old: Vec<pool::JobId> = Vec::new();
-    let mut rows_most = ROWS_MOST;
-    let mut held: Vec<(tokio::time::Instant, Batch)> = Vec::new();
+    let mut successors_written = swept;
+    let mut old_jobs: Vec<pool::JobId> = Vec::new();
+    let mut max_rows = MAX_PROGRESS_ROWS;
+    let mut rejected: Vec<(tokio::time::Instant, Batch)> = Vec::new();
     loop {
         drop(tokio::time::timeout(Duration::from_millis(100), owner.dirty.notified()).await);
         if !lock(&owner.pool).urgent() {
-            tokio::time::sleep(COLLECT).await;
+            tokio::time::sleep(BATCH_DELAY).await;
         }
-        if old.is_empty() && swept.elapsed() > SWEEP {
+        if old_jobs.is_empty() && swept.elapsed() > SWEEP_INTERVAL {
             swept = tokio::time::Instant::now();
-            old = lock(&owner.pool).sweep(clock::unix());
-            old = forget(owner, &old).await;
+            old_jobs = lock(&owner.pool).sweep(clock::unix());
+            old_jobs = delete_job_rows(owner, &old_jobs).await;
         }
         if !unsure && owner.host().plan().pools() > 1 {
             let misfits = lock(&owner.pool).misfits(clock::now());
@@ -63,16 +63,18 @@
                 continue;
             }
         }
-        for (_, batch) in held.extract_if(.., |(since, _)| since.elapsed() > REJECTED_PAUSE) {
+        for (_, batch) in
+            rejected.extract_if(.., |(since, _)| since.elapsed() > REJECTED_RETRY_DELAY)
+        {
             lock(&owner.pool).failed(&batch);
         }
         let (mut batch, roster, silent) = {
             let now = clock::now();
             let mut pool = lock(&owner.pool);
-            (pool.batch(rows_most), pool.roster(now), pool.silent(now))
+            (pool.batch(max_rows), pool.roster(now), pool.silent(now))
         };
-        if !held.is_empty() {
-            // Workers may forget an end only when the progress with it is stored.
+        if !rejected.is_empty() {
+            // A worker may forget an end only after the progress that contains it is stored, and some progress isn't.
             batch.ends.clear();
         }
         let next_roster = RosterRow::new(
@@ -83,15 +85,16 @@
         );
         let same_roster = next_roster.roster == claim.roster.roster;
         let same_silent = next_roster.silent == claim.roster.silent;
-        let heirs = owner.heirs();
-        let new_heirs = heirs != claim.owner.heirs && renamed.elapsed() > HEIRS_PACE;
-        let roster_changed = !same_roster || !same_silent || new_heirs;
-        if batch.rows.is_empty() && !roster_changed && !unsure && old.is_empty() {
-            rows_most = rows_most.max(1);
-            // Ends that change nothing may be forgotten at once.
+        let successors = owner.successors();
+        let successors_changed = successors != claim.owner.heirs
+            && successors_written.elapsed() > SUCCESSORS_WRITE_INTERVAL;
+        let roster_changed = !same_roster || !same_silent || successors_changed;
+        if batch.rows.is_empty() && !roster_changed && !unsure && old_jobs.is_empty() {
+            max_rows = max_rows.max(1);
+            // There is nothing to store, so workers may forget these ends at once.
             lock(&owner.pool).saved(&batch);
             owner.stored.notify_waiters();
-            // A silent worker that the roster names may be heard again.
+            // A silent worker that the roster names may have become reachable again.
             if enroll(owner, &claim) {
                 owner.wake.notify_one();
             }
@@ -99,39 +102,39 @@
         }
         let mut next = claim.clone();
         next.roster = next_roster;
-        if new_heirs {
-            next.owner.heirs = heirs;
+        if successors_changed {
+            next.owner.heirs = successors;
         }
         let rewrite = roster_changed || unsure;
         let deletes = if batch.rows.is_empty() {
-            old.len().min(SWEEP_MOST)
+            old_jobs.len().min(MAX_SWEPT_JOBS)
         } else {
             0
         };
         let transaction = transaction(
             owner,
             &batch,
-            rewrite.then_some((&next, new_heirs)),
+            rewrite.then_some((&next, successors_changed)),
             version,
-            &old[..deletes],
+            &old_jobs[..deletes],
         );
-        let asked = clock::now();
+        let sent_at = clock::now();
         match owner.host().store.commit(&transaction).await {
             Ok(done) => {
                 if rewrite {
                     version.roster = done;
                     claim = next;
                 }
-                if new_heirs {
+                if successors_changed {
                     version.owner = done;
-                    renamed = tokio::time::Instant::now();
+                    successors_written = tokio::time::Instant::now();
                 }
                 unsure = false;
-                rows_most = (rows_most * 2).clamp(1, ROWS_MOST);
-                old.drain(..deletes);
+                max_rows = (max_rows * 2).clamp(1, MAX_PROGRESS_ROWS);
+                old_jobs.drain(..deletes);
                 *lock(&owner.unserved) = None;
                 lock(&owner.pool).saved(&batch);
-                tell_jobs(owner);
+                log_completed_jobs(owner);
                 enroll(owner, &claim);
                 owner.stored.notify_waiters();
                 owner.wake.notify_one();
@@ -139,38 +142,38 @@
             }
             Err(StoreError::Conflict { rows }) => match own_claim(&rows, &claim) {
                 Some((found, at)) => {
-                    info!(serial = found.roster.serial; "an earlier write of the owner's row came through");
+                    info!(serial = found.roster.serial; "an earlier write of the roster took effect");
                     enroll(owner, &found);
                     claim = found;
                     version = at;
                     unsure = true;
                 }
                 None => {
-                    warn!(epoch = owner.epoch(); "another host owns the pool");
-                    owner.over.cancel();
+                    warn!(epoch = owner.epoch(); "another host owns the pool; ownership ended");
+                    owner.ended.cancel();
                     return;
                 }
             },
             Err(error @ StoreError::Rejected { .. }) => {
                 let rows = batch.rows.len();
-                warn!(error:% = error, rows = rows, roster = rewrite; "progress is rejected");
-                // The same again would be rejected again: less of it may be taken, and shows which row it is.
-                rows_most = rows / 2;
+                warn!(error:% = error, rows = rows, roster = rewrite; "store rejected the write of progress");
+                // The same transaction would be rejected again. A smaller one may be accepted, and halving finds the bad row.
+                max_rows = rows / 2;
                 if !rewrite && rows == 1 {
-                    held.push((tokio::time::Instant::now(), batch));
-                    rows_most = 1;
+                    rejected.push((tokio::time::Instant::now(), batch));
+                    max_rows = 1;
                     continue;
                 }
                 if rows == 0 {
-                    tokio::time::sleep(REJECTED_PAUSE).await;
+                    tokio::time::sleep(REJECTED_RETRY_DELAY).await;
                 }
             }
             Err(error) => {
-                warn!(error:% = error, rows = batch.rows.len(); "progress is not stored yet");
+                warn!(error:% = error, rows = batch.rows.len(); "storing progress failed; retrying");
                 unsure |= matches!(error, StoreError::Lost { .. });
                 let refused = matches!(error, StoreError::Refused { .. });
-                owner.note_unserved(asked, refused);
-                tokio::time::sleep(PAUSE).await;
+                owner.note_unserved(sent_at, refused);
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
         lock(&owner.pool).failed(&batch);
@@ -178,16 +181,16 @@
     }
 }
 
-/// Deletes the rows of jobs that were over long ago; tells which are gone. Their progress may go only after that: a job
-/// without progress would look like one that was never started. What stays is found again by the next owner.
-async fn forget(owner: &Owner, old: &[pool::JobId]) -> Vec<pool::JobId> {
+/// Deletes the rows of old jobs; returns the jobs whose rows are deleted. Their progress may be deleted only after that,
+/// because a job without progress looks like one that was never started. The next owner finds rows that could not be deleted.
+async fn delete_job_rows(owner: &Owner, old_jobs: &[pool::JobId]) -> Vec<pool::JobId> {
     let mut parts: BTreeMap<String, Vec<&pool::JobId>> = BTreeMap::new();
-    for id in old {
+    for id in old_jobs {
         parts.entry(job_part(id)).or_default().push(id);
     }
-    let mut gone = Vec::new();
+    let mut deleted = Vec::new();
     for (part, ids) in parts {
-        for ids in ids.chunks(SWEEP_MOST) {
+        for ids in ids.chunks(MAX_SWEPT_JOBS) {
             let rows = ids
                 .iter()
                 .flat_map(|id| [id.to_string(), format!("{CANCEL}{id}")]);
@@ -197,16 +200,16 @@
                 ..Transaction::default()
             };
             match owner.host().store.commit(&transaction).await {
-                Ok(_) => gone.extend(ids.iter().map(|id| Arc::clone(id))),
-                Err(error) => warn!(error:% = error; "rows of old jobs are not deleted"),
+                Ok(_) => deleted.extend(ids.iter().map(|id| Arc::clone(id))),
+                Err(error) => warn!(error:% = error; "deleting rows of old jobs failed"),
             }
         }
     }
-    gone
+    deleted
 }
 
-/// Logs the courses of jobs whose final states are stored.
-fn tell_jobs(owner: &Owner) {
+/// Logs the jobs whose final states have been stored since the last call.
+fn log_completed_jobs(owner: &Owner) {
     let unix = clock::unix();
     let jobs = lock(&owner.pool).take_jobs_done();
     for job in jobs {
@@ -218,7 +221,7 @@
     }
 }
 
-/// Makes workers usable as the stored claim allows; tells whether one is that wasn't.
+/// Allows the pool to use exactly the workers of the stored claim; returns whether one of them could not be used before.
 fn enroll(owner: &Owner, claim: &Claim) -> bool {
     let ids: Vec<WorkerId> = claim
         .roster
@@ -229,12 +232,14 @@
     lock(&owner.pool).enroll(&ids)
 }
 
+/// The transaction that stores a batch and the claim, if given with a flag for the owner's row, and deletes the progress of old
+/// jobs.
 fn transaction(
     owner: &Owner,
     batch: &Batch,
     claim: Option<(&Claim, bool)>,
     version: ClaimVersion,
-    old: &[pool::JobId],
+    old_jobs: &[pool::JobId],
 ) -> Transaction {
     let mut transaction = Transaction {
         part: pool_part(owner.pool_number()),
@@ -253,7 +258,7 @@
             transaction.puts.extend(claim.put_owner().ok());
         }
     }
-    for id in old {
+    for id in old_jobs {
         transaction
             .deletes
             .push((PROGRESS.to_owned(), id.to_string()));
@@ -261,10 +266,10 @@
     transaction
 }
 
-/// The claim among these rows, if it is this owner's.
-fn own_claim(rows: &[Row], mine: &Claim) -> Option<(Claim, ClaimVersion)> {
+/// The claim among these rows, if this owner wrote it.
+fn own_claim(rows: &[Row], own: &Claim) -> Option<(Claim, ClaimVersion)> {
     let (found, version) = Claim::find(rows)?;
-    let (other, mine) = (&found.owner, &mine.owner);
-    let same = other.host == mine.host && other.epoch == mine.epoch && other.life == mine.life;
+    let (other, own) = (&found.owner, &own.owner);
+    let same = other.host == own.host && other.epoch == own.epoch && other.life == own.life;
     same.then_some((found, version))
 }
--- a/crates/host/tests/takeover_delay.rs
+++ b/crates/host/tests/takeover_delay.rs
@@ -1,41 +1,48 @@
-//! Who takes a pool first.
+//! The order in which hosts take over a pool.
 
 use std::time::Duration;
 
 use host::takeover_delay::TakeoverDelay;
 
-/// A small host in a deployment whose owner has named eight heirs.
-fn turn() -> TakeoverDelay {
+/// A host with a quarter of a processor, for a pool whose owner has named eight successors.
+fn small_host() -> TakeoverDelay {
     TakeoverDelay {
-        heirs: 8,
+        successors: 8,
         processors: 0.25,
         ..TakeoverDelay::default()
     }
 }
 
-/// All hosts lose power and are back within the same second. The host that the row names has no owner to wait for: callers
-/// were refused for 0.8 s longer, while it waited its turn as a stranger and the others waited for it to begin.
+/// All hosts lose power and are back within the same second. The host that the row names has no owner to wait for. It used to
+/// wait as long as any other host, while the others waited for it to start: callers were refused for 0.8 s longer.
 #[test]
-fn the_host_of_the_row_goes_first_after_a_restart() {
-    let named = TakeoverDelay {
-        own: true,
-        ..turn()
+fn the_former_owner_takes_over_first_after_a_restart() {
+    let former_owner = TakeoverDelay {
+        is_former_owner: true,
+        ..small_host()
     };
-    assert_eq!(named.wait(), Duration::ZERO);
-    assert!(turn().wait() > Duration::from_millis(500));
+    assert_eq!(former_owner.total(), Duration::ZERO);
+    assert!(small_host().total() > Duration::from_millis(500));
 }
 
-/// Heirs go in their order, before all others; near hosts before far ones.
+/// Successors take over in their order, before all other hosts, and hosts near the store before remote ones.
 #[test]
-fn heirs_go_before_strangers_and_near_hosts_before_far_ones() {
-    let heir = |place| TakeoverDelay {
-        place: Some(place),
-        ..turn()
+fn successors_precede_other_hosts_and_near_hosts_precede_remote_ones() {
+    let successor = |index| TakeoverDelay {
+        successor_index: Some(index),
+        ..small_host()
     };
-    let far = TakeoverDelay {
-        far: true,
-        ..turn()
+    let remote = TakeoverDelay {
+        remote: true,
+        ..small_host()
     };
-    let waits = [heir(0), heir(1), heir(7), turn(), far].map(|turn| turn.wait());
-    assert!(waits.is_sorted(), "{waits:?}");
+    let delays = [
+        successor(0),
+        successor(1),
+        successor(7),
+        small_host(),
+        remote,
+    ]
+    .map(|delay| delay.total());
+    assert!(delays.is_sorted(), "{delays:?}");
 }
