--- a/crates/host/src/election/participant.rs
+++ b/crates/host/src/election/participant.rs
@@ -52,7 +52,7 @@
     epoch: u64,
     /// When this was first unclear.
     since: Instant,
-    /// ClaimVersion of its row when it was first read since then.
+    /// Version of its row when it was first read since then.
     version: Option<u64>,
 }
 
--- a/crates/host/src/owner/connected_hosts.rs
+++ b/crates/host/src/owner/connected_hosts.rs
@@ -31,12 +31,12 @@
 const MIN_OWNERSHIP: Ms = 5_000;
 /// The same for an owner with insufficient resources: long enough for other hosts to connect.
 const MIN_OWNERSHIP_INSUFFICIENT: Ms = 600;
-/// The same for an owner whose writes are not answered.
+/// An owner whose writes are not answered hands the pool over only after this long.
 const MIN_OWNERSHIP_UNANSWERED: Ms = 3_000;
 /// Shortest time between two heartbeats: a store that answers every other call must not make the owner saturate its network
 /// connection with heartbeats.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(120);
-/// The same for an overloaded owner.
+/// An overloaded owner hands the pool over only after this long.
 const MIN_OWNERSHIP_OVERLOADED: Ms = 1_500;
 /// Time between two checks whether another host should own the pool.
 const HANDOVER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -44,7 +44,7 @@
 const TAKEOVER_REQUEST_TIMEOUT: Ms = 1_000;
 /// Number of successors that an owner names: enough that some remain when a data centre fails together with the owner.
 const MAX_SUCCESSORS: usize = 8;
-/// A host from which nothing was received for this long gets no advisor requests and isn't considered for a handover.
+/// A host from which no heartbeat was received for this long gets no advisor requests and isn't considered for a handover.
 pub(super) const MAX_SILENCE: Ms = 800;
 
 /// A host that is connected to this owner.
@@ -86,6 +86,7 @@
             && now.saturating_sub(self.last_heard) < MAX_SILENCE
     }
 
+    /// What is known about its service by the store.
     fn candidate(&self) -> Candidate {
         Candidate {
             served: self.served_since,
--- a/crates/host/src/session.rs
+++ b/crates/host/src/session.rs
@@ -56,6 +56,8 @@
     outcome: Result<Listing, HoldFailure>,
 }
 
+/// Polls a worker until the pool doesn't know it any more or it follows another owner. Polls are delayed while ends that the
+/// worker has listed are being stored.
 async fn poll_loop(owner: &Arc<Owner>, id: &WorkerId) {
     let mut lost = false;
     let mut delay = UNSTORED_ENDS_DELAY;
@@ -72,10 +74,10 @@
             let gather = lock(&owner.pool).gather(id);
             tokio::time::sleep(Duration::from_millis(gather)).await;
             let stored = owner.stored.notified();
-            let noted = lock(&owner.pool)
+            let all_stored = lock(&owner.pool)
                 .worker(id)
                 .is_some_and(|worker| worker.ends().1 <= worker.ends().2);
-            if !noted {
+            if !all_stored {
                 drop(tokio::time::timeout(ENDS_STORED_TIMEOUT, stored).await);
             }
             match lock(&owner.pool).worker(id) {
@@ -92,11 +94,11 @@
                 pool.worker(id).is_some_and(pool::Worker::is_responsive),
             )
         };
-        let all_noted = ends.1 <= ends.2;
+        let all_stored = ends.1 <= ends.2;
         let wait = match lease {
-            Some(_) if all_noted && lock(&owner.lost_answers).is_common() => POLL_WAIT_LOSSY,
-            Some(_) if all_noted => POLL_WAIT,
-            None if all_noted && responsive => POLL_WAIT_UNCONFIRMED,
+            Some(_) if all_stored && lock(&owner.lost_answers).is_common() => POLL_WAIT_LOSSY,
+            Some(_) if all_stored => POLL_WAIT,
+            None if all_stored && responsive => POLL_WAIT_UNCONFIRMED,
             _ => Duration::ZERO,
         };
         // A worker that did not answer may have restarted. Its new incarnation numbers ends from the start, and must not forget
@@ -119,7 +121,7 @@
                     pool.worker(id)
                         .is_some_and(pool::Worker::lists_unknown_ends)
                 };
-                if all_noted && !unknown_ends {
+                if all_stored && !unknown_ends {
                     delay = UNSTORED_ENDS_DELAY;
                 } else {
                     tokio::time::sleep(delay).await;
