--- a/crates/host/src/election.rs
+++ b/crates/host/src/election.rs
@@ -23,12 +23,12 @@
 use crate::claim::{Claim, ClaimVersion};
 use crate::clock;
 use crate::host::Host;
-use crate::outside::{StoreError, Transaction};
+use crate::interfaces::{StoreError, Transaction};
 use crate::owner::Owner;
 use crate::owner_rows::{self, KnownRow};
 use crate::peers::LinkEnd;
-use crate::plan::Plan;
-use crate::rows::{COMMON, OWNER, OwnerRow, PLAN, ROSTER, RosterRow, pool_part};
+use crate::pool_map::PoolMap;
+use crate::rows::{COMMON, OWNER, OwnerRow, POOL_MAP, ROSTER, RosterRow, pool_part};
 use crate::suitability::Suitability;
 use crate::takeover_delay::TakeoverDelay;
 
@@ -50,14 +50,14 @@
         read_pool_map(host).await;
         let mut started = 0;
         loop {
-            let replanned = host.replanned.notified();
-            let pools = host.plan().pools();
+            let pool_map_changed = host.pool_map_changed.notified();
+            let pools = host.pool_map().pool_count();
             for pool in started..pools {
                 let host = Arc::clone(host);
                 tasks.spawn(async move { take_part(&host, pool).await });
             }
             started = pools;
-            replanned.await;
+            pool_map_changed.await;
         }
     };
     tokio::select! {
@@ -71,12 +71,12 @@
 /// Reads the pool map. Later changes are announced by the owners' heartbeats.
 async fn read_pool_map(host: &Host) {
     loop {
-        match host.store.get(PLAN, COMMON, PLAN).await {
+        match host.store.get(POOL_MAP, COMMON, POOL_MAP).await {
             Ok(row) => {
-                let plan =
-                    row.and_then(|row| serde_json::from_slice::<Plan>(row.value.as_deref()?).ok());
+                let plan = row
+                    .and_then(|row| serde_json::from_slice::<PoolMap>(row.value.as_deref()?).ok());
                 if let Some(plan) = plan {
-                    host.put_plan(plan);
+                    host.update_pool_map(plan);
                 }
                 return;
             }
@@ -132,23 +132,23 @@
     row: Option<&OwnerRow>,
     rows: &mut watch::Receiver<KnownRow>,
 ) -> bool {
-    let successors = row.map_or(&[][..], |row| &row.heirs);
+    let successors = row.map_or(&[][..], |row| &row.successors);
     let id = &host.settings.id;
     let hash = xxh3_64_with_seed(id.as_bytes(), pool.into());
     let suitability = Suitability {
-        near_store: host.away() <= NEAR_STORE_RTT_MS,
+        near_store: host.store_rtt() <= NEAR_STORE_RTT_MS,
         processors: host.settings.processors,
-        bandwidth_mbps: host.settings.line,
+        bandwidth_mbps: host.settings.link_mbps,
         pools: host.owned_pool_count() + 1,
     };
     let delay = TakeoverDelay {
         is_former_owner: host.has(Mechanism::Restart) && row.is_some_and(|row| row.host == *id),
         successor_index: successors.iter().position(|it| it.host == *id),
         successors: successors.len(),
-        remote: host.away() > NEAR_STORE_RTT_MS,
+        remote: host.store_rtt() > NEAR_STORE_RTT_MS,
         processors: host.settings.processors,
         owned_pools: host.owned_pool_count(),
-        insufficiency_delay: suitability.insufficiency_delay(host.plan().size(pool)),
+        insufficiency_delay: suitability.insufficiency_delay(host.pool_map().size(pool)),
         spread: Duration::from_millis(hash % SPREAD_MS),
     };
     timeout(delay.total(), rows.changed()).await.is_err()
@@ -206,7 +206,7 @@
 /// The claim by which this host takes over a pool. It keeps the roster that the former owner has stored; the first write of the
 /// new owner adds workers that the former one didn't know.
 fn new_claim(host: &Host, former: Option<&Claim>) -> Claim {
-    let successors = former.map_or_else(Vec::new, |claim| claim.owner.heirs.clone());
+    let successors = former.map_or_else(Vec::new, |claim| claim.owner.successors.clone());
     let others = successors
         .into_iter()
         .filter(|it| it.host != host.settings.id);
@@ -215,8 +215,8 @@
             host: host.settings.id.clone(),
             address: host.settings.address,
             epoch: former.map_or(0, |claim| claim.owner.epoch) + 1,
-            life: host.life,
-            heirs: others.collect(),
+            incarnation: host.incarnation,
+            successors: others.collect(),
         },
         roster: former.map_or_else(RosterRow::default, |claim| claim.roster.clone()),
     }
--- a/crates/host/src/election/participant.rs
+++ b/crates/host/src/election/participant.rs
@@ -70,15 +70,15 @@
             // An owner that was replaced but doesn't know it may send the request too, hence its epoch is recorded.
             LinkEnd::Take => self.requested_by = Some(row.epoch),
             LinkEnd::NotOwner { life }
-                if (life == row.life || !host.has(Mechanism::Restart))
+                if (life == row.incarnation || !host.has(Mechanism::Restart))
                     && self.may_be_starting(row.epoch) =>
             {
                 tokio::time::sleep(CONNECT_RETRY_DELAY).await;
             }
             LinkEnd::NotOwner { life } => {
                 self.lost = Some(row.epoch);
-                self.restarted = (life != row.life).then_some(row.epoch);
-                info!(pool = pool, owner = row.host.as_str(), epoch = row.epoch, why = "not the owner", same_life = life == row.life; "link to the pool owner lost");
+                self.restarted = (life != row.incarnation).then_some(row.epoch);
+                info!(pool = pool, owner = row.host.as_str(), epoch = row.epoch, why = "not the owner", same_life = life == row.incarnation; "link to the pool owner lost");
             }
             LinkEnd::Lost(loss) => {
                 self.lost = Some(row.epoch);
@@ -218,7 +218,10 @@
 
 /// Asks the owner and its successors whether the owner works. If one of them confirms it, only this host is cut off.
 async fn ask_hosts(host: &Host, pool: u32, owner: &OwnerRow, limit: Duration) -> Evidence {
-    let others = owner.heirs.iter().filter(|it| it.host != host.settings.id);
+    let others = owner
+        .successors
+        .iter()
+        .filter(|it| it.host != host.settings.id);
     let witnesses = others.map(|it| peers::ask_if_owner_heard(it.address, pool, limit));
     let mut witnesses = pin!(futures::future::join_all(witnesses));
     let mut itself = pin!(peers::ask_if_owner_heard(owner.address, pool, limit));
--- a/crates/host/src/link.rs
+++ b/crates/host/src/link.rs
@@ -21,11 +21,11 @@
 /// let (to, mut from) = tokio::sync::mpsc::channel(8);
 /// let link = Link::new(to);
 /// let owner = async {
-///     if let Some(ToOwner::Ask(number, Call::Plan)) = from.recv().await {
+///     if let Some(ToOwner::Call(number, Call::PoolMap)) = from.recv().await {
 ///         assert!(link.deliver_reply(number, Reply::Unsure).is_none());
 ///     }
 /// };
-/// let (reply, ()) = tokio::join!(link.fetch(Call::Plan), owner);
+/// let (reply, ()) = tokio::join!(link.fetch(Call::PoolMap), owner);
 /// assert!(matches!(reply, Some(Reply::Unsure)));
 /// # });
 /// ```
@@ -87,7 +87,7 @@
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (to, reply) = oneshot::channel();
         lock(&self.calls).insert(number, to);
-        if self.send(ToOwner::Ask(number, call)) {
+        if self.send(ToOwner::Call(number, call)) {
             return Some((number, reply));
         }
         lock(&self.calls).remove(&number);
--- a/crates/host/src/owner.rs
+++ b/crates/host/src/owner.rs
@@ -13,23 +13,23 @@
 
 use log::{info, warn};
 use pool::repeat::Budget;
-use pool::{GivenUp, LostRun, Mechanism, Ms, Order, Pool, StepTimes, WorkerId};
+use pool::{AbandonedTask, Command, LostRun, Mechanism, Ms, Pool, StepTimes, WorkerId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
+use crate::advisor_proxies::AdvisorProxy;
 use crate::claim::Claim;
 use crate::clock;
-use crate::follow::{Rhythm, follow};
-use crate::hedge::Lost;
-use crate::helpers::Helper;
+use crate::follow::{PollTiming, follow};
+use crate::hedge::LossRate;
 use crate::host::{Host, lock};
-use crate::outside::Page;
+use crate::interfaces::Page;
+use crate::log_sampling::is_logged_in_full;
 use crate::owner_rows;
 use crate::rows::{JOBS, job_parts};
-use crate::sample::is_told_in_full;
-use crate::unserved::Unserved;
+use crate::store_outage::StoreOutage;
 use crate::writer;
 use advice::PendingRequest;
 use connected_hosts::ConnectedHost;
@@ -77,15 +77,15 @@
     /// Advisor requests that other hosts make for this owner, by number.
     advisor_requests: Mutex<FxHashMap<u64, PendingRequest>>,
     /// How fast the advisor answers this host.
-    helper: Mutex<Helper>,
+    helper: Mutex<AdvisorProxy>,
     /// All jobs have been read, so callers may be told that a job is unknown.
     loaded: AtomicBool,
     /// The transaction as of which the jobs were read.
     jobs_read_as_of: AtomicU64,
     /// Since when the store has refused or not answered this owner's writes; `None` if the last one succeeded.
-    pub(crate) unserved: Mutex<Option<Unserved>>,
+    pub(crate) unserved: Mutex<Option<StoreOutage>>,
     /// The share of polls of workers whose answers were lost.
-    pub(crate) lost_answers: Mutex<Lost>,
+    pub(crate) lost_answers: Mutex<LossRate>,
     /// Limits how many polls are repeated because their answers are overdue.
     pub(crate) repeat_budget: Mutex<Budget>,
     /// Workers with which there is a session.
@@ -162,7 +162,7 @@
     /// Records that the store did not confirm a write that was sent at `sent_at`; `refused` if it was certainly not done.
     pub(crate) fn note_unserved(&self, sent_at: Ms, refused: bool) {
         let mut unserved = lock(&self.unserved);
-        *unserved = Some(Unserved::note(*unserved, sent_at, clock::now(), refused));
+        *unserved = Some(StoreOutage::note(*unserved, sent_at, clock::now(), refused));
     }
 
     /// Whether this ownership has ended.
@@ -189,7 +189,7 @@
     async fn take_over(self: Arc<Self>, claim: Claim, former_roster: Vec<String>, version: u64) {
         let began = clock::now();
         self.jobs_read_as_of.store(version, Ordering::Relaxed);
-        lock(&self.pool).set_partial(began, true);
+        lock(&self.pool).set_jobs_incomplete(began, true);
         let limit = if self.host.has(Mechanism::PartialJobs) {
             JOBS_READ_TIMEOUT
         } else {
@@ -216,19 +216,19 @@
                 let took = clock::now().saturating_sub(began);
                 info!(pool = self.pool_number, epoch = self.epoch, ms = took; "all jobs loaded");
             }
-            lock(&self.pool).set_partial(clock::now(), false);
+            lock(&self.pool).set_jobs_incomplete(clock::now(), false);
             self.loaded.store(true, Ordering::Relaxed);
         };
         let parts: Vec<String> = job_parts().collect();
         let unnamed_part = [String::new()];
         let store = Arc::clone(&self.host.store);
-        let places = self.host.settings.places.clone();
+        let places = self.host.settings.store_tables.clone();
         let follow_jobs = follow(
             store.as_ref(),
             JOBS,
             &parts,
             Some(version),
-            Rhythm::default().pause(JOBS_FEED_PAUSE),
+            PollTiming::default().pause(JOBS_FEED_PAUSE),
             |change| {
                 self.jobs_changed(change);
             },
@@ -238,7 +238,7 @@
             &places.workers,
             &unnamed_part,
             Some(after),
-            Rhythm::default().pause(WORKERS_FEED_PAUSE),
+            PollTiming::default().pause(WORKERS_FEED_PAUSE),
             |change| {
                 self.workers_changed(change);
             },
@@ -275,14 +275,14 @@
             let began = Instant::now();
             let (commands, unsaved, deposed, steps, lost, given_up) = {
                 let mut pool = lock(&self.pool);
-                let commands = pool.plan(clock::now(), clock::unix());
+                let commands = pool.schedule(clock::now(), clock::unix());
                 (
                     commands,
-                    pool.unsaved(),
+                    pool.has_unstored(),
                     pool.deposed(),
                     pool.take_steps_done(),
                     pool.take_lost_runs(),
-                    pool.take_given_up(),
+                    pool.take_abandoned_tasks(),
                 )
             };
             let took = began.elapsed();
@@ -319,10 +319,10 @@
             let share = |used: u64, all: u64| used as f64 / all.max(1) as f64;
             info!(
                 pool = self.pool_number, epoch = self.epoch, service = service.as_str(),
-                processors = share(room.used.millicores, room.room.millicores),
-                memory = share(room.used.memory_mib, room.room.memory_mib),
-                accelerators = share(room.used.accelerators, room.room.accelerators),
-                taken = load.taken, steps = load.steps, plans = stats.passes, orders = stats.commands,
+                processors = share(room.used.millicores, room.total.millicores),
+                memory = share(room.used.memory_mib, room.total.memory_mib),
+                accelerators = share(room.used.accelerators, room.total.accelerators),
+                taken = load.demand, steps = load.open_steps, plans = stats.passes, orders = stats.commands,
                 plan_us = stats.mean().as_micros() as u64, longest_us = stats.longest.as_micros() as u64;
                 "load"
             );
@@ -332,8 +332,11 @@
     /// Logs how many workers of the former owner haven't answered yet, if any.
     fn log_unseen_workers(&self) {
         let pool = lock(&self.pool);
-        if let Some(first) = pool.unseen().first() {
-            let (count, proved) = (pool.unseen().len(), pool.proved(clock::now()));
+        if let Some(first) = pool.unconfirmed_workers().first() {
+            let (count, proved) = (
+                pool.unconfirmed_workers().len(),
+                pool.has_quorum(clock::now()),
+            );
             warn!(epoch = self.epoch, workers = count, first = &**first, majority = proved; "inherited jobs wait until workers have answered");
         }
     }
@@ -341,16 +344,16 @@
     /// The address of a worker, if the pool knows it.
     fn address(&self, id: &str) -> Option<String> {
         let pool = lock(&self.pool);
-        pool.worker(id).map(|worker| worker.news.address.clone())
+        pool.worker(id).map(|worker| worker.info.address.clone())
     }
 
     /// Sends a command concurrently with others, and applies the answer to the pool.
-    fn send_command(self: &Arc<Self>, command: Order) {
+    fn send_command(self: &Arc<Self>, command: Command) {
         let owner = Arc::clone(self);
         let workers = Arc::clone(&self.host.workers);
         let epoch = self.epoch;
         match command {
-            Order::Start(start) => {
+            Command::Start(start) => {
                 let Some(address) = self.address(&start.worker) else {
                     return;
                 };
@@ -361,8 +364,8 @@
                     metrics::counter!("lentilyoke_starts_total", "outcome" => answer.name())
                         .increment(1);
                     let key = &start.task;
-                    let in_full = start.crashes > 0 || is_told_in_full(&key.stage.job);
-                    if answer != pool::Answer::Running || in_full {
+                    let in_full = start.crashes > 0 || is_logged_in_full(&key.stage.job);
+                    if answer != pool::StartAnswer::Running || in_full {
                         info!(
                             job = &*key.stage.job, occurrence = key.stage.occurrence, step = key.stage.step,
                             task = key.index, run = start.run, worker = &*start.worker, epoch = epoch,
@@ -370,13 +373,13 @@
                             "start"
                         );
                     }
-                    lock(&owner.pool).answered(now, &start, answer);
-                    if answer != pool::Answer::Running {
+                    lock(&owner.pool).start_answered(now, &start, answer);
+                    if answer != pool::StartAnswer::Running {
                         owner.wake.notify_one();
                     }
                 });
             }
-            Order::Stop(stop) => {
+            Command::Stop(stop) => {
                 let Some(address) = self.address(&stop.worker) else {
                     return;
                 };
@@ -386,13 +389,13 @@
                     info!(
                         job = &*key.stage.job, occurrence = key.stage.occurrence, step = key.stage.step,
                         task = key.index, run = stop.run, worker = &*stop.worker, epoch = epoch,
-                        why = stop.why, outcome:? = answer;
+                        why = stop.reason, outcome:? = answer;
                         "stop"
                     );
-                    lock(&owner.pool).stopped(clock::now(), &stop, answer);
+                    lock(&owner.pool).stop_answered(clock::now(), &stop, answer);
                 });
             }
-            Order::Pace(pace) => {
+            Command::Pace(pace) => {
                 let Some(address) = self.address(&pace.worker) else {
                     return;
                 };
@@ -405,11 +408,11 @@
                         "pace"
                     );
                     if !confirmed {
-                        lock(&owner.pool).pace_lost(&pace);
+                        lock(&owner.pool).pace_unconfirmed(&pace);
                     }
                 });
             }
-            Order::Ask(ask) => self.request_advice(ask),
+            Command::Query(ask) => self.request_advice(ask),
         }
     }
 }
@@ -441,7 +444,7 @@
 }
 
 /// Logs and counts a task that was abandoned because its runs crashed their workers.
-fn log_given_up(given_up: &GivenUp) {
+fn log_given_up(given_up: &AbandonedTask) {
     metrics::counter!("lentilyoke_tasks_given_up_total").increment(1);
     let key = &given_up.task;
     warn!(
--- a/crates/host/src/owner/calls.rs
+++ b/crates/host/src/owner/calls.rs
@@ -10,7 +10,7 @@
 use super::Owner;
 use crate::clock;
 use crate::host::lock;
-use crate::insert::{Inserted, Place, insert};
+use crate::insert::{Inserted, JobLocation, insert};
 use crate::wire::Reply;
 
 /// How long a caller that cancels a job waits until the cancellation is stored.
@@ -23,7 +23,7 @@
     /// another pool, and this pool may have got another owner: added without its progress, the job would run a second time. A job
     /// that was written before this owner read the table is known from there, and for a transferred job, its row is needed
     /// besides the job itself.
-    pub(crate) fn add_accepted_job(&self, job: Job, place: Place) {
+    pub(crate) fn add_accepted_job(&self, job: Job, place: JobLocation) {
         let known = place.version <= self.jobs_read_as_of.load(Ordering::Relaxed);
         if !self.loaded.load(Ordering::Relaxed) || known || place.moved {
             return;
@@ -39,7 +39,7 @@
     /// see the job run again. Such an owner is not confirmed until a majority of its workers has answered it.
     pub(crate) fn state(&self, id: &str) -> Option<State> {
         let pool = lock(&self.pool);
-        pool.state(id).filter(|_| pool.proved(clock::now()))
+        pool.state(id).filter(|_| pool.has_quorum(clock::now()))
     }
 
     /// Cancels a job; replies when the cancellation is stored.
@@ -66,7 +66,7 @@
 
     /// Inserts a job's row on behalf of a host that the store doesn't serve.
     pub(crate) async fn insert(&self, pool: u32, job: Job) -> Reply {
-        if !self.host.served() {
+        if !self.host.store_available() {
             return Reply::Refused;
         }
         let until = Instant::now() + Duration::from_millis(1_000);
@@ -75,13 +75,13 @@
             pool,
             &job,
             until,
-            self.host.patience(),
+            self.host.store_retry_delay(),
             false,
         )
         .await
         {
-            Inserted::There(place) => {
-                self.host.tell_accepted(place, job);
+            Inserted::Present(place) => {
+                self.host.notify_accepted(place, job);
                 Reply::Inserted(place)
             }
             Inserted::Refused => Reply::Refused,
--- a/crates/host/src/owner/connected_hosts.rs
+++ b/crates/host/src/owner/connected_hosts.rs
@@ -13,16 +13,16 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::Owner;
+use crate::advisor_proxies::AdvisorProxy;
 use crate::clock;
 use crate::election::NEAR_STORE_RTT_MS;
-use crate::helpers::Helper;
 use crate::host::lock;
 use crate::lag::TimerLag;
 use crate::peers::HEARTBEAT_INTERVAL;
-use crate::rows::Heir;
+use crate::rows::Successor;
+use crate::store_outage::Candidate;
 use crate::suitability::Suitability;
-use crate::unserved::Candidate;
-use crate::wire::{Beat, FromOwner, ToOwner};
+use crate::wire::{FromOwner, Heartbeat, ToOwner};
 
 /// A more suitable host gets a pool only if the store has served it for this long.
 const MIN_SERVED_TIME: Ms = 800;
@@ -72,7 +72,7 @@
     /// Number of pools that it owns.
     owned_pools: u32,
     /// How fast the advisor answers it.
-    pub(super) helper: Helper,
+    pub(super) helper: AdvisorProxy,
     /// It makes advisor requests for this pool. The advisor serves one request at a time for each host, so the hosts are divided
     /// among the pools.
     pub(super) asks_advisor: bool,
@@ -89,8 +89,8 @@
     /// What is known about its service by the store.
     fn candidate(&self) -> Candidate {
         Candidate {
-            served: self.served_since,
-            answered: self.store_answered_at,
+            available_since: self.served_since,
+            last_answer: self.store_answered_at,
         }
     }
 
@@ -146,16 +146,16 @@
     ) -> Option<String> {
         let unserved = lock(&self.unserved).filter(|unserved| {
             // A write that was sent just before the store recovered may be unanswered while other calls are answered again.
-            let all_fail = if unserved.refused {
-                self.host.failing_since().is_some()
+            let all_fail = if unserved.only_refusals {
+                self.host.store_failing_since().is_some()
             } else {
-                !self.host.served()
+                !self.host.store_available()
             };
             // This host could write its row when it claimed the pool. Shortly after, missing answers are due to a saturated
             // network connection, and the next owner would have to read everything over a similar one.
             let owned_long_enough =
-                unserved.refused || now.saturating_sub(began) > MIN_OWNERSHIP_UNANSWERED;
-            unserved.gives_up(now) && all_fail && owned_long_enough
+                unserved.only_refusals || now.saturating_sub(began) > MIN_OWNERSHIP_UNANSWERED;
+            unserved.warrants_handover(now) && all_fail && owned_long_enough
         });
         let draining = self.host.stop.is_draining();
         // A new owner is busy at first, and a pool that overloads every host must not be handed around.
@@ -163,9 +163,9 @@
         let leaving = unserved.is_some() || draining || overloaded;
         let workers = self.worker_count();
         let own = Suitability {
-            near_store: self.host.away() <= NEAR_STORE_RTT_MS,
+            near_store: self.host.store_rtt() <= NEAR_STORE_RTT_MS,
             processors: self.host.settings.processors,
-            bandwidth_mbps: self.host.settings.line,
+            bandwidth_mbps: self.host.settings.link_mbps,
             pools: self.host.owned_pool_count_up_to(self.pool_number),
         };
         // An owner with insufficient resources may never have loaded all jobs.
@@ -178,7 +178,7 @@
             return None;
         }
         let is_eligible = |host: &ConnectedHost| match unserved {
-            Some(unserved) if !draining => unserved.takes(now, &host.candidate()),
+            Some(unserved) if !draining => unserved.can_take_over(now, &host.candidate()),
             None if !draining => host.is_served(now, MIN_SERVED_TIME),
             _ => true,
         };
@@ -198,7 +198,10 @@
                     .then_with(|| self.tie_break(a_name).cmp(&self.tie_break(b_name)))
             })?;
         info!(pool = self.pool_number, heir = name.as_str(), epoch = self.epoch, unserved = unserved.is_some(), overloaded = overloaded, suits = own.is_sufficient(workers); "requested that another host take over the pool");
-        drop(host.sender.try_send(FromOwner::Take { epoch: self.epoch }));
+        drop(
+            host.sender
+                .try_send(FromOwner::TakeOver { epoch: self.epoch }),
+        );
         Some(name.clone())
     }
 
@@ -207,7 +210,7 @@
         let own = Suitability {
             near_store: true,
             processors: self.host.settings.processors,
-            bandwidth_mbps: self.host.settings.line,
+            bandwidth_mbps: self.host.settings.link_mbps,
             pools: 1,
         };
         let hosts = lock(&self.hosts);
@@ -223,8 +226,11 @@
 
     /// Number of workers in the pool, or the number that the pool map states if that is larger.
     fn worker_count(&self) -> u32 {
-        let listed = lock(&self.pool).workers().filter(|it| it.listed).count() as u32;
-        listed.max(self.host.plan().size(self.pool_number))
+        let listed = lock(&self.pool)
+            .workers()
+            .filter(|it| it.registered)
+            .count() as u32;
+        listed.max(self.host.pool_map().size(self.pool_number))
     }
 
     /// Order of equally suitable hosts. It differs between pools; otherwise all pools of a host would be handed over to the same
@@ -234,18 +240,18 @@
     }
 
     /// Hosts that should take over the pool when this one is lost, the most suitable first.
-    pub(crate) fn successors(&self) -> Vec<Heir> {
+    pub(crate) fn successors(&self) -> Vec<Successor> {
         if !self.host.has(Mechanism::Heirs) {
             return Vec::new();
         }
         let now = clock::now();
         let workers = self.worker_count();
         let hosts = lock(&self.hosts);
-        let mut successors: Vec<(f64, Heir)> = hosts
+        let mut successors: Vec<(f64, Successor)> = hosts
             .iter()
             .filter(|(_, host)| host.is_served(now, 0))
             .map(|(name, host)| {
-                let successor = Heir {
+                let successor = Successor {
                     host: name.clone(),
                     address: host.address,
                 };
@@ -270,18 +276,18 @@
             };
             let loaded = self.loaded.load(Ordering::Relaxed);
             self.update_gauges(&load, pending.values().sum());
-            let heartbeat = Beat {
+            let heartbeat = Heartbeat {
                 pool: self.pool_number,
                 epoch: self.epoch,
                 catalog: self.host.catalog_version(),
                 catalog_as_of: 0,
                 catalog_age: Ms::MAX,
-                heard: 0,
-                served: self.host.served(),
-                failing: self.host.failing_since().is_some(),
-                plan: self.host.plan().version,
+                echoed_at: 0,
+                store_available: self.host.store_available(),
+                store_failing: self.host.store_failing_since().is_some(),
+                pool_map: self.host.pool_map().version,
                 pending: loaded.then_some(pending),
-                taken: load.taken,
+                load: load.demand,
                 labels: load.labels,
             };
             let mut advisor_hosts = 1;
@@ -292,16 +298,16 @@
                     host.asks_advisor = self.is_advisor_host(name);
                     drop(
                         host.sender
-                            .try_send(FromOwner::Beat(self.heartbeat_to(host, &heartbeat))),
+                            .try_send(FromOwner::Heartbeat(self.heartbeat_to(host, &heartbeat))),
                     );
                     advisor_hosts += usize::from(
                         host.asks_advisor && now.saturating_sub(host.last_heard) < MAX_SILENCE,
                     );
                 }
             }
-            lock(&self.pool).set_askers(advisor_hosts);
-            self.host.hear(heartbeat);
-            let changed = self.host.current.changed.notified();
+            lock(&self.pool).set_max_queries(advisor_hosts);
+            self.host.receive_heartbeat(heartbeat);
+            let changed = self.host.catalog_sync.changed.notified();
             let store_changed = self.host.store_changed.notified();
             tokio::time::sleep(MIN_HEARTBEAT_INTERVAL).await;
             tokio::select! {
@@ -316,10 +322,10 @@
 
     /// The heartbeat for one host. Its statement about the configuration refers to the time when that host's last heartbeat was
     /// received.
-    fn heartbeat_to(&self, host: &ConnectedHost, heartbeat: &Beat) -> Beat {
+    fn heartbeat_to(&self, host: &ConnectedHost, heartbeat: &Heartbeat) -> Heartbeat {
         let (catalog_as_of, catalog_age) = (self.host.catalog_as_of(), self.host.catalog_age());
-        Beat {
-            heard: host.heartbeat_sent_at,
+        Heartbeat {
+            echoed_at: host.heartbeat_sent_at,
             catalog_as_of,
             catalog_age,
             // Read after the other two: a version that was installed in between is only newer.
@@ -330,7 +336,7 @@
 
     /// Whether a host makes advisor requests for this pool.
     fn is_advisor_host(&self, name: &str) -> bool {
-        let pools = u64::from(self.host.plan().pools());
+        let pools = u64::from(self.host.pool_map().pool_count());
         xxh3_64(name.as_bytes()) % pools == u64::from(self.pool_number)
     }
 
@@ -338,16 +344,17 @@
     fn update_gauges(&self, load: &pool::Load, pending: u64) {
         let pool = self.pool_number.to_string();
         metrics::gauge!("lentilyoke_room_used_share", "pool" => pool.clone()).set(load.used);
-        metrics::gauge!("lentilyoke_steps_open", "pool" => pool.clone()).set(load.steps as f64);
+        metrics::gauge!("lentilyoke_steps_open", "pool" => pool.clone())
+            .set(load.open_steps as f64);
         metrics::gauge!("lentilyoke_jobs_pending", "pool" => pool.clone()).set(pending as f64);
         for (service, room) in &load.services {
             let parts = [
-                ("processors", room.used.millicores, room.room.millicores),
-                ("memory", room.used.memory_mib, room.room.memory_mib),
+                ("processors", room.used.millicores, room.total.millicores),
+                ("memory", room.used.memory_mib, room.total.memory_mib),
                 (
                     "accelerators",
                     room.used.accelerators,
-                    room.room.accelerators,
+                    room.total.accelerators,
                 ),
             ];
             for (part, used, all) in parts.into_iter().filter(|(_, _, all)| *all > 0) {
@@ -367,7 +374,7 @@
         sender: mpsc::Sender<FromOwner>,
     ) -> u64 {
         let connection = self.next_number.fetch_add(1, Ordering::Relaxed);
-        drop(sender.try_send(FromOwner::Beat(
+        drop(sender.try_send(FromOwner::Heartbeat(
             self.host.last_heartbeat(self.pool_number).heartbeat,
         )));
 
@@ -386,7 +393,7 @@
                 store_rtt_ms: u64::MAX,
                 owned_pools: 0,
                 asks_advisor: self.is_advisor_host(name),
-                helper: Helper::default(),
+                helper: AdvisorProxy::default(),
             },
         );
         info!(pool = self.pool_number, host = name, epoch = self.epoch; "host connected to the pool owner");
@@ -413,12 +420,12 @@
         sender: &mpsc::Sender<FromOwner>,
     ) {
         match message {
-            ToOwner::Beat {
-                served,
-                away,
-                owns,
+            ToOwner::Heartbeat {
+                store_available,
+                store_rtt,
+                owned_pools,
                 sent,
-                answered,
+                store_answer_age,
                 ..
             } => {
                 if let Some(host) = lock(&self.hosts).get_mut(name)
@@ -426,11 +433,11 @@
                 {
                     host.last_heard = clock::now();
                     host.served_since =
-                        served.then(|| host.served_since.unwrap_or(host.last_heard));
+                        store_available.then(|| host.served_since.unwrap_or(host.last_heard));
                     host.store_answered_at =
-                        answered.map_or(0, |age| host.last_heard.saturating_sub(age));
-                    host.store_rtt_ms = away;
-                    host.owned_pools = owns;
+                        store_answer_age.map_or(0, |age| host.last_heard.saturating_sub(age));
+                    host.store_rtt_ms = store_rtt;
+                    host.owned_pools = owned_pools;
                     host.heartbeat_sent_at = sent;
                 }
             }
@@ -444,14 +451,14 @@
                 });
                 self.receive_advice(number, allowed.as_ref());
             }
-            ToOwner::Ask(number, call) => {
+            ToOwner::Call(number, call) => {
                 let (owner, sender) = (Arc::clone(self), sender.clone());
                 self.host.stop.spawn(async move {
                     let reply = owner.handle_call(call).await;
-                    drop(sender.send(FromOwner::Told(number, reply)).await);
+                    drop(sender.send(FromOwner::Reply(number, reply)).await);
                 });
             }
-            ToOwner::Hello { .. } | ToOwner::Hears(_) => {}
+            ToOwner::Hello { .. } | ToOwner::OwnerReachable(_) => {}
         }
     }
 }
--- a/crates/host/src/owner/directory.rs
+++ b/crates/host/src/owner/directory.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use log::{info, warn};
-use pool::{Ms, News, WorkerId};
+use pool::{Ms, WorkerId, WorkerInfo};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::Owner;
 use crate::clock;
 use crate::host::lock;
-use crate::outside::{Row, StoreError, Transaction};
-use crate::plan::{Plan, rack_of};
-use crate::rows::{COMMON, PLAN};
+use crate::interfaces::{Row, StoreError, Transaction};
+use crate::pool_map::{PoolMap, rack_of};
+use crate::rows::{COMMON, POOL_MAP};
 use crate::session;
 
 /// Racks are assigned to pools when no new worker without a pool has appeared for this long. At the first start, all workers
@@ -31,7 +31,7 @@
     /// decoded.
     foreign: FxHashSet<WorkerId>,
     /// Workers whose rack has no pool yet.
-    unassigned: FxHashMap<WorkerId, News>,
+    unassigned: FxHashMap<WorkerId, WorkerInfo>,
     /// Rack of each worker of the deployment; kept only by the owner of pool 0.
     racks: FxHashMap<WorkerId, String>,
     /// When the first and the last of the workers without a pool appeared.
@@ -56,9 +56,9 @@
     }
 
     /// Handles a worker that the store lists: adds it to the pool, or records where it belongs.
-    pub(super) fn worker_listed(self: &Arc<Self>, now: Ms, id: WorkerId, news: News) {
+    pub(super) fn worker_listed(self: &Arc<Self>, now: Ms, id: WorkerId, news: WorkerInfo) {
         let rack = rack_of(&news.rack, &id);
-        let assigned = self.host.plan().pool_of(&rack);
+        let assigned = self.host.pool_map().pool_of(&rack);
         let mut directory = lock(&self.directory);
         if self.pool_number == 0 {
             directory.racks.insert(Arc::clone(&id), rack);
@@ -78,7 +78,7 @@
             directory.foreign.insert(Arc::clone(&id));
             drop(directory);
             // If it was in this pool, its rack has changed, and from now on another owner polls it.
-            lock(&self.pool).unlisted(&id);
+            lock(&self.pool).deregister_worker(&id);
         }
     }
 
@@ -90,7 +90,7 @@
 
     /// Handles the removal of a worker from the store's list.
     pub(super) fn worker_removed(&self, id: &str) {
-        lock(&self.pool).unlisted(id);
+        lock(&self.pool).deregister_worker(id);
         let mut directory = lock(&self.directory);
         directory.foreign.remove(id);
         directory.unassigned.remove(id);
@@ -98,8 +98,8 @@
     }
 
     /// Adds a worker to the pool and starts a session with it, unless there is one.
-    fn add_worker(self: &Arc<Self>, now: Ms, id: WorkerId, news: News) {
-        lock(&self.pool).listed(now, &id, news);
+    fn add_worker(self: &Arc<Self>, now: Ms, id: WorkerId, news: WorkerInfo) {
+        lock(&self.pool).update_worker(now, &id, news);
         if lock(&self.sessions).insert(Arc::clone(&id)) {
             let owner = Arc::clone(self);
             self.host.stop.spawn(async move {
@@ -130,8 +130,8 @@
 
     /// Adds workers whose racks were assigned to this pool meanwhile.
     fn add_assigned_workers(self: &Arc<Self>) {
-        let plan = self.host.plan();
-        let assigned: Vec<(WorkerId, News)> = {
+        let plan = self.host.pool_map();
+        let assigned: Vec<(WorkerId, WorkerInfo)> = {
             let mut directory = lock(&self.directory);
             if directory.unassigned.is_empty() {
                 return;
@@ -164,7 +164,7 @@
     /// requires that the row is unchanged since it was read.
     async fn extend_pool_map(&self) {
         let store = &self.host.store;
-        let (stored, version) = match store.get(PLAN, COMMON, PLAN).await {
+        let (stored, version) = match store.get(POOL_MAP, COMMON, POOL_MAP).await {
             Ok(row) => parse(row.as_ref()).unwrap_or_default(),
             Err(error) => {
                 warn!(error:% = error; "reading the pool map failed");
@@ -172,9 +172,9 @@
             }
         };
         let counts = lock(&self.directory).counts();
-        let per_pool = self.host.settings.pool_workers.min(self.largest_pool());
+        let per_pool = self.host.settings.workers_per_pool.min(self.largest_pool());
         let Some(next) = stored.extend(&counts, per_pool) else {
-            self.host.put_plan(stored);
+            self.host.update_pool_map(stored);
             return;
         };
         let Ok(value) = serde_json::to_vec(&next) else {
@@ -182,19 +182,19 @@
         };
         let transaction = Transaction {
             part: COMMON.to_owned(),
-            checks: vec![(PLAN.to_owned(), PLAN.to_owned(), version)],
-            puts: vec![(PLAN.to_owned(), PLAN.to_owned(), value)],
+            checks: vec![(POOL_MAP.to_owned(), POOL_MAP.to_owned(), version)],
+            puts: vec![(POOL_MAP.to_owned(), POOL_MAP.to_owned(), value)],
             ..Transaction::default()
         };
         match store.commit(&transaction).await {
             Ok(_) => {
-                info!(version = next.version, pools = next.pools(), racks = next.racks.len(), workers = counts.values().sum::<u32>(); "racks assigned to pools");
-                self.host.put_plan(next);
+                info!(version = next.version, pools = next.pool_count(), racks = next.racks.len(), workers = counts.values().sum::<u32>(); "racks assigned to pools");
+                self.host.update_pool_map(next);
             }
             Err(StoreError::Conflict { rows }) => {
-                let row = rows.iter().find(|row| row.table == PLAN);
+                let row = rows.iter().find(|row| row.table == POOL_MAP);
                 if let Some((found, _)) = parse(row) {
-                    self.host.put_plan(found);
+                    self.host.update_pool_map(found);
                 }
             }
             Err(error) => warn!(error:% = error; "writing the pool map failed; retrying"),
@@ -203,7 +203,7 @@
 }
 
 /// Decodes the row of the pool map; returns it with its version.
-fn parse(row: Option<&Row>) -> Option<(Plan, u64)> {
+fn parse(row: Option<&Row>) -> Option<(PoolMap, u64)> {
     let row = row?;
     let plan = serde_json::from_slice(row.value.as_deref()?).ok()?;
     Some((plan, row.version))
--- a/crates/host/src/owner/store_changes.rs
+++ b/crates/host/src/owner/store_changes.rs
@@ -11,8 +11,8 @@
 use crate::clock;
 use crate::follow::{Change, read, read_each};
 use crate::host::lock;
-use crate::outside::{Page, Row};
-use crate::rows::{CANCEL, JOBS, JobRow, PROGRESS, RosterRow, job_parts, pool_part};
+use crate::interfaces::{Page, Row};
+use crate::rows::{CANCEL_PREFIX, JOBS, JobRow, PROGRESS, RosterRow, job_parts, pool_part};
 
 /// The stored progress of jobs, by id.
 pub(super) type ProgressById = FxHashMap<String, Progress>;
@@ -27,7 +27,12 @@
         let store = self.host.store.as_ref();
         let (progress, listed) = tokio::join!(
             read(store, PROGRESS, &own_part, claimed),
-            read(store, &self.host.settings.places.workers, &unnamed_part, 0),
+            read(
+                store,
+                &self.host.settings.store_tables.workers,
+                &unnamed_part,
+                0
+            ),
         );
         let progress = progress.rows.into_iter().filter_map(|row| {
             let progress = serde_json::from_slice(row.value.as_deref()?).ok()?;
@@ -51,7 +56,7 @@
         let (now, unix) = (clock::now(), clock::unix());
         let mut pool = lock(&self.pool);
         for row in &page.rows {
-            if let Some(id) = row.key.strip_prefix(CANCEL) {
+            if let Some(id) = row.key.strip_prefix(CANCEL_PREFIX) {
                 pool.cancel(unix, id);
                 continue;
             }
@@ -74,11 +79,11 @@
         claimed: &RosterRow,
         former_roster: &[String],
     ) {
-        self.workers_changed(Change::All(listed));
+        self.workers_changed(Change::Snapshot(listed));
         let ids =
             |ids: &[String]| -> Vec<WorkerId> { ids.iter().map(|id| id.as_str().into()).collect() };
         let mut pool = lock(&self.pool);
-        pool.enroll(&ids(&claimed.roster));
+        pool.set_stored_roster(&ids(&claimed.roster));
         // The former owner may have used only the workers of its roster. The list of all workers may be old and contain removed
         // ones.
         pool.inherit(clock::now(), ids(former_roster), &claimed.silent);
@@ -87,8 +92,8 @@
     /// Handles changes of the table of jobs.
     pub(super) fn jobs_changed(&self, change: Change) {
         let rows = match change {
-            Change::All(page) => page.rows,
-            Change::Some(feed) => feed.rows,
+            Change::Snapshot(page) => page.rows,
+            Change::Update(feed) => feed.rows,
             Change::Failed(error) => {
                 warn!(error:% = error; "following jobs failed; retrying");
                 return;
@@ -100,9 +105,9 @@
         let (now, unix) = (clock::now(), clock::unix());
         let mut pool = lock(&self.pool);
         for row in rows.iter().filter(|row| row.value.is_some()) {
-            if let Some(id) = row.key.strip_prefix(CANCEL) {
+            if let Some(id) = row.key.strip_prefix(CANCEL_PREFIX) {
                 pool.cancel(unix, id);
-            } else if !pool.knows(&row.key)
+            } else if !pool.contains_job(&row.key)
                 && let Some((job, before)) = self.parse_job(row)
             {
                 pool.adopt(now, unix, Arc::new(job), before.as_ref(), false);
@@ -116,8 +121,8 @@
     /// Handles changes of the table of workers.
     pub(super) fn workers_changed(self: &Arc<Self>, change: Change) {
         let (rows, all) = match change {
-            Change::All(page) => (page.rows, true),
-            Change::Some(feed) => (feed.rows, false),
+            Change::Snapshot(page) => (page.rows, true),
+            Change::Update(feed) => (feed.rows, false),
             Change::Failed(error) => {
                 warn!(error:% = error; "following workers failed; retrying");
                 return;
--- a/crates/host/src/owner_rows.rs
+++ b/crates/host/src/owner_rows.rs
@@ -14,7 +14,7 @@
 
 use crate::claim::parse;
 use crate::host::{Host, lock};
-use crate::outside::StoreError;
+use crate::interfaces::StoreError;
 use crate::rows::{OWNER, OwnerRow, pool_part};
 
 /// Longest wait of a long poll for changes; after it, the loop checks again which owners are unknown.
@@ -101,7 +101,7 @@
 /// Reads and records the rows of all pools' owners; returns the oldest transaction as of which one of them was read.
 async fn read_all(host: &Host) -> Option<u64> {
     let mut version = u64::MAX;
-    for pool in 0..host.plan().pools() {
+    for pool in 0..host.pool_map().pool_count() {
         let (_, read) = read(host, pool).await?;
         version = version.min(read);
     }
@@ -113,18 +113,18 @@
     let mut after = None;
     let mut pools = 0;
     loop {
-        let unowned = host.unowned.notified();
+        let owner_missing = host.owner_missing.notified();
         if !host.has_unknown_owner() {
             // Changes until then don't matter, since all rows are read again.
             after = None;
-            unowned.await;
+            owner_missing.await;
             continue;
         }
-        if pools != host.plan().pools() {
+        if pools != host.pool_map().pool_count() {
             after = None;
         }
         let Some(newest) = after else {
-            pools = host.plan().pools();
+            pools = host.pool_map().pool_count();
             after = read_all(host).await;
             if after.is_none() {
                 tokio::time::sleep(RETRY_DELAY).await;
@@ -144,7 +144,7 @@
                     }
                 }
             }
-            Err(StoreError::Gone) => after = None,
+            Err(StoreError::HistoryCompacted) => after = None,
             Err(error) => {
                 warn!(error:% = error; "following owner rows failed; retrying");
                 // The feed may no longer contain the changes that were missed meanwhile.
--- a/crates/host/src/pool_state.rs
+++ b/crates/host/src/pool_state.rs
@@ -11,7 +11,7 @@
 use crate::link::Link;
 use crate::owner::Owner;
 use crate::route::Load;
-use crate::wire::Beat;
+use crate::wire::Heartbeat;
 
 /// A heartbeat counts as recent for four intervals; after that the owner may have failed.
 const RECENT_HEARTBEAT_AGE: Ms = 1_000;
@@ -23,7 +23,7 @@
 pub(crate) struct LastHeartbeat {
     /// When it was received.
     pub received_at: Ms,
-    pub heartbeat: Beat,
+    pub heartbeat: Heartbeat,
 }
 
 /// What a host knows about the owner of one pool.
@@ -78,12 +78,12 @@
             self.knows_owner.store(true, Ordering::Relaxed);
         }
         self.update_pool_state(pool, change);
-        self.unowned.notify_one();
+        self.owner_missing.notify_one();
     }
 
     /// Whether there is a pool whose owner this host neither is nor has a link to.
     pub(crate) fn has_unknown_owner(&self) -> bool {
-        let pools = self.plan.load().pools() as usize;
+        let pools = self.pool_map.load().pool_count() as usize;
         let pool_states = lock(&self.pool_states);
         let states = pool_states.iter().take(pools);
         states
@@ -129,7 +129,7 @@
         let pool_states = lock(&self.pool_states);
         let served = pool_states.iter().find(|state| {
             state.link.is_some()
-                && state.last_heartbeat.heartbeat.served
+                && state.last_heartbeat.heartbeat.store_available
                 && now.saturating_sub(state.last_heartbeat.received_at) < SERVED_BY_STORE_AGE
         });
         served.and_then(|state| state.link.clone())
@@ -148,10 +148,10 @@
     pub(crate) fn sum_over_pools(
         &self,
         max_age: Ms,
-        part: impl Fn(&Beat) -> Option<u64>,
+        part: impl Fn(&Heartbeat) -> Option<u64>,
     ) -> Option<u64> {
         let now = clock::now();
-        let pools = self.plan.load().pools() as usize;
+        let pools = self.pool_map.load().pool_count() as usize;
         let pool_states = lock(&self.pool_states);
         let values = (0..pools).map(|pool| {
             let state = pool_states.get(pool)?;
@@ -169,9 +169,10 @@
         let pool_states = lock(&self.pool_states);
         let loads = pool_states.iter().enumerate().map(|(pool, state)| {
             let load = Load {
-                heard: now.saturating_sub(state.last_heartbeat.received_at) < RECENT_HEARTBEAT_AGE
+                is_recent: now.saturating_sub(state.last_heartbeat.received_at)
+                    < RECENT_HEARTBEAT_AGE
                     && state.last_heartbeat.heartbeat.pending.is_some(),
-                taken: state.last_heartbeat.heartbeat.taken,
+                load: state.last_heartbeat.heartbeat.load,
                 labels: state.last_heartbeat.heartbeat.labels.clone(),
             };
             (pool as u32, load)
@@ -182,7 +183,7 @@
     /// The link to an owner whose last heartbeat is recent and fulfils a condition.
     pub(crate) fn link_to_owner_where(
         &self,
-        condition: impl Fn(&Beat) -> bool,
+        condition: impl Fn(&Heartbeat) -> bool,
     ) -> Option<Arc<Link>> {
         let now = clock::now();
         let pool_states = lock(&self.pool_states);
--- a/crates/host/src/session.rs
+++ b/crates/host/src/session.rs
@@ -9,14 +9,14 @@
 
 use futures::future::BoxFuture;
 use log::{info, warn};
-use pool::{How, Listing, Mechanism, Ms, WorkerId};
+use pool::{Mechanism, Ms, RunOutcome, WorkerId, WorkerReport};
 
 use crate::clock;
-use crate::hedge::{Call, Hedge, Outcome};
+use crate::hedge::{Attempt, Hedge, Outcome};
 use crate::host::lock;
-use crate::outside::HoldFailure;
+use crate::interfaces::PollFailure;
+use crate::log_sampling::is_logged_in_full;
 use crate::owner::Owner;
-use crate::sample::is_told_in_full;
 
 /// Longest time for which a worker delays its answer to a poll until a run ends. A worker counts as silent after 1.6 s, so a
 /// single lost poll does no harm.
@@ -53,7 +53,7 @@
     asked: Ms,
     /// What was known of the worker's ends when the poll was sent, as in [`PollRequest::ends`].
     ends: (u64, u64, u64),
-    outcome: Result<Listing, HoldFailure>,
+    outcome: Result<WorkerReport, PollFailure>,
 }
 
 /// Polls a worker until the pool doesn't know it any more or it follows another owner. Polls are delayed while ends that the
@@ -68,27 +68,27 @@
             let Some(worker) = pool.worker(id) else {
                 return;
             };
-            (worker.news.address.clone(), worker.ends())
+            (worker.info.address.clone(), worker.end_cursor())
         };
         if ends.1 > ends.2 {
-            let gather = lock(&owner.pool).gather(id);
+            let gather = lock(&owner.pool).poll_delay(id);
             tokio::time::sleep(Duration::from_millis(gather)).await;
             let stored = owner.stored.notified();
             let all_stored = lock(&owner.pool)
                 .worker(id)
-                .is_some_and(|worker| worker.ends().1 <= worker.ends().2);
+                .is_some_and(|worker| worker.end_cursor().1 <= worker.end_cursor().2);
             if !all_stored {
                 drop(tokio::time::timeout(ENDS_STORED_TIMEOUT, stored).await);
             }
             match lock(&owner.pool).worker(id) {
-                Some(worker) => ends = worker.ends(),
+                Some(worker) => ends = worker.end_cursor(),
                 None => return,
             }
         }
         let asked = clock::now();
         let (lease, responsive) = {
             let mut pool = lock(&owner.pool);
-            let lease = pool.holding(asked, id);
+            let lease = pool.extend_lease(asked, id);
             (
                 lease,
                 pool.worker(id).is_some_and(pool::Worker::is_responsive),
@@ -96,7 +96,7 @@
         };
         let all_stored = ends.1 <= ends.2;
         let wait = match lease {
-            Some(_) if all_stored && lock(&owner.lost_answers).is_common() => POLL_WAIT_LOSSY,
+            Some(_) if all_stored && lock(&owner.lost_answers).is_high() => POLL_WAIT_LOSSY,
             Some(_) if all_stored => POLL_WAIT,
             None if all_stored && responsive => POLL_WAIT_UNCONFIRMED,
             _ => Duration::ZERO,
@@ -130,7 +130,7 @@
                     }
                 }
             }
-            Err(HoldFailure::Fenced) => {
+            Err(PollFailure::Fenced) => {
                 warn!(worker = &**id, epoch = owner.epoch(); "worker follows an owner with a newer epoch");
                 owner.ended.cancel();
                 return;
@@ -177,7 +177,7 @@
         let (address, ends) = (self.address.clone(), self.ends);
         let (lease, noted) = (self.lease, self.noted);
         Box::pin(async move {
-            let outcome = workers.hold(&address, &id, epoch, lease, noted, wait).await;
+            let outcome = workers.poll(&address, &id, epoch, lease, noted, wait).await;
             PollResult {
                 asked,
                 ends,
@@ -195,7 +195,7 @@
     asked: Ms,
     wait: Duration,
     polls: &mut Hedge<PollResult>,
-) -> Result<(), HoldFailure> {
+) -> Result<(), PollFailure> {
     let overdue = lock(&owner.pool)
         .worker(id)
         .map_or(ANSWER_TIMEOUT, |worker| {
@@ -219,13 +219,13 @@
             apply_listing(owner, id, result.ends, result.asked, listing);
             Ok(())
         }
-        (Err(HoldFailure::Fenced), _) => Err(HoldFailure::Fenced),
-        (Err(_), Call::Earlier) => Ok(()),
-        (Err(failure), Call::Present) => Err(failure),
+        (Err(PollFailure::Fenced), _) => Err(PollFailure::Fenced),
+        (Err(_), Attempt::Earlier) => Ok(()),
+        (Err(failure), Attempt::Current) => Err(failure),
     };
     let due = wait + ANSWER_TIMEOUT;
     let outcome = polls
-        .ask(first, again, wait + overdue, due, process)
+        .call(first, again, wait + overdue, due, process)
         .await?;
     lock(&owner.lost_answers).note(outcome == Outcome::Lost);
     let answered = || {
@@ -236,7 +236,7 @@
     if matches!(outcome, Outcome::InTime | Outcome::Lost) || answered() {
         Ok(())
     } else {
-        Err(HoldFailure::Lost)
+        Err(PollFailure::Lost)
     }
 }
 
@@ -246,14 +246,14 @@
     id: &WorkerId,
     ends: (u64, u64, u64),
     asked: Ms,
-    mut listing: Listing,
+    mut listing: WorkerReport,
 ) {
-    listing.asked = asked;
+    listing.requested_at = asked;
     // The answer to another poll may have listed some of the ends meanwhile.
     let known = lock(&owner.pool)
         .worker(id)
-        .map_or(ends, |worker| worker.ends().max(ends));
-    let same_incarnation = listing.born == known.0;
+        .map_or(ends, |worker| worker.end_cursor().max(ends));
+    let same_incarnation = listing.incarnation == known.0;
     for end in listing
         .ended
         .iter()
@@ -264,8 +264,8 @@
     let (now, unix) = (clock::now(), clock::unix());
     let unsaved = {
         let mut pool = lock(&owner.pool);
-        pool.apply_listing(now, unix, id, &listing);
-        pool.unsaved()
+        pool.apply_report(now, unix, id, &listing);
+        pool.has_unstored()
     };
     owner.wake.notify_one();
     if unsaved {
@@ -275,13 +275,13 @@
 
 /// Counts an end that a worker lists for the first time, and logs it unless it is a successful one outside of the log sample:
 /// there are hundreds of these a second.
-fn log_end(id: &WorkerId, end: &pool::End) {
-    metrics::counter!("lentilyoke_ends_total", "how" => end.how.name()).increment(1);
+fn log_end(id: &WorkerId, end: &pool::RunEnd) {
+    metrics::counter!("lentilyoke_ends_total", "how" => end.outcome.name()).increment(1);
     let key = &end.task;
-    if end.how != How::Done || is_told_in_full(&key.stage.job) {
+    if end.outcome != RunOutcome::Done || is_logged_in_full(&key.stage.job) {
         info!(
             job = &*key.stage.job, occurrence = key.stage.occurrence, step = key.stage.step,
-            task = key.index, run = end.run, worker = &**id, how = end.how.name();
+            task = key.index, run = end.run, worker = &**id, how = end.outcome.name();
             "end"
         );
     }
--- a/crates/host/src/writer.rs
+++ b/crates/host/src/writer.rs
@@ -14,10 +14,10 @@
 use crate::claim::{Claim, ClaimVersion};
 use crate::clock;
 use crate::host::lock;
-use crate::outside::{Row, StoreError, Transaction};
+use crate::interfaces::{Row, StoreError, Transaction};
 use crate::owner::Owner;
-use crate::rows::{CANCEL, JOBS, PROGRESS, RosterRow, job_part, pool_part};
-use crate::transfer::{self, Outcome};
+use crate::rows::{CANCEL_PREFIX, JOBS, PROGRESS, RosterRow, job_part, pool_part};
+use crate::transfer::{self, TransferOutcome};
 
 /// Shortest time between two writes of the successors, since hosts often join or leave together.
 const SUCCESSORS_WRITE_INTERVAL: Duration = Duration::from_millis(1_500);
@@ -53,12 +53,12 @@
         }
         if old_jobs.is_empty() && swept.elapsed() > SWEEP_INTERVAL {
             swept = tokio::time::Instant::now();
-            old_jobs = lock(&owner.pool).sweep(clock::unix());
+            old_jobs = lock(&owner.pool).remove_expired_jobs(clock::unix());
             old_jobs = delete_job_rows(owner, &old_jobs).await;
         }
-        if !unsure && owner.host().plan().pools() > 1 {
-            let misfits = lock(&owner.pool).misfits(clock::now());
-            if transfer::run(owner, version, &misfits).await == Outcome::Unsure {
+        if !unsure && owner.host().pool_map().pool_count() > 1 {
+            let misfits = lock(&owner.pool).unservable_jobs(clock::now());
+            if transfer::run(owner, version, &misfits).await == TransferOutcome::Unsure {
                 unsure = true;
                 continue;
             }
@@ -66,12 +66,16 @@
         for (_, batch) in
             rejected.extract_if(.., |(since, _)| since.elapsed() > REJECTED_RETRY_DELAY)
         {
-            lock(&owner.pool).failed(&batch);
+            lock(&owner.pool).batch_failed(&batch);
         }
         let (mut batch, roster, silent) = {
             let now = clock::now();
             let mut pool = lock(&owner.pool);
-            (pool.batch(max_rows), pool.roster(now), pool.silent(now))
+            (
+                pool.batch(max_rows),
+                pool.roster(now),
+                pool.unavailable_workers(now),
+            )
         };
         if !rejected.is_empty() {
             // A worker may forget an end only after the progress that contains it is stored, and some progress isn't.
@@ -81,18 +85,18 @@
             claim.roster.serial + 1,
             roster.iter().map(ToString::to_string),
             silent,
-            owner.host().settings.row_bytes,
+            owner.host().settings.max_row_bytes,
         );
         let same_roster = next_roster.roster == claim.roster.roster;
         let same_silent = next_roster.silent == claim.roster.silent;
         let successors = owner.successors();
-        let successors_changed = successors != claim.owner.heirs
+        let successors_changed = successors != claim.owner.successors
             && successors_written.elapsed() > SUCCESSORS_WRITE_INTERVAL;
         let roster_changed = !same_roster || !same_silent || successors_changed;
         if batch.rows.is_empty() && !roster_changed && !unsure && old_jobs.is_empty() {
             max_rows = max_rows.max(1);
             // There is nothing to store, so workers may forget these ends at once.
-            lock(&owner.pool).saved(&batch);
+            lock(&owner.pool).batch_stored(&batch);
             owner.stored.notify_waiters();
             // A silent worker that the roster names may have become reachable again.
             if enroll(owner, &claim) {
@@ -103,7 +107,7 @@
         let mut next = claim.clone();
         next.roster = next_roster;
         if successors_changed {
-            next.owner.heirs = successors;
+            next.owner.successors = successors;
         }
         let rewrite = roster_changed || unsure;
         let deletes = if batch.rows.is_empty() {
@@ -133,7 +137,7 @@
                 max_rows = (max_rows * 2).clamp(1, MAX_PROGRESS_ROWS);
                 old_jobs.drain(..deletes);
                 *lock(&owner.unserved) = None;
-                lock(&owner.pool).saved(&batch);
+                lock(&owner.pool).batch_stored(&batch);
                 log_completed_jobs(owner);
                 enroll(owner, &claim);
                 owner.stored.notify_waiters();
@@ -176,7 +180,7 @@
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
-        lock(&owner.pool).failed(&batch);
+        lock(&owner.pool).batch_failed(&batch);
         owner.dirty.notify_one();
     }
 }
@@ -193,7 +197,7 @@
         for ids in ids.chunks(MAX_SWEPT_JOBS) {
             let rows = ids
                 .iter()
-                .flat_map(|id| [id.to_string(), format!("{CANCEL}{id}")]);
+                .flat_map(|id| [id.to_string(), format!("{CANCEL_PREFIX}{id}")]);
             let transaction = Transaction {
                 part: part.clone(),
                 deletes: rows.map(|key| (JOBS.to_owned(), key)).collect(),
@@ -229,7 +233,7 @@
         .iter()
         .map(|id| id.as_str().into())
         .collect();
-    lock(&owner.pool).enroll(&ids)
+    lock(&owner.pool).set_stored_roster(&ids)
 }
 
 /// The transaction that stores a batch and the claim, if given with a flag for the owner's row, and deletes the progress of old
@@ -270,6 +274,7 @@
 fn own_claim(rows: &[Row], own: &Claim) -> Option<(Claim, ClaimVersion)> {
     let (found, version) = Claim::find(rows)?;
     let (other, own) = (&found.owner, &own.owner);
-    let same = other.host == own.host && other.epoch == own.epoch && other.life == own.life;
+    let same =
+        other.host == own.host && other.epoch == own.epoch && other.incarnation == own.incarnation;
     same.then_some((found, version))
 }
--- a/crates/pool/src/inherit.rs
+++ b/crates/pool/src/inherit.rs
@@ -1,5 +1,5 @@
-//! What a new owner has to wait for: what its predecessor may have started where nobody has looked yet, and jobs that it
-//! could not read yet.
+//! Restrictions on a new owner: tasks that its predecessor may have started on workers that haven't reported yet, and jobs that
+//! it could not read yet.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,23 +7,23 @@
 use crate::job::Job;
 use crate::pool::Pool;
 use crate::task::{JobId, Ms, Phase, Run, WorkerId};
-use crate::worker::Silent;
+use crate::worker::UnavailableWorker;
 
 impl Pool {
-    /// A new owner has to hear from these workers before jobs it inherits may start anew, but waits no longer than the
-    /// time after which the former owner's orders and leases are surely over. Of workers that were silent already it is
-    /// known what may run there: only those tasks wait.
+    /// Sets the workers of the previous owner that must report before inherited jobs may start new tasks. The wait ends when all
+    /// commands and leases of the previous owner have certainly expired. For workers that were already unavailable to the
+    /// previous owner, `silent` holds the runs they may have, and only those tasks wait.
     ///
-    /// Without this, a task that still runs on a worker which only the new owner can't reach would run a second time.
+    /// Otherwise, a task that still runs on a worker that only the new owner can't reach would run a second time.
     pub fn inherit(
         &mut self,
         now: Ms,
         workers: impl IntoIterator<Item = WorkerId>,
-        silent: &[Silent],
+        silent: &[UnavailableWorker],
     ) {
-        self.proved_at = None;
+        self.quorum_since = None;
         let quiet = |id: &WorkerId| silent.iter().any(|silent| silent.worker == *id);
-        self.unseen = workers
+        self.unconfirmed_workers = workers
             .into_iter()
             .filter(|id| !quiet(id))
             .filter(|id| self.workers.get(id).is_none_or(|worker| !worker.fenced))
@@ -32,20 +32,21 @@
             let worker = self.workers.entry(Arc::clone(&silent.worker)).or_default();
             worker.id = Arc::clone(&silent.worker);
             worker.slowness = 1.0;
-            worker.lapses = Ms::MAX;
-            worker.born = silent.born;
+            worker.lease_expires_at = Ms::MAX;
+            worker.incarnation = silent.incarnation;
         }
-        self.silent = silent.to_vec();
+        self.unavailable = silent.to_vec();
         let jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
         for job in &jobs {
-            self.hold_back(now, job);
+            self.assume_unreported_runs(now, job);
         }
     }
 
-    /// Holds back the tasks of a job that may run on workers which the former owner could not reach, nor this one yet.
-    pub(crate) fn hold_back(&mut self, now: Ms, job: &JobId) {
+    /// Holds back the tasks of a job that may run on workers that neither the previous owner could reach nor this owner has
+    /// reached yet.
+    pub(crate) fn assume_unreported_runs(&mut self, now: Ms, job: &JobId) {
         let mut runs = Vec::new();
-        for silent in &self.silent {
+        for silent in &self.unavailable {
             let answered = self.workers.get(&silent.worker).is_none_or(|it| it.fenced);
             let of = silent.runs.iter().filter(|(key, _)| key.stage.job == *job);
             runs.extend(
@@ -60,26 +61,26 @@
             if task.done || task.run.is_some() {
                 continue;
             }
-            task.top = task.top.max(number);
+            task.highest_run = task.highest_run.max(number);
             task.run = Some(Run {
-                phase: Phase::Unsure,
+                phase: Phase::Unconfirmed,
                 inherited: true,
                 ..Run::new(number, Arc::clone(&worker), now, 0)
             });
-            self.attach(&key, &worker, number);
+            self.reserve_capacity(&key, &worker, number);
         }
     }
 
-    /// Whether there are jobs, accepted before this owner came, that it can't know yet: a part of the store doesn't answer.
-    /// Until all are known, a run or an end of an unknown job is left alone, however long that takes.
-    pub fn set_partial(&mut self, now: Ms, partial: bool) {
-        self.partial = partial;
+    /// Sets whether jobs accepted before this owner took over may be missing, because a part of the store doesn't answer. As long
+    /// as they may be, runs and ends of unknown jobs are left alone.
+    pub fn set_jobs_incomplete(&mut self, now: Ms, partial: bool) {
+        self.jobs_incomplete = partial;
         if partial {
             return;
         }
-        self.cancels.clear();
+        self.early_cancels.clear();
         for worker in self.workers.values_mut() {
-            for stray in worker.strays.values_mut() {
+            for stray in worker.orphaned_runs.values_mut() {
                 stray.since = now;
             }
             if let Some(unknown) = &mut worker.unknown_ends {
@@ -88,45 +89,47 @@
         }
     }
 
-    /// The former owner gives no order after this: it has lost its majority, and its last orders are too late.
-    pub(crate) fn former_orders_end(&self) -> Option<Ms> {
-        let since = self.proved_at?;
-        Some(since + self.options.proof + self.options.order_life)
+    /// Time after which no command of the previous owner can take effect: it has lost its majority, and its last commands have
+    /// expired. `None` until this owner has a majority.
+    pub(crate) fn former_commands_end(&self) -> Option<Ms> {
+        let since = self.quorum_since?;
+        Some(since + self.options.quorum_validity + self.options.command_ttl)
     }
 
-    /// Once a majority is behind this owner, the time until which others may run something unknown is bounded.
+    /// Ends the wait for unreported workers once all commands and leases of the previous owner have expired. The time is bounded
+    /// only from when this owner first had a majority.
     pub(crate) fn settle_inheritance(&mut self, now: Ms) {
-        if self.proved_at.is_none() && self.proved(now) {
-            self.proved_at = Some(now);
+        if self.quorum_since.is_none() && self.has_quorum(now) {
+            self.quorum_since = Some(now);
         }
-        // Clocks of workers may be 2% slow; 400 ms cover ways and timers.
-        let leases = self.options.lease_most + self.options.lease_most / 33 + 400;
+        // Clocks of workers may be 2% slow; 400 ms cover network delays and timers.
+        let leases = self.options.max_lease + self.options.max_lease / 33 + 400;
         if self
-            .former_orders_end()
+            .former_commands_end()
             .is_some_and(|end| now >= end + leases)
         {
-            self.unseen.clear();
-            self.silent.clear();
+            self.unconfirmed_workers.clear();
+            self.unavailable.clear();
             for worker in self.workers.values_mut() {
                 if !worker.fenced {
-                    worker.lapses = worker.lapses.min(now);
+                    worker.lease_expires_at = worker.lease_expires_at.min(now);
                 }
             }
         }
     }
 
-    /// Whether an inherited job may run on a worker that has not answered yet, as far as is known of it: a worker runs tasks of
-    /// its own service alone.
-    pub(crate) fn may_run_unseen(&self, job: &Job) -> bool {
-        self.unseen.iter().any(|id| {
-            let service = self.workers.get(id).map(|it| it.news.service.as_str());
+    /// Whether an inherited job may be running on a worker that hasn't reported yet. A worker whose service is known runs only
+    /// tasks of that service.
+    pub(crate) fn may_run_on_unconfirmed(&self, job: &Job) -> bool {
+        self.unconfirmed_workers.iter().any(|id| {
+            let service = self.workers.get(id).map(|it| it.info.service.as_str());
             service.is_none_or(|service| service.is_empty() || service == job.service)
         })
     }
 
-    /// Workers of the former owner that have not answered yet: inherited jobs wait for them.
+    /// Workers of the previous owner that haven't reported to this one; inherited jobs wait for them.
     #[must_use]
-    pub fn unseen(&self) -> &BTreeSet<WorkerId> {
-        &self.unseen
+    pub fn unconfirmed_workers(&self) -> &BTreeSet<WorkerId> {
+        &self.unconfirmed_workers
     }
 }
--- a/crates/pool/src/load.rs
+++ b/crates/pool/src/load.rs
@@ -1,51 +1,55 @@
-//! How loaded a pool is.
+//! Load of a pool, for metrics, logs and other hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::pool::Pool;
-use crate::scarce::Scarce;
+use crate::service_capacity::ServiceCapacity;
 use crate::task::StageKey;
 
-/// How loaded a pool is.
+/// Load of a pool.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// Share of its processors that is taken.
+    /// Share of its processors that is used.
     pub used: f64,
-    /// The same with what the waiting tasks of open steps would take.
-    pub taken: f64,
-    /// Open steps.
-    pub steps: usize,
-    /// Labels of its workers other than their racks.
+    /// The same share with the demand of the waiting tasks of open steps added; may exceed 1.
+    pub demand: f64,
+    /// Number of open steps.
+    pub open_steps: usize,
+    /// Labels of its workers, without their racks.
     pub labels: Vec<String>,
-    /// Room of each service's workers, and what of it is taken.
-    pub services: BTreeMap<String, Scarce>,
+    /// Total and used capacity of the workers of each service.
+    pub services: BTreeMap<String, ServiceCapacity>,
 }
 
 impl Pool {
-    /// How loaded the pool is.
+    /// The current load of the pool.
     #[must_use]
     pub fn load(&self) -> Load {
-        let (mut used, mut room) = (0, 0);
+        let (mut used, mut total) = (0, 0);
         let mut labels = BTreeSet::new();
-        for worker in self.workers.values().filter(|worker| worker.listed) {
+        for worker in self.workers.values().filter(|worker| worker.registered) {
             used += worker.used.millicores;
-            room += worker.news.room.millicores;
-            let own = worker.news.labels.iter();
-            labels.extend(own.filter(|label| **label != worker.news.rack));
+            total += worker.info.capacity.millicores;
+            let labels_of_worker = worker.info.labels.iter();
+            labels.extend(labels_of_worker.filter(|label| **label != worker.info.rack));
         }
-        let waits: u64 = self.open.iter().map(|key| self.waiting(key)).sum();
-        let share = |part: u64| part as f64 / room.max(1) as f64;
+        let waiting: u64 = self
+            .open
+            .iter()
+            .map(|key| self.waiting_millicores(key))
+            .sum();
+        let share = |part: u64| part as f64 / total.max(1) as f64;
         Load {
             used: share(used),
-            taken: share(used + waits),
-            steps: self.open.len(),
+            demand: share(used + waiting),
+            open_steps: self.open.len(),
             labels: labels.into_iter().cloned().collect(),
-            services: self.scarce().into_iter().collect(),
+            services: self.service_capacities().into_iter().collect(),
         }
     }
 
-    /// Millicores that the tasks of a step which have no run would take.
-    fn waiting(&self, key: &StageKey) -> u64 {
+    /// Millicores that the tasks of a step that have neither a run nor ended would take.
+    fn waiting_millicores(&self, key: &StageKey) -> u64 {
         let (Some(stage), Some(size)) = (self.stage(key), self.size(key)) else {
             return 0;
         };
--- a/crates/pool/src/replies.rs
+++ b/crates/pool/src/replies.rs
@@ -1,23 +1,24 @@
-//! What follows from answers to orders.
+//! Handles answers to commands.
 
-use crate::answer::{Answer, StopAnswer};
+use crate::answer::{StartAnswer, StopAnswer};
+use crate::command::{AdvisorQuery, Start, Stop};
 use crate::live::Ticket;
-use crate::order::{Ask, Start, Stop};
 use crate::pool::Pool;
 use crate::repeat;
 use crate::state::State;
 use crate::task::{JobId, Ms, Phase, WorkerId};
 
-/// A worker that said it is not well, or wasn't there, gets nothing for this long.
+/// Time without new starts on a worker that reported itself unhealthy or was not at its address.
 const REST: Ms = 400;
-/// A worker without room, against our own sums, gets nothing until it has been listed again.
+/// Time without new starts on a worker that refused a task for lack of capacity although it should have had enough; it reports
+/// its runs again within this time.
 const REST_ROOM: Ms = 250;
-/// After a question that failed, the step waits this long.
+/// Delay before a step is queried again after a failed query.
 const REST_ASK: Ms = 150;
 
 impl Pool {
-    /// A start was answered.
-    pub fn answered(&mut self, now: Ms, start: &Start, answer: Answer) {
+    /// Handles the answer to a start command.
+    pub fn start_answered(&mut self, now: Ms, start: &Start, answer: StartAnswer) {
         let Some(run) = self
             .task_mut(&start.task)
             .and_then(|task| task.run.as_mut())
@@ -27,13 +28,13 @@
         if run.number != start.run || run.worker != start.worker {
             return;
         }
-        let waiting = matches!(run.phase, Phase::Ordered | Phase::Unsure);
-        // If it was repeated, this is the most that the answer can have taken.
-        let took = now.saturating_sub(run.ordered);
+        let waiting = matches!(run.phase, Phase::Starting | Phase::Unconfirmed);
+        // If the command was repeated, this is an upper bound of the response time.
+        let took = now.saturating_sub(run.requested_at);
         if let Some(worker) = self.workers.get_mut(&start.worker)
-            && !matches!(answer, Answer::Lost | Answer::Cut)
+            && !matches!(answer, StartAnswer::Lost | StartAnswer::Cut)
         {
-            worker.answers = repeat::usual(worker.answers, took);
+            worker.response_time = repeat::usual(worker.response_time, took);
         }
         let Some(run) = self
             .task_mut(&start.task)
@@ -42,55 +43,55 @@
             return;
         };
         match answer {
-            Answer::Running => {
+            StartAnswer::Running => {
                 run.proven = true;
                 if waiting {
                     run.phase = Phase::Running;
-                    run.moved = now;
-                    self.loose.remove(&start.task);
+                    run.progressed_at = now;
+                    self.unconfirmed_runs.remove(&start.task);
                 }
                 self.started(&start.task.stage.job);
                 return;
             }
-            Answer::Lost | Answer::Cut => {
-                run.proven |= answer == Answer::Cut;
-                if run.phase == Phase::Ordered {
-                    run.phase = Phase::Unsure;
+            StartAnswer::Lost | StartAnswer::Cut => {
+                run.proven |= answer == StartAnswer::Cut;
+                if run.phase == Phase::Starting {
+                    run.phase = Phase::Unconfirmed;
                 }
-                self.loose.insert(start.task.clone());
+                self.unconfirmed_runs.insert(start.task.clone());
                 return;
             }
-            Answer::Fenced => self.deposed = true,
+            StartAnswer::Fenced => self.deposed = true,
             _ => {}
         }
-        // An earlier copy of the same order may still be on its way, so a refusal says nothing about that one.
+        // An earlier copy of the command may still be in transit, so a refusal doesn't prove that the task won't start.
         if run_repeated(self, start) {
             self.stop_run(&start.task);
             return;
         }
-        self.run_over(now, &start.task, 0);
+        self.end_run(now, &start.task, 0);
         self.break_gang(start);
         match answer {
-            Answer::Unwell | Answer::Away => {
+            StartAnswer::Unwell | StartAnswer::Away => {
                 if let Some(worker) = self.workers.get_mut(&start.worker) {
-                    worker.rest = now + REST;
-                    worker.doubt += 0.5;
+                    worker.paused_until = now + REST;
+                    worker.failure_score += 0.5;
                 }
             }
-            Answer::Room => {
+            StartAnswer::Room => {
                 if let Some(worker) = self.workers.get_mut(&start.worker) {
-                    worker.rest = now + REST_ROOM;
+                    worker.paused_until = now + REST_ROOM;
                 }
             }
-            Answer::Ticket => {
+            StartAnswer::Ticket => {
                 let stage = self.stage_mut(&start.task.stage);
                 if let Some(ticket) =
                     stage.and_then(|stage| stage.advised.allowed.get_mut(&start.worker))
                 {
-                    ticket.until = 0;
+                    ticket.valid_until = 0;
                 }
             }
-            Answer::Unreadable => {
+            StartAnswer::Unreadable => {
                 if let Some(task) = self.task_mut(&start.task) {
                     task.retry = now + 1_000;
                 }
@@ -99,7 +100,7 @@
         }
     }
 
-    /// If one member of a gang can't start, the others would wait for it in vain: all are stopped.
+    /// Stops all members of a gang if one of them can't start, because the others would wait for it in vain.
     fn break_gang(&mut self, start: &Start) {
         let gang = start
             .job
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Something of a job has started.
+    /// Records that a task of the job has started.
     pub(crate) fn started(&mut self, job: &JobId) {
         if let Some(live) = self.jobs.get_mut(job)
             && live.state == State::Queued
@@ -126,8 +127,8 @@
         }
     }
 
-    /// A stop was answered.
-    pub fn stopped(&mut self, now: Ms, stop: &Stop, answer: StopAnswer) {
+    /// Handles the answer to a stop command.
+    pub fn stop_answered(&mut self, now: Ms, stop: &Stop, answer: StopAnswer) {
         match answer {
             StopAnswer::Fenced => self.deposed = true,
             StopAnswer::Stopped(clock) => {
@@ -143,15 +144,20 @@
         }
     }
 
-    /// The advisor answered, or didn't.
-    pub fn advised(&mut self, now: Ms, ask: &Ask, allowed: Option<(&[(WorkerId, String)], Ms)>) {
+    /// Handles the answer of the advisor; `None` if the query failed.
+    pub fn advisor_answered(
+        &mut self,
+        now: Ms,
+        ask: &AdvisorQuery,
+        allowed: Option<(&[(WorkerId, String)], Ms)>,
+    ) {
         let lives: Vec<u64> = allowed.map_or_else(Vec::new, |(rows, _)| {
             rows.iter()
-                .map(|(id, _)| self.workers.get(id).map_or(0, |worker| worker.born))
+                .map(|(id, _)| self.workers.get(id).map_or(0, |worker| worker.incarnation))
                 .collect()
         });
-        self.asking.remove(&ask.stage);
-        self.overdue.remove(&ask.stage);
+        self.open_queries.remove(&ask.stage);
+        self.overdue_queries.remove(&ask.stage);
         let queue = self
             .jobs
             .get(&ask.stage.job)
@@ -159,9 +165,9 @@
         let Some(stage) = self.stage_mut(&ask.stage) else {
             return;
         };
-        stage.advised.asking = None;
+        stage.advised.query_since = None;
         let Some((rows, valid)) = allowed else {
-            stage.advised.rest = now + REST_ASK;
+            stage.advised.no_query_before = now + REST_ASK;
             return;
         };
         stage.timeline.advised(now);
@@ -171,8 +177,8 @@
                 id.clone(),
                 Ticket {
                     text: text.clone(),
-                    until: now + valid,
-                    born,
+                    valid_until: now + valid,
+                    incarnation: born,
                 },
             );
         }
@@ -182,14 +188,15 @@
             }
         }
         if let Some(queue) = queue {
-            self.learned.advised(&queue, ask.workers.len(), rows.len());
+            self.queue_stats
+                .record_answer(&queue, ask.workers.len(), rows.len());
         }
     }
 }
 
-/// Whether the order was sent more than once.
+/// Whether the start command was sent more than once.
 fn run_repeated(pool: &mut Pool, start: &Start) -> bool {
     pool.task_mut(&start.task)
         .and_then(|task| task.run.as_ref())
-        .is_some_and(|run| run.phase != Phase::Ordered)
+        .is_some_and(|run| run.phase != Phase::Starting)
 }
