--- a/crates/host/src/election.rs
+++ b/crates/host/src/election.rs
@@ -73,10 +73,10 @@
     loop {
         match host.store.get(POOL_MAP, COMMON, POOL_MAP).await {
             Ok(row) => {
-                let plan = row
+                let pool_map = row
                     .and_then(|row| serde_json::from_slice::<PoolMap>(row.value.as_deref()?).ok());
-                if let Some(plan) = plan {
-                    host.update_pool_map(plan);
+                if let Some(pool_map) = pool_map {
+                    host.update_pool_map(pool_map);
                 }
                 return;
             }
--- a/crates/host/src/election/participant.rs
+++ b/crates/host/src/election/participant.rs
@@ -68,17 +68,17 @@
         match ended {
             LinkEnd::Stopped => {}
             // An owner that was replaced but doesn't know it may send the request too, hence its epoch is recorded.
-            LinkEnd::Take => self.requested_by = Some(row.epoch),
-            LinkEnd::NotOwner { life }
-                if (life == row.incarnation || !host.has(Mechanism::Restart))
+            LinkEnd::TakeOver => self.requested_by = Some(row.epoch),
+            LinkEnd::NotOwner { incarnation }
+                if (incarnation == row.incarnation || !host.has(Mechanism::Restart))
                     && self.may_be_starting(row.epoch) =>
             {
                 tokio::time::sleep(CONNECT_RETRY_DELAY).await;
             }
-            LinkEnd::NotOwner { life } => {
+            LinkEnd::NotOwner { incarnation } => {
                 self.lost = Some(row.epoch);
-                self.restarted = (life != row.incarnation).then_some(row.epoch);
-                info!(pool = pool, owner = row.host.as_str(), epoch = row.epoch, why = "not the owner", same_life = life == row.incarnation; "link to the pool owner lost");
+                self.restarted = (incarnation != row.incarnation).then_some(row.epoch);
+                info!(pool = pool, owner = row.host.as_str(), epoch = row.epoch, why = "not the owner", same_life = incarnation == row.incarnation; "link to the pool owner lost");
             }
             LinkEnd::Lost(loss) => {
                 self.lost = Some(row.epoch);
@@ -188,14 +188,14 @@
             Some(_) => WITNESS_TIMEOUT_UNSURE,
             None => WITNESS_TIMEOUT,
         };
-        let mut asked = pin!(ask_hosts(host, pool, row, limit));
+        let mut asking = pin!(ask_hosts(host, pool, row, limit));
         let mut read = pin!(timeout(limit / 2, owner_rows::read(host, pool)));
         let mut found = None;
         let mut evidence = tokio::select! {
-            evidence = &mut asked => evidence,
+            evidence = &mut asking => evidence,
             read = &mut read => {
                 found = read.ok().flatten();
-                asked.await
+                asking.await
             }
         };
         evidence.store_answered = found.is_some();
--- a/crates/host/src/owner.rs
+++ b/crates/host/src/owner.rs
@@ -31,7 +31,7 @@
 use crate::rows::{JOBS, job_parts};
 use crate::store_outage::StoreOutage;
 use crate::writer;
-use advice::PendingRequest;
+use advice::PendingQuery;
 use connected_hosts::ConnectedHost;
 use directory::Directory;
 use scheduling_stats::SchedulingStats;
@@ -72,20 +72,20 @@
     pub(crate) ended: CancellationToken,
     /// Other hosts that are connected to this owner, by name.
     hosts: Mutex<FxHashMap<String, ConnectedHost>>,
-    /// Number of the next connection or advisor request.
+    /// Number of the next connection or advisor query.
     next_number: AtomicU64,
-    /// Advisor requests that other hosts make for this owner, by number.
-    advisor_requests: Mutex<FxHashMap<u64, PendingRequest>>,
+    /// Advisor queries that other hosts make for this owner, by number.
+    advisor_queries: Mutex<FxHashMap<u64, PendingQuery>>,
     /// How fast the advisor answers this host.
-    helper: Mutex<AdvisorProxy>,
+    advisor_proxy: Mutex<AdvisorProxy>,
     /// All jobs have been read, so callers may be told that a job is unknown.
     loaded: AtomicBool,
     /// The transaction as of which the jobs were read.
     jobs_read_as_of: AtomicU64,
-    /// Since when the store has refused or not answered this owner's writes; `None` if the last one succeeded.
-    pub(crate) unserved: Mutex<Option<StoreOutage>>,
+    /// The present outage of the store for this owner's writes; `None` if the last write succeeded.
+    pub(crate) store_outage: Mutex<Option<StoreOutage>>,
     /// The share of polls of workers whose answers were lost.
-    pub(crate) lost_answers: Mutex<LossRate>,
+    pub(crate) answer_loss: Mutex<LossRate>,
     /// Limits how many polls are repeated because their answers are overdue.
     pub(crate) repeat_budget: Mutex<Budget>,
     /// Workers with which there is a session.
@@ -116,12 +116,12 @@
             ended: CancellationToken::new(),
             hosts: Mutex::default(),
             next_number: AtomicU64::new(1),
-            advisor_requests: Mutex::default(),
-            helper: Mutex::default(),
+            advisor_queries: Mutex::default(),
+            advisor_proxy: Mutex::default(),
             loaded: AtomicBool::new(false),
             jobs_read_as_of: AtomicU64::new(0),
-            unserved: Mutex::default(),
-            lost_answers: Mutex::default(),
+            store_outage: Mutex::default(),
+            answer_loss: Mutex::default(),
             repeat_budget: Mutex::default(),
             sessions: Mutex::default(),
             directory: Mutex::default(),
@@ -160,9 +160,9 @@
     }
 
     /// Records that the store did not confirm a write that was sent at `sent_at`; `refused` if it was certainly not done.
-    pub(crate) fn note_unserved(&self, sent_at: Ms, refused: bool) {
-        let mut unserved = lock(&self.unserved);
-        *unserved = Some(StoreOutage::note(*unserved, sent_at, clock::now(), refused));
+    pub(crate) fn note_store_failure(&self, sent_at: Ms, refused: bool) {
+        let mut outage = lock(&self.store_outage);
+        *outage = Some(StoreOutage::note(*outage, sent_at, clock::now(), refused));
     }
 
     /// Whether this ownership has ended.
@@ -222,7 +222,7 @@
         let parts: Vec<String> = job_parts().collect();
         let unnamed_part = [String::new()];
         let store = Arc::clone(&self.host.store);
-        let places = self.host.settings.store_tables.clone();
+        let tables = self.host.settings.store_tables.clone();
         let follow_jobs = follow(
             store.as_ref(),
             JOBS,
@@ -235,7 +235,7 @@
         );
         let follow_workers = follow(
             store.as_ref(),
-            &places.workers,
+            &tables.workers,
             &unnamed_part,
             Some(after),
             PollTiming::default().pause(WORKERS_FEED_PAUSE),
@@ -273,7 +273,7 @@
                 () = tokio::time::sleep(MAX_PASS_INTERVAL) => {}
             }
             let began = Instant::now();
-            let (commands, unsaved, deposed, steps, lost, given_up) = {
+            let (commands, unstored, deposed, steps, lost, abandoned) = {
                 let mut pool = lock(&self.pool);
                 let commands = pool.schedule(clock::now(), clock::unix());
                 (
@@ -290,7 +290,7 @@
             stats.add(took, commands.len());
             if clock::now().saturating_sub(logged_at) > LOAD_LOG_INTERVAL {
                 logged_at = clock::now();
-                self.log_unseen_workers();
+                self.log_unconfirmed_workers();
                 self.log_load(std::mem::take(&mut stats));
             }
             if deposed {
@@ -301,13 +301,13 @@
             for command in commands {
                 self.send_command(command);
             }
-            if unsaved {
+            if unstored {
                 self.dirty.notify_one();
             }
             steps.iter().for_each(log_step);
             lost.iter().for_each(log_lost_run);
-            given_up.iter().for_each(log_given_up);
-            self.expire_advisor_requests();
+            abandoned.iter().for_each(log_abandoned_task);
+            self.expire_advisor_queries();
             tokio::time::sleep(MIN_PASS_INTERVAL).await;
         }
     }
@@ -315,13 +315,13 @@
     /// Logs the used capacity of the pool by service, and the duration of scheduling passes since the last such line.
     fn log_load(&self, stats: SchedulingStats) {
         let load = lock(&self.pool).load();
-        for (service, room) in &load.services {
+        for (service, usage) in &load.services {
             let share = |used: u64, all: u64| used as f64 / all.max(1) as f64;
             info!(
                 pool = self.pool_number, epoch = self.epoch, service = service.as_str(),
-                processors = share(room.used.millicores, room.total.millicores),
-                memory = share(room.used.memory_mib, room.total.memory_mib),
-                accelerators = share(room.used.accelerators, room.total.accelerators),
+                processors = share(usage.used.millicores, usage.total.millicores),
+                memory = share(usage.used.memory_mib, usage.total.memory_mib),
+                accelerators = share(usage.used.accelerators, usage.total.accelerators),
                 taken = load.demand, steps = load.open_steps, plans = stats.passes, orders = stats.commands,
                 plan_us = stats.mean().as_micros() as u64, longest_us = stats.longest.as_micros() as u64;
                 "load"
@@ -330,14 +330,14 @@
     }
 
     /// Logs how many workers of the former owner haven't answered yet, if any.
-    fn log_unseen_workers(&self) {
+    fn log_unconfirmed_workers(&self) {
         let pool = lock(&self.pool);
         if let Some(first) = pool.unconfirmed_workers().first() {
-            let (count, proved) = (
+            let (count, has_quorum) = (
                 pool.unconfirmed_workers().len(),
                 pool.has_quorum(clock::now()),
             );
-            warn!(epoch = self.epoch, workers = count, first = &**first, majority = proved; "inherited jobs wait until workers have answered");
+            warn!(epoch = self.epoch, workers = count, first = &**first, majority = has_quorum; "inherited jobs wait until workers have answered");
         }
     }
 
@@ -412,7 +412,7 @@
                     }
                 });
             }
-            Command::Query(ask) => self.request_advice(ask),
+            Command::Query(query) => self.send_advisor_query(query),
         }
     }
 }
@@ -444,12 +444,12 @@
 }
 
 /// Logs and counts a task that was abandoned because its runs crashed their workers.
-fn log_given_up(given_up: &AbandonedTask) {
+fn log_abandoned_task(abandoned: &AbandonedTask) {
     metrics::counter!("lentilyoke_tasks_given_up_total").increment(1);
-    let key = &given_up.task;
+    let key = &abandoned.task;
     warn!(
         job = &*key.stage.job, occurrence = key.stage.occurrence, step = key.stage.step,
-        task = key.index, crashed:? = given_up.crashed;
+        task = key.index, crashed:? = abandoned.crashed;
         "task given up: it crashes its workers"
     );
 }
--- a/crates/host/src/owner/advice.rs
+++ b/crates/host/src/owner/advice.rs
@@ -1,4 +1,4 @@
-//! Advisor requests of the owner, each made by the host that can get the answer soonest.
+//! Advisor queries of the owner, each made by the host that can get the answer soonest.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,24 +16,24 @@
 use crate::log_sampling::is_logged_in_full;
 use crate::wire::FromOwner;
 
-/// A request that another host makes to the advisor for this owner.
-pub(super) struct PendingRequest {
-    ask: AdvisorQuery,
-    /// The request counts as failed after this time.
+/// A query that another host makes to the advisor for this owner.
+pub(super) struct PendingQuery {
+    query: AdvisorQuery,
+    /// The query counts as failed after this time.
     expires: Ms,
-    /// Name of the host that makes the request.
+    /// Name of the host that makes the query.
     host: String,
     /// When its answer is due.
     due: ExpectedAt,
 }
 
 impl Owner {
-    /// Makes a request to the advisor, by way of the host that can get the answer soonest: the advisor serves one request at
+    /// Makes a query to the advisor, by way of the host that can get the answer soonest: the advisor serves one query at
     /// a time for each host.
-    pub(super) fn request_advice(self: &Arc<Self>, ask: AdvisorQuery) {
+    pub(super) fn send_advisor_query(self: &Arc<Self>, query: AdvisorQuery) {
         let now = clock::now();
-        let helper = {
-            let own = lock(&self.helper).score(now, 0, ask.expected_duration);
+        let proxy = {
+            let own = lock(&self.advisor_proxy).score(now, 0, query.expected_duration);
             let mut hosts = lock(&self.hosts);
             let best = hosts
                 .iter_mut()
@@ -41,88 +41,88 @@
                     host.asks_advisor && now.saturating_sub(host.last_heard) < MAX_SILENCE
                 })
                 .map(|(name, host)| {
-                    let place = host
-                        .helper
-                        .score(now, host.store_rtt_ms, ask.expected_duration);
+                    let place =
+                        host.advisor_proxy
+                            .score(now, host.store_rtt_ms, query.expected_duration);
                     (place, name, host)
                 })
                 .min_by_key(|(place, ..)| *place);
             best.filter(|(place, ..)| *place < own)
                 .map(|(_, name, host)| {
-                    let due = host.helper.assign(now, ask.expected_duration);
+                    let due = host.advisor_proxy.assign(now, query.expected_duration);
                     (name.clone(), host.sender.clone(), due)
                 })
         };
-        match helper {
+        match proxy {
             Some((name, sender, due)) => {
                 let number = self.next_number.fetch_add(1, Ordering::Relaxed);
-                let key = &ask.stage;
+                let key = &query.stage;
                 let message = FromOwner::Advise {
                     number,
                     stage: (key.job.to_string(), key.occurrence, key.step),
-                    workers: ask.workers.iter().map(ToString::to_string).collect(),
-                    takes: ask.expected_duration,
+                    workers: query.workers.iter().map(ToString::to_string).collect(),
+                    takes: query.expected_duration,
                 };
-                let request = PendingRequest {
-                    expires: now + ask.expected_duration * 3 + 1_000,
-                    ask,
+                let request = PendingQuery {
+                    expires: now + query.expected_duration * 3 + 1_000,
+                    query,
                     host: name,
                     due,
                 };
-                lock(&self.advisor_requests).insert(number, request);
+                lock(&self.advisor_queries).insert(number, request);
                 if sender.try_send(message).is_err() {
                     self.receive_advice(number, None);
                 }
             }
             None => {
-                let due = lock(&self.helper).assign(now, ask.expected_duration);
+                let due = lock(&self.advisor_proxy).assign(now, query.expected_duration);
                 let owner = Arc::clone(self);
                 self.host.stop.spawn(async move {
-                    let takes = Duration::from_millis(ask.expected_duration);
+                    let duration = Duration::from_millis(query.expected_duration);
                     let advisor = Arc::clone(&owner.host.advisor);
-                    let allowed = advisor.query(&ask.stage, &ask.workers, takes).await;
-                    lock(&owner.helper).complete(clock::now(), due);
-                    owner.apply_advice(&ask, allowed.as_ref());
+                    let tickets = advisor.query(&query.stage, &query.workers, duration).await;
+                    lock(&owner.advisor_proxy).complete(clock::now(), due);
+                    owner.apply_advice(&query, tickets.as_ref());
                 });
             }
         }
     }
 
-    /// Applies the answer to a request that another host made; `None` if the request failed.
-    pub(super) fn receive_advice(&self, number: u64, allowed: Option<&Tickets>) {
-        let request = lock(&self.advisor_requests).remove(&number);
+    /// Applies the answer to a query that another host made; `None` if the query failed.
+    pub(super) fn receive_advice(&self, number: u64, tickets: Option<&Tickets>) {
+        let request = lock(&self.advisor_queries).remove(&number);
         if let Some(request) = request {
             if let Some(host) = lock(&self.hosts).get_mut(&request.host) {
-                host.helper.complete(clock::now(), request.due);
+                host.advisor_proxy.complete(clock::now(), request.due);
             }
-            self.apply_advice(&request.ask, allowed);
+            self.apply_advice(&request.query, tickets);
         }
     }
 
-    /// Logs the answer to a request and passes it to the pool.
-    pub(super) fn apply_advice(&self, ask: &AdvisorQuery, allowed: Option<&Tickets>) {
-        let outcome = if allowed.is_some() {
+    /// Logs the answer to a query and passes it to the pool.
+    pub(super) fn apply_advice(&self, query: &AdvisorQuery, tickets: Option<&Tickets>) {
+        let outcome = if tickets.is_some() {
             "answered"
         } else {
             "failed"
         };
         metrics::counter!("lentilyoke_advice_total", "outcome" => outcome).increment(1);
-        if allowed.is_none() || is_logged_in_full(&ask.stage.job) {
+        if tickets.is_none() || is_logged_in_full(&query.stage.job) {
             info!(
-                job = &*ask.stage.job, step = ask.stage.step, asked = ask.workers.len(), takes = ask.expected_duration,
-                allowed = allowed.map_or(-1, |(rows, _)| rows.len() as i64);
+                job = &*query.stage.job, step = query.stage.step, asked = query.workers.len(), takes = query.expected_duration,
+                allowed = tickets.map_or(-1, |(rows, _)| rows.len() as i64);
                 "advice"
             );
         }
-        let rows = allowed.map(|(rows, valid)| (rows.as_slice(), *valid));
-        lock(&self.pool).advisor_answered(clock::now(), ask, rows);
+        let rows = tickets.map(|(rows, valid)| (rows.as_slice(), *valid));
+        lock(&self.pool).advisor_answered(clock::now(), query, rows);
         self.wake.notify_one();
     }
 
-    /// Fails requests of other hosts that were not answered in time.
-    pub(super) fn expire_advisor_requests(&self) {
+    /// Fails queries of other hosts that were not answered in time.
+    pub(super) fn expire_advisor_queries(&self) {
         let now = clock::now();
-        let late: Vec<u64> = lock(&self.advisor_requests)
+        let late: Vec<u64> = lock(&self.advisor_queries)
             .iter()
             .filter(|(_, request)| request.expires < now)
             .map(|(&number, _)| number)
--- a/crates/host/src/owner/connected_hosts.rs
+++ b/crates/host/src/owner/connected_hosts.rs
@@ -25,7 +25,7 @@
 use crate::wire::{FromOwner, Heartbeat, ToOwner};
 
 /// A more suitable host gets a pool only if the store has served it for this long.
-const MIN_SERVED_TIME: Ms = 800;
+const MIN_STORE_AVAILABILITY: Ms = 800;
 /// An owner with sufficient resources hands the pool over to a more suitable host only after this long, since hosts come and go
 /// at the first start.
 const MIN_OWNERSHIP: Ms = 5_000;
@@ -44,7 +44,7 @@
 const TAKEOVER_REQUEST_TIMEOUT: Ms = 1_000;
 /// Number of successors that an owner names: enough that some remain when a data centre fails together with the owner.
 const MAX_SUCCESSORS: usize = 8;
-/// A host from which no heartbeat was received for this long gets no advisor requests and isn't considered for a handover.
+/// A host from which no heartbeat was received for this long gets no advisor queries and isn't considered for a handover.
 pub(super) const MAX_SILENCE: Ms = 800;
 
 /// A host that is connected to this owner.
@@ -64,7 +64,7 @@
     /// When that heartbeat was sent, on the clock of that host; 0 if there was none.
     heartbeat_sent_at: Ms,
     /// Since when the store has served it, according to its heartbeats; `None` if the store doesn't.
-    served_since: Option<Ms>,
+    store_available_since: Option<Ms>,
     /// When the store answered it last, according to its heartbeats.
     store_answered_at: Ms,
     /// Its round-trip time to the store, in milliseconds.
@@ -72,24 +72,26 @@
     /// Number of pools that it owns.
     owned_pools: u32,
     /// How fast the advisor answers it.
-    pub(super) helper: AdvisorProxy,
-    /// It makes advisor requests for this pool. The advisor serves one request at a time for each host, so the hosts are divided
+    pub(super) advisor_proxy: AdvisorProxy,
+    /// It makes advisor queries for this pool. The advisor serves one query at a time for each host, so the hosts are divided
     /// among the pools.
     pub(super) asks_advisor: bool,
 }
 
 impl ConnectedHost {
     /// Whether its last heartbeat is recent and the store has served it for at least `min_time`.
-    fn is_served(&self, now: Ms, min_time: Ms) -> bool {
-        let served_for = self.served_since.map(|since| now.saturating_sub(since));
-        served_for.is_some_and(|time| time >= min_time)
+    fn has_store(&self, now: Ms, min_time: Ms) -> bool {
+        let available_for = self
+            .store_available_since
+            .map(|since| now.saturating_sub(since));
+        available_for.is_some_and(|time| time >= min_time)
             && now.saturating_sub(self.last_heard) < MAX_SILENCE
     }
 
-    /// What is known about its service by the store.
+    /// What is known about its access to the store.
     fn candidate(&self) -> Candidate {
         Candidate {
-            available_since: self.served_since,
+            available_since: self.store_available_since,
             last_answer: self.store_answered_at,
         }
     }
@@ -144,9 +146,9 @@
         overloaded: bool,
         requested: &FxHashMap<String, Ms>,
     ) -> Option<String> {
-        let unserved = lock(&self.unserved).filter(|unserved| {
+        let store_outage = lock(&self.store_outage).filter(|outage| {
             // A write that was sent just before the store recovered may be unanswered while other calls are answered again.
-            let all_fail = if unserved.only_refusals {
+            let all_fail = if outage.only_refusals {
                 self.host.store_failing_since().is_some()
             } else {
                 !self.host.store_available()
@@ -154,13 +156,13 @@
             // This host could write its row when it claimed the pool. Shortly after, missing answers are due to a saturated
             // network connection, and the next owner would have to read everything over a similar one.
             let owned_long_enough =
-                unserved.only_refusals || now.saturating_sub(began) > MIN_OWNERSHIP_UNANSWERED;
-            unserved.warrants_handover(now) && all_fail && owned_long_enough
+                outage.only_refusals || now.saturating_sub(began) > MIN_OWNERSHIP_UNANSWERED;
+            outage.warrants_handover(now) && all_fail && owned_long_enough
         });
         let draining = self.host.stop.is_draining();
         // A new owner is busy at first, and a pool that overloads every host must not be handed around.
         let overloaded = overloaded && now.saturating_sub(began) > MIN_OWNERSHIP_OVERLOADED;
-        let leaving = unserved.is_some() || draining || overloaded;
+        let leaving = store_outage.is_some() || draining || overloaded;
         let workers = self.worker_count();
         let own = Suitability {
             near_store: self.host.store_rtt() <= NEAR_STORE_RTT_MS,
@@ -177,15 +179,15 @@
         if !leaving && !owned_long_enough {
             return None;
         }
-        let is_eligible = |host: &ConnectedHost| match unserved {
-            Some(unserved) if !draining => unserved.can_take_over(now, &host.candidate()),
-            None if !draining => host.is_served(now, MIN_SERVED_TIME),
+        let is_eligible = |host: &ConnectedHost| match store_outage {
+            Some(outage) if !draining => outage.can_take_over(now, &host.candidate()),
+            None if !draining => host.has_store(now, MIN_STORE_AVAILABILITY),
             _ => true,
         };
         let hosts = lock(&self.hosts);
         let (name, host) = hosts
             .iter()
-            .filter(|(_, host)| host.is_served(now, 0) && is_eligible(host))
+            .filter(|(_, host)| host.has_store(now, 0) && is_eligible(host))
             .filter(|(_, host)| {
                 !overloaded || draining || host.suitability().is_sufficient(workers)
             })
@@ -197,7 +199,7 @@
                     .then_with(|| score(b).total_cmp(&score(a)))
                     .then_with(|| self.tie_break(a_name).cmp(&self.tie_break(b_name)))
             })?;
-        info!(pool = self.pool_number, heir = name.as_str(), epoch = self.epoch, unserved = unserved.is_some(), overloaded = overloaded, suits = own.is_sufficient(workers); "requested that another host take over the pool");
+        info!(pool = self.pool_number, heir = name.as_str(), epoch = self.epoch, unserved = store_outage.is_some(), overloaded = overloaded, suits = own.is_sufficient(workers); "requested that another host take over the pool");
         drop(
             host.sender
                 .try_send(FromOwner::TakeOver { epoch: self.epoch }),
@@ -226,11 +228,11 @@
 
     /// Number of workers in the pool, or the number that the pool map states if that is larger.
     fn worker_count(&self) -> u32 {
-        let listed = lock(&self.pool)
+        let registered = lock(&self.pool)
             .workers()
             .filter(|it| it.registered)
             .count() as u32;
-        listed.max(self.host.pool_map().size(self.pool_number))
+        registered.max(self.host.pool_map().size(self.pool_number))
     }
 
     /// Order of equally suitable hosts. It differs between pools; otherwise all pools of a host would be handed over to the same
@@ -249,7 +251,7 @@
         let hosts = lock(&self.hosts);
         let mut successors: Vec<(f64, Successor)> = hosts
             .iter()
-            .filter(|(_, host)| host.is_served(now, 0))
+            .filter(|(_, host)| host.has_store(now, 0))
             .map(|(name, host)| {
                 let successor = Successor {
                     host: name.clone(),
@@ -334,7 +336,7 @@
         }
     }
 
-    /// Whether a host makes advisor requests for this pool.
+    /// Whether a host makes advisor queries for this pool.
     fn is_advisor_host(&self, name: &str) -> bool {
         let pools = u64::from(self.host.pool_map().pool_count());
         xxh3_64(name.as_bytes()) % pools == u64::from(self.pool_number)
@@ -347,14 +349,14 @@
         metrics::gauge!("lentilyoke_steps_open", "pool" => pool.clone())
             .set(load.open_steps as f64);
         metrics::gauge!("lentilyoke_jobs_pending", "pool" => pool.clone()).set(pending as f64);
-        for (service, room) in &load.services {
+        for (service, usage) in &load.services {
             let parts = [
-                ("processors", room.used.millicores, room.total.millicores),
-                ("memory", room.used.memory_mib, room.total.memory_mib),
+                ("processors", usage.used.millicores, usage.total.millicores),
+                ("memory", usage.used.memory_mib, usage.total.memory_mib),
                 (
                     "accelerators",
-                    room.used.accelerators,
-                    room.total.accelerators,
+                    usage.used.accelerators,
+                    usage.total.accelerators,
                 ),
             ];
             for (part, used, all) in parts.into_iter().filter(|(_, _, all)| *all > 0) {
@@ -388,12 +390,12 @@
                 sender,
                 last_heard: clock::now(),
                 heartbeat_sent_at: 0,
-                served_since: None,
+                store_available_since: None,
                 store_answered_at: 0,
                 store_rtt_ms: u64::MAX,
                 owned_pools: 0,
                 asks_advisor: self.is_advisor_host(name),
-                helper: AdvisorProxy::default(),
+                advisor_proxy: AdvisorProxy::default(),
             },
         );
         info!(pool = self.pool_number, host = name, epoch = self.epoch; "host connected to the pool owner");
@@ -432,8 +434,8 @@
                     && host.connection == connection
                 {
                     host.last_heard = clock::now();
-                    host.served_since =
-                        store_available.then(|| host.served_since.unwrap_or(host.last_heard));
+                    host.store_available_since = store_available
+                        .then(|| host.store_available_since.unwrap_or(host.last_heard));
                     host.store_answered_at =
                         store_answer_age.map_or(0, |age| host.last_heard.saturating_sub(age));
                     host.store_rtt_ms = store_rtt;
@@ -442,14 +444,14 @@
                 }
             }
             ToOwner::Accepted(job, place) => self.add_accepted_job(*job, place),
-            ToOwner::Advised(number, allowed) => {
-                let allowed = allowed.map(|(rows, valid)| {
+            ToOwner::Advised(number, tickets) => {
+                let tickets = tickets.map(|(rows, valid)| {
                     let rows = rows
                         .into_iter()
                         .map(|(id, text)| (WorkerId::from(id), text));
                     (rows.collect(), valid)
                 });
-                self.receive_advice(number, allowed.as_ref());
+                self.receive_advice(number, tickets.as_ref());
             }
             ToOwner::Call(number, call) => {
                 let (owner, sender) = (Arc::clone(self), sender.clone());
--- a/crates/host/src/owner/directory.rs
+++ b/crates/host/src/owner/directory.rs
@@ -56,15 +56,15 @@
     }
 
     /// Handles a worker that the store lists: adds it to the pool, or records where it belongs.
-    pub(super) fn worker_listed(self: &Arc<Self>, now: Ms, id: WorkerId, news: WorkerInfo) {
-        let rack = rack_of(&news.rack, &id);
+    pub(super) fn worker_listed(self: &Arc<Self>, now: Ms, id: WorkerId, info: WorkerInfo) {
+        let rack = rack_of(&info.rack, &id);
         let assigned = self.host.pool_map().pool_of(&rack);
         let mut directory = lock(&self.directory);
         if self.pool_number == 0 {
             directory.racks.insert(Arc::clone(&id), rack);
         }
         if assigned.is_none() {
-            let new = directory.unassigned.insert(id, news).is_none();
+            let new = directory.unassigned.insert(id, info).is_none();
             let first = directory.unassigned_since.map_or(now, |(first, _)| first);
             if new {
                 directory.unassigned_since = Some((first, now));
@@ -73,7 +73,7 @@
         }
         if assigned == Some(self.pool_number) {
             drop(directory);
-            self.add_worker(now, id, news);
+            self.add_worker(now, id, info);
         } else {
             directory.foreign.insert(Arc::clone(&id));
             drop(directory);
@@ -98,8 +98,8 @@
     }
 
     /// Adds a worker to the pool and starts a session with it, unless there is one.
-    fn add_worker(self: &Arc<Self>, now: Ms, id: WorkerId, news: WorkerInfo) {
-        lock(&self.pool).update_worker(now, &id, news);
+    fn add_worker(self: &Arc<Self>, now: Ms, id: WorkerId, info: WorkerInfo) {
+        lock(&self.pool).update_worker(now, &id, info);
         if lock(&self.sessions).insert(Arc::clone(&id)) {
             let owner = Arc::clone(self);
             self.host.stop.spawn(async move {
@@ -130,7 +130,7 @@
 
     /// Adds workers whose racks were assigned to this pool meanwhile.
     fn add_assigned_workers(self: &Arc<Self>) {
-        let plan = self.host.pool_map();
+        let pool_map = self.host.pool_map();
         let assigned: Vec<(WorkerId, WorkerInfo)> = {
             let mut directory = lock(&self.directory);
             if directory.unassigned.is_empty() {
@@ -139,7 +139,7 @@
             let unassigned = std::mem::take(&mut directory.unassigned);
             let (assigned, rest) = unassigned
                 .into_iter()
-                .partition(|(id, news)| plan.pool_of(&rack_of(&news.rack, id)).is_some());
+                .partition(|(id, info)| pool_map.pool_of(&rack_of(&info.rack, id)).is_some());
             directory.unassigned = rest;
             if directory.unassigned.is_empty() {
                 directory.unassigned_since = None;
@@ -148,10 +148,10 @@
         };
         let now = clock::now();
         let mut added = false;
-        for (id, news) in assigned {
-            if plan.pool_of(&rack_of(&news.rack, &id)) == Some(self.pool_number) {
+        for (id, info) in assigned {
+            if pool_map.pool_of(&rack_of(&info.rack, &id)) == Some(self.pool_number) {
                 added = true;
-                self.add_worker(now, id, news);
+                self.add_worker(now, id, info);
             }
         }
         if added {
@@ -205,6 +205,6 @@
 /// Decodes the row of the pool map; returns it with its version.
 fn parse(row: Option<&Row>) -> Option<(PoolMap, u64)> {
     let row = row?;
-    let plan = serde_json::from_slice(row.value.as_deref()?).ok()?;
-    Some((plan, row.version))
+    let pool_map = serde_json::from_slice(row.value.as_deref()?).ok()?;
+    Some((pool_map, row.version))
 }
--- a/crates/host/src/owner/store_changes.rs
+++ b/crates/host/src/owner/store_changes.rs
@@ -145,12 +145,12 @@
             if row.value.is_some() && self.is_foreign(&row.key) {
                 continue;
             }
-            let news = row
+            let info = row
                 .value
                 .as_deref()
                 .and_then(|value| self.host.decode.worker(&row.key, value));
-            match news {
-                Some(news) => self.worker_listed(now, row.key.as_str().into(), news),
+            match info {
+                Some(info) => self.worker_listed(now, row.key.as_str().into(), info),
                 None if row.value.is_none() => self.worker_removed(&row.key),
                 None => warn!(row = row.key.as_str(); "worker row can't be decoded"),
             }
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -36,11 +36,11 @@
     Lost(LinkLoss),
     /// The host at the address is not the owner.
     NotOwner {
-        /// Start of that host's process in Unix milliseconds.
-        life: u64,
+        /// Incarnation of that host: the start of its process in Unix milliseconds.
+        incarnation: u64,
     },
     /// The owner requests that this host take over the pool.
-    Take,
+    TakeOver,
     /// This host is stopping.
     Stopped,
 }
@@ -108,7 +108,7 @@
     let heartbeats = async {
         loop {
             let catalog = host.catalog_version();
-            let beat = ToOwner::Heartbeat {
+            let heartbeat = ToOwner::Heartbeat {
                 catalog,
                 store_available: host.store_available(),
                 store_rtt: host.store_rtt(),
@@ -116,7 +116,7 @@
                 sent: clock::now(),
                 store_answer_age: host.store_answer_age(),
             };
-            if !link.send(beat) {
+            if !link.send(heartbeat) {
                 return;
             }
             tokio::select! {
@@ -135,17 +135,17 @@
                 Ok(None) | Err(_) => return LinkEnd::Lost(LinkLoss::Broken),
             };
             match message {
-                FromOwner::Heartbeat(beat) => {
-                    host.receive_heartbeat(beat);
+                FromOwner::Heartbeat(heartbeat) => {
+                    host.receive_heartbeat(heartbeat);
                     if host.owner_link(pool).is_none() {
                         host.set_link(pool, Some(Arc::clone(&link)));
                         info!(pool = pool, owner:% = address, epoch = epoch; "connected to the pool owner");
                     }
                 }
                 FromOwner::NotOwner { incarnation } => {
-                    return LinkEnd::NotOwner { life: incarnation };
+                    return LinkEnd::NotOwner { incarnation };
                 }
-                FromOwner::TakeOver { epoch: taken } if taken == epoch => return LinkEnd::Take,
+                FromOwner::TakeOver { epoch: taken } if taken == epoch => return LinkEnd::TakeOver,
                 FromOwner::Reply(number, reply) => {
                     if let Some(late) = link.deliver_reply(number, reply) {
                         warn!(pool = pool, owner:% = address, reply = late.name(); "reply received after its call timed out");
@@ -167,13 +167,13 @@
                         };
                         let workers: Vec<pool::WorkerId> =
                             workers.iter().map(|id| id.as_str().into()).collect();
-                        let takes = Duration::from_millis(takes);
-                        let allowed = host.advisor.query(&stage, &workers, takes).await;
-                        let allowed = allowed.map(|(rows, valid)| {
+                        let duration = Duration::from_millis(takes);
+                        let tickets = host.advisor.query(&stage, &workers, duration).await;
+                        let tickets = tickets.map(|(rows, valid)| {
                             let rows = rows.into_iter().map(|(id, text)| (id.to_string(), text));
                             (rows.collect(), valid)
                         });
-                        link.send(ToOwner::Advised(number, allowed));
+                        link.send(ToOwner::Advised(number, tickets));
                     });
                 }
                 FromOwner::TakeOver { .. } | FromOwner::OwnerReachable(_) => {}
@@ -196,7 +196,7 @@
     pool: u32,
     limit: Duration,
 ) -> WitnessAnswer {
-    let ask = async {
+    let answer = async {
         let (read, half) = match connect(address, limit).await {
             Ok(stream) => stream.into_split(),
             Err(LinkLoss::Refused) => return WitnessAnswer::Refused,
@@ -214,7 +214,9 @@
             _ => WitnessAnswer::TimedOut,
         }
     };
-    timeout(limit, ask).await.unwrap_or(WitnessAnswer::TimedOut)
+    timeout(limit, answer)
+        .await
+        .unwrap_or(WitnessAnswer::TimedOut)
 }
 
 /// Accepts connections of other hosts and serves them until this host stops.
@@ -282,8 +284,8 @@
             Ok(Some(ToOwner::OwnerReachable(pool))) => {
                 let state = host.pool_state(pool);
                 let recent = clock::now().saturating_sub(state.last_heartbeat.received_at) < 900;
-                let hears = state.owner.is_some() || recent && state.link.is_some();
-                drop(to.send(FromOwner::OwnerReachable(hears)).await);
+                let reachable = state.owner.is_some() || recent && state.link.is_some();
+                drop(to.send(FromOwner::OwnerReachable(reachable)).await);
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 return;
             }
--- a/crates/host/src/pool_state.rs
+++ b/crates/host/src/pool_state.rs
@@ -16,7 +16,7 @@
 /// A heartbeat counts as recent for four intervals; after that the owner may have failed.
 const RECENT_HEARTBEAT_AGE: Ms = 1_000;
 /// What a heartbeat says about the store counts for this long.
-const SERVED_BY_STORE_AGE: Ms = 1_500;
+const MAX_STORE_STATUS_AGE: Ms = 1_500;
 
 /// The last heartbeat that this host received from a pool's owner.
 #[derive(Clone, Debug, Default)]
@@ -127,12 +127,12 @@
     pub(crate) fn link_to_owner_with_store(&self) -> Option<Arc<Link>> {
         let now = clock::now();
         let pool_states = lock(&self.pool_states);
-        let served = pool_states.iter().find(|state| {
+        let found = pool_states.iter().find(|state| {
             state.link.is_some()
                 && state.last_heartbeat.heartbeat.store_available
-                && now.saturating_sub(state.last_heartbeat.received_at) < SERVED_BY_STORE_AGE
+                && now.saturating_sub(state.last_heartbeat.received_at) < MAX_STORE_STATUS_AGE
         });
-        served.and_then(|state| state.link.clone())
+        found.and_then(|state| state.link.clone())
     }
 
     /// The last heartbeat of a pool's owner.
--- a/crates/host/src/session.rs
+++ b/crates/host/src/session.rs
@@ -50,7 +50,7 @@
 /// The result of a poll.
 struct PollResult {
     /// When the poll was sent.
-    asked: Ms,
+    sent_at: Ms,
     /// What was known of the worker's ends when the poll was sent, as in [`PollRequest::ends`].
     ends: (u64, u64, u64),
     outcome: Result<WorkerReport, PollFailure>,
@@ -71,8 +71,8 @@
             (worker.info.address.clone(), worker.end_cursor())
         };
         if ends.1 > ends.2 {
-            let gather = lock(&owner.pool).poll_delay(id);
-            tokio::time::sleep(Duration::from_millis(gather)).await;
+            let poll_delay = lock(&owner.pool).poll_delay(id);
+            tokio::time::sleep(Duration::from_millis(poll_delay)).await;
             let stored = owner.stored.notified();
             let all_stored = lock(&owner.pool)
                 .worker(id)
@@ -85,10 +85,10 @@
                 None => return,
             }
         }
-        let asked = clock::now();
+        let sent_at = clock::now();
         let (lease, responsive) = {
             let mut pool = lock(&owner.pool);
-            let lease = pool.extend_lease(asked, id);
+            let lease = pool.extend_lease(sent_at, id);
             (
                 lease,
                 pool.worker(id).is_some_and(pool::Worker::is_responsive),
@@ -96,21 +96,21 @@
         };
         let all_stored = ends.1 <= ends.2;
         let wait = match lease {
-            Some(_) if all_stored && lock(&owner.lost_answers).is_high() => POLL_WAIT_LOSSY,
+            Some(_) if all_stored && lock(&owner.answer_loss).is_high() => POLL_WAIT_LOSSY,
             Some(_) if all_stored => POLL_WAIT,
             None if all_stored && responsive => POLL_WAIT_UNCONFIRMED,
             _ => Duration::ZERO,
         };
         // A worker that did not answer may have restarted. Its new incarnation numbers ends from the start, and must not forget
         // ends because of the numbers of the former one.
-        let noted = if lost { 0 } else { ends.2 };
+        let stored = if lost { 0 } else { ends.2 };
         let request = PollRequest {
             address,
             ends,
             lease,
-            noted,
+            stored,
         };
-        match poll_once(owner, id, &request, asked, wait, &mut polls).await {
+        match poll_once(owner, id, &request, sent_at, wait, &mut polls).await {
             Ok(()) => {
                 if lost {
                     info!(dependency = "worker", worker = &**id; "regained");
@@ -157,7 +157,7 @@
     /// End of the renewed lease on the worker's clock; `None` if the lease isn't renewed.
     lease: Option<Ms>,
     /// The worker may forget ends up to this number.
-    noted: u64,
+    stored: u64,
 }
 
 impl PollRequest {
@@ -166,7 +166,7 @@
         &self,
         owner: &Owner,
         id: &WorkerId,
-        asked: Ms,
+        sent_at: Ms,
         wait: Duration,
     ) -> BoxFuture<'static, PollResult> {
         let (workers, id, epoch) = (
@@ -175,11 +175,13 @@
             owner.epoch(),
         );
         let (address, ends) = (self.address.clone(), self.ends);
-        let (lease, noted) = (self.lease, self.noted);
+        let (lease, stored) = (self.lease, self.stored);
         Box::pin(async move {
-            let outcome = workers.poll(&address, &id, epoch, lease, noted, wait).await;
+            let outcome = workers
+                .poll(&address, &id, epoch, lease, stored, wait)
+                .await;
             PollResult {
-                asked,
+                sent_at,
                 ends,
                 outcome,
             }
@@ -192,7 +194,7 @@
     owner: &Owner,
     id: &WorkerId,
     request: &PollRequest,
-    asked: Ms,
+    sent_at: Ms,
     wait: Duration,
     polls: &mut Hedge<PollResult>,
 ) -> Result<(), PollFailure> {
@@ -201,7 +203,7 @@
         .map_or(ANSWER_TIMEOUT, |worker| {
             Duration::from_millis(worker.overdue_after())
         });
-    let first = request.send(owner, id, asked, wait);
+    let first = request.send(owner, id, sent_at, wait);
     lock(&owner.repeat_budget).earn();
     let again = || {
         if !lock(&owner.repeat_budget).spend() {
@@ -209,14 +211,14 @@
         }
         // The worker may have restarted since.
         let request = PollRequest {
-            noted: 0,
+            stored: 0,
             ..request.clone()
         };
         Some(request.send(owner, id, clock::now(), Duration::ZERO))
     };
     let process = |result: PollResult, call| match (result.outcome, call) {
-        (Ok(listing), _) => {
-            apply_listing(owner, id, result.ends, result.asked, listing);
+        (Ok(report), _) => {
+            apply_report(owner, id, result.ends, result.sent_at, report);
             Ok(())
         }
         (Err(PollFailure::Fenced), _) => Err(PollFailure::Fenced),
@@ -227,11 +229,11 @@
     let outcome = polls
         .call(first, again, wait + overdue, due, process)
         .await?;
-    lock(&owner.lost_answers).note(outcome == Outcome::Lost);
+    lock(&owner.answer_loss).note(outcome == Outcome::Lost);
     let answered = || {
         let pool = lock(&owner.pool);
         pool.worker(id)
-            .is_some_and(|worker| worker.answered_since(asked))
+            .is_some_and(|worker| worker.answered_since(sent_at))
     };
     if matches!(outcome, Outcome::InTime | Outcome::Lost) || answered() {
         Ok(())
@@ -241,20 +243,20 @@
 }
 
 /// Applies what a worker lists, and logs the ends that it lists for the first time.
-fn apply_listing(
+fn apply_report(
     owner: &Owner,
     id: &WorkerId,
     ends: (u64, u64, u64),
-    asked: Ms,
-    mut listing: WorkerReport,
+    sent_at: Ms,
+    mut report: WorkerReport,
 ) {
-    listing.requested_at = asked;
+    report.requested_at = sent_at;
     // The answer to another poll may have listed some of the ends meanwhile.
     let known = lock(&owner.pool)
         .worker(id)
         .map_or(ends, |worker| worker.end_cursor().max(ends));
-    let same_incarnation = listing.incarnation == known.0;
-    for end in listing
+    let same_incarnation = report.incarnation == known.0;
+    for end in report
         .ended
         .iter()
         .filter(|end| !same_incarnation || end.number > known.1)
@@ -262,13 +264,13 @@
         log_end(id, end);
     }
     let (now, unix) = (clock::now(), clock::unix());
-    let unsaved = {
+    let unstored = {
         let mut pool = lock(&owner.pool);
-        pool.apply_report(now, unix, id, &listing);
+        pool.apply_report(now, unix, id, &report);
         pool.has_unstored()
     };
     owner.wake.notify_one();
-    if unsaved {
+    if unstored {
         owner.dirty.notify_one();
     }
 }
--- a/crates/host/src/writer.rs
+++ b/crates/host/src/writer.rs
@@ -35,10 +35,10 @@
 const MAX_SWEPT_JOBS: usize = 30;
 
 /// Stores changes of the pool until the owner is replaced.
-pub(crate) async fn run(owner: &Arc<Owner>, mut claim: Claim, taken: u64) {
+pub(crate) async fn run(owner: &Arc<Owner>, mut claim: Claim, claimed: u64) {
     let mut version = ClaimVersion {
-        owner: taken,
-        roster: taken,
+        owner: claimed,
+        roster: claimed,
     };
     let mut unsure = false;
     let mut swept = tokio::time::Instant::now();
@@ -57,8 +57,8 @@
             old_jobs = delete_job_rows(owner, &old_jobs).await;
         }
         if !unsure && owner.host().pool_map().pool_count() > 1 {
-            let misfits = lock(&owner.pool).unservable_jobs(clock::now());
-            if transfer::run(owner, version, &misfits).await == TransferOutcome::Unsure {
+            let unservable = lock(&owner.pool).unservable_jobs(clock::now());
+            if transfer::run(owner, version, &unservable).await == TransferOutcome::Unsure {
                 unsure = true;
                 continue;
             }
@@ -68,7 +68,7 @@
         {
             lock(&owner.pool).batch_failed(&batch);
         }
-        let (mut batch, roster, silent) = {
+        let (mut batch, roster, unavailable) = {
             let now = clock::now();
             let mut pool = lock(&owner.pool);
             (
@@ -84,21 +84,21 @@
         let next_roster = RosterRow::new(
             claim.roster.serial + 1,
             roster.iter().map(ToString::to_string),
-            silent,
+            unavailable,
             owner.host().settings.max_row_bytes,
         );
         let same_roster = next_roster.roster == claim.roster.roster;
-        let same_silent = next_roster.silent == claim.roster.silent;
+        let same_unavailable = next_roster.silent == claim.roster.silent;
         let successors = owner.successors();
         let successors_changed = successors != claim.owner.successors
             && successors_written.elapsed() > SUCCESSORS_WRITE_INTERVAL;
-        let roster_changed = !same_roster || !same_silent || successors_changed;
+        let roster_changed = !same_roster || !same_unavailable || successors_changed;
         if batch.rows.is_empty() && !roster_changed && !unsure && old_jobs.is_empty() {
             max_rows = max_rows.max(1);
             // There is nothing to store, so workers may forget these ends at once.
             lock(&owner.pool).batch_stored(&batch);
             owner.stored.notify_waiters();
-            // A silent worker that the roster names may have become reachable again.
+            // An unavailable worker that the roster names may have become reachable again.
             if enroll(owner, &claim) {
                 owner.wake.notify_one();
             }
@@ -136,7 +136,7 @@
                 unsure = false;
                 max_rows = (max_rows * 2).clamp(1, MAX_PROGRESS_ROWS);
                 old_jobs.drain(..deletes);
-                *lock(&owner.unserved) = None;
+                *lock(&owner.store_outage) = None;
                 lock(&owner.pool).batch_stored(&batch);
                 log_completed_jobs(owner);
                 enroll(owner, &claim);
@@ -176,7 +176,7 @@
                 warn!(error:% = error, rows = batch.rows.len(); "storing progress failed; retrying");
                 unsure |= matches!(error, StoreError::Lost { .. });
                 let refused = matches!(error, StoreError::Refused { .. });
-                owner.note_unserved(sent_at, refused);
+                owner.note_store_failure(sent_at, refused);
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
--- a/crates/host/tests/heartbeat.rs
+++ b/crates/host/tests/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use host::wire::Heartbeat;
 
-fn beat(catalog: u64, echoed_at: u64, catalog_age: u64) -> Heartbeat {
+fn heartbeat(catalog: u64, echoed_at: u64, catalog_age: u64) -> Heartbeat {
     Heartbeat {
         catalog,
         echoed_at,
@@ -15,16 +15,16 @@
 /// Guards against a delayed heartbeat that makes an old configuration look current.
 #[test]
 fn a_heartbeat_refers_to_the_time_when_the_owner_heard_the_host() {
-    assert_eq!(beat(7, 10_000, 400).confirmed_at(7), Some(9_600));
-    assert_eq!(beat(7, 200, 400).confirmed_at(7), Some(0));
+    assert_eq!(heartbeat(7, 10_000, 400).confirmed_at(7), Some(9_600));
+    assert_eq!(heartbeat(7, 200, 400).confirmed_at(7), Some(0));
 }
 
 /// Guards against owners that the store serves but that have another version, or don't know whether theirs is the newest.
 #[test]
 fn only_an_owner_with_the_newest_version_confirms() {
-    assert_eq!(beat(8, 10_000, 0).confirmed_at(7), None);
-    assert_eq!(beat(6, 10_000, 0).confirmed_at(7), None);
-    assert_eq!(beat(0, 10_000, 0).confirmed_at(0), None);
-    assert_eq!(beat(7, 0, 0).confirmed_at(7), None);
-    assert_eq!(beat(7, 10_000, u64::MAX).confirmed_at(7), Some(0));
+    assert_eq!(heartbeat(8, 10_000, 0).confirmed_at(7), None);
+    assert_eq!(heartbeat(6, 10_000, 0).confirmed_at(7), None);
+    assert_eq!(heartbeat(0, 10_000, 0).confirmed_at(0), None);
+    assert_eq!(heartbeat(7, 0, 0).confirmed_at(7), None);
+    assert_eq!(heartbeat(7, 10_000, u64::MAX).confirmed_at(7), Some(0));
 }
--- a/crates/host/tests/links.rs
+++ b/crates/host/tests/links.rs
@@ -19,7 +19,7 @@
 /// Capacity of the buffer for sent bytes that the connection has not transferred yet.
 const BUFFER_BYTES: usize = 8 << 20;
 
-fn beat(labels: usize) -> FromOwner {
+fn heartbeat(labels: usize) -> FromOwner {
     FromOwner::Heartbeat(Heartbeat {
         labels: vec!["a label that makes the frame long".to_owned(); labels],
         ..Heartbeat::default()
@@ -28,13 +28,13 @@
 
 /// A frame of 3 MB, which takes 2.4 s on a slow connection.
 fn large_frame() -> FromOwner {
-    beat(3_000_000 / 36)
+    heartbeat(3_000_000 / 36)
 }
 
 fn labels(message: Option<FromOwner>) -> usize {
     match message {
-        Some(FromOwner::Heartbeat(beat)) => beat.labels.len(),
-        other => panic!("not a beat: {other:?}"),
+        Some(FromOwner::Heartbeat(heartbeat)) => heartbeat.labels.len(),
+        other => panic!("not a heartbeat: {other:?}"),
     }
 }
 
@@ -71,7 +71,7 @@
 async fn a_sender_is_not_silent_while_its_frame_arrives() {
     let (mut sender, mut receiver) = slow_connection(usize::MAX);
     send(&mut sender, &large_frame()).await;
-    send(&mut sender, &beat(1)).await;
+    send(&mut sender, &heartbeat(1)).await;
     let began = Instant::now();
     let first = receiver.next_within(SILENCE_TIMEOUT).await;
     assert_eq!(labels(first.expect("the bytes arrive")), 3_000_000 / 36);
