--- a/crates/host/src/election.rs
+++ b/crates/host/src/election.rs
@@ -138,7 +138,7 @@
     let suitability = Suitability {
         near_store: host.store_rtt() <= NEAR_STORE_RTT_MS,
         processors: host.settings.processors,
-        bandwidth_mbps: host.settings.link_mbps,
+        link_mbps: host.settings.link_mbps,
         pools: host.owned_pool_count() + 1,
     };
     let delay = TakeoverDelay {
--- a/crates/host/src/owner/advice.rs
+++ b/crates/host/src/owner/advice.rs
@@ -38,16 +38,16 @@
             let best = hosts
                 .iter_mut()
                 .filter(|(_, host)| {
-                    host.asks_advisor && now.saturating_sub(host.last_heard) < MAX_SILENCE
+                    host.is_advisor_proxy && now.saturating_sub(host.last_heard) < MAX_SILENCE
                 })
                 .map(|(name, host)| {
-                    let place =
+                    let score =
                         host.advisor_proxy
-                            .score(now, host.store_rtt_ms, query.expected_duration);
-                    (place, name, host)
+                            .score(now, host.store_rtt, query.expected_duration);
+                    (score, name, host)
                 })
-                .min_by_key(|(place, ..)| *place);
-            best.filter(|(place, ..)| *place < own)
+                .min_by_key(|(score, ..)| *score);
+            best.filter(|(score, ..)| *score < own)
                 .map(|(_, name, host)| {
                     let due = host.advisor_proxy.assign(now, query.expected_duration);
                     (name.clone(), host.sender.clone(), due)
--- a/crates/host/src/owner/calls.rs
+++ b/crates/host/src/owner/calls.rs
@@ -23,9 +23,9 @@
     /// another pool, and this pool may have got another owner: added without its progress, the job would run a second time. A job
     /// that was written before this owner read the table is known from there, and for a transferred job, its row is needed
     /// besides the job itself.
-    pub(crate) fn add_accepted_job(&self, job: Job, place: JobLocation) {
-        let known = place.version <= self.jobs_read_as_of.load(Ordering::Relaxed);
-        if !self.loaded.load(Ordering::Relaxed) || known || place.moved {
+    pub(crate) fn add_accepted_job(&self, job: Job, location: JobLocation) {
+        let known = location.version <= self.jobs_read_as_of.load(Ordering::Relaxed);
+        if !self.loaded.load(Ordering::Relaxed) || known || location.moved {
             return;
         }
         let (now, unix) = (clock::now(), clock::unix());
@@ -80,9 +80,9 @@
         )
         .await
         {
-            Inserted::Present(place) => {
-                self.host.notify_accepted(place, job);
-                Reply::Inserted(place)
+            Inserted::Present(location) => {
+                self.host.notify_accepted(location, job);
+                Reply::Inserted(location)
             }
             Inserted::Refused => Reply::Refused,
             Inserted::Unsure => Reply::Unsure,
--- a/crates/host/src/owner/connected_hosts.rs
+++ b/crates/host/src/owner/connected_hosts.rs
@@ -56,7 +56,7 @@
     /// Its share of a processor.
     processors: f64,
     /// Its network bandwidth, in Mbit/s.
-    bandwidth_mbps: f64,
+    link_mbps: f64,
     /// Messages to it.
     pub(super) sender: mpsc::Sender<FromOwner>,
     /// When its last heartbeat was received.
@@ -68,14 +68,14 @@
     /// When the store answered it last, according to its heartbeats.
     store_answered_at: Ms,
     /// Its round-trip time to the store, in milliseconds.
-    pub(super) store_rtt_ms: u64,
+    pub(super) store_rtt: u64,
     /// Number of pools that it owns.
     owned_pools: u32,
     /// How fast the advisor answers it.
     pub(super) advisor_proxy: AdvisorProxy,
     /// It makes advisor queries for this pool. The advisor serves one query at a time for each host, so the hosts are divided
     /// among the pools.
-    pub(super) asks_advisor: bool,
+    pub(super) is_advisor_proxy: bool,
 }
 
 impl ConnectedHost {
@@ -99,9 +99,9 @@
     /// Its suitability as the owner of one more pool.
     fn suitability(&self) -> Suitability {
         Suitability {
-            near_store: self.store_rtt_ms <= NEAR_STORE_RTT_MS,
+            near_store: self.store_rtt <= NEAR_STORE_RTT_MS,
             processors: self.processors,
-            bandwidth_mbps: self.bandwidth_mbps,
+            link_mbps: self.link_mbps,
             pools: self.owned_pools + 1,
         }
     }
@@ -167,7 +167,7 @@
         let own = Suitability {
             near_store: self.host.store_rtt() <= NEAR_STORE_RTT_MS,
             processors: self.host.settings.processors,
-            bandwidth_mbps: self.host.settings.link_mbps,
+            link_mbps: self.host.settings.link_mbps,
             pools: self.host.owned_pool_count_up_to(self.pool_number),
         };
         // An owner with insufficient resources may never have loaded all jobs.
@@ -212,7 +212,7 @@
         let own = Suitability {
             near_store: true,
             processors: self.host.settings.processors,
-            bandwidth_mbps: self.host.settings.link_mbps,
+            link_mbps: self.host.settings.link_mbps,
             pools: 1,
         };
         let hosts = lock(&self.hosts);
@@ -292,22 +292,22 @@
                 load: load.demand,
                 labels: load.labels,
             };
-            let mut advisor_hosts = 1;
+            let mut advisor_proxies = 1;
             {
                 let now = clock::now();
                 let mut hosts = lock(&self.hosts);
                 for (name, host) in hosts.iter_mut() {
-                    host.asks_advisor = self.is_advisor_host(name);
+                    host.is_advisor_proxy = self.is_advisor_proxy_for_pool(name);
                     drop(
                         host.sender
                             .try_send(FromOwner::Heartbeat(self.heartbeat_to(host, &heartbeat))),
                     );
-                    advisor_hosts += usize::from(
-                        host.asks_advisor && now.saturating_sub(host.last_heard) < MAX_SILENCE,
+                    advisor_proxies += usize::from(
+                        host.is_advisor_proxy && now.saturating_sub(host.last_heard) < MAX_SILENCE,
                     );
                 }
             }
-            lock(&self.pool).set_max_queries(advisor_hosts);
+            lock(&self.pool).set_max_queries(advisor_proxies);
             self.host.receive_heartbeat(heartbeat);
             let changed = self.host.catalog_sync.changed.notified();
             let store_changed = self.host.store_changed.notified();
@@ -337,7 +337,7 @@
     }
 
     /// Whether a host makes advisor queries for this pool.
-    fn is_advisor_host(&self, name: &str) -> bool {
+    fn is_advisor_proxy_for_pool(&self, name: &str) -> bool {
         let pools = u64::from(self.host.pool_map().pool_count());
         xxh3_64(name.as_bytes()) % pools == u64::from(self.pool_number)
     }
@@ -372,7 +372,7 @@
         &self,
         name: &str,
         address: SocketAddr,
-        (processors, bandwidth_mbps): (f64, f64),
+        (processors, link_mbps): (f64, f64),
         sender: mpsc::Sender<FromOwner>,
     ) -> u64 {
         let connection = self.next_number.fetch_add(1, Ordering::Relaxed);
@@ -386,15 +386,15 @@
                 connection,
                 address,
                 processors,
-                bandwidth_mbps,
+                link_mbps,
                 sender,
                 last_heard: clock::now(),
                 heartbeat_sent_at: 0,
                 store_available_since: None,
                 store_answered_at: 0,
-                store_rtt_ms: u64::MAX,
+                store_rtt: u64::MAX,
                 owned_pools: 0,
-                asks_advisor: self.is_advisor_host(name),
+                is_advisor_proxy: self.is_advisor_proxy_for_pool(name),
                 advisor_proxy: AdvisorProxy::default(),
             },
         );
@@ -438,12 +438,12 @@
                         .then(|| host.store_available_since.unwrap_or(host.last_heard));
                     host.store_answered_at =
                         store_answer_age.map_or(0, |age| host.last_heard.saturating_sub(age));
-                    host.store_rtt_ms = store_rtt;
+                    host.store_rtt = store_rtt;
                     host.owned_pools = owned_pools;
                     host.heartbeat_sent_at = sent;
                 }
             }
-            ToOwner::Accepted(job, place) => self.add_accepted_job(*job, place),
+            ToOwner::Accepted(job, location) => self.add_accepted_job(*job, location),
             ToOwner::Advised(number, tickets) => {
                 let tickets = tickets.map(|(rows, valid)| {
                     let rows = rows
--- a/crates/host/src/suitability.rs
+++ b/crates/host/src/suitability.rs
@@ -10,7 +10,7 @@
 /// Share of a core that an owner needs for each worker of its pool.
 const PROCESSORS_PER_WORKER: f64 = 0.000_6;
 /// Network bandwidth that an owner needs for each worker of its pool, in Mbit/s.
-const BANDWIDTH_PER_WORKER_MBPS: f64 = 0.04;
+const LINK_MBPS_PER_WORKER: f64 = 0.04;
 /// Longest extra takeover delay of a host that has too little for a pool.
 const INSUFFICIENCY_DELAY: Duration = Duration::from_millis(1_500);
 
@@ -22,7 +22,7 @@
     /// Its share of a processor.
     pub processors: f64,
     /// Its network bandwidth, in Mbit/s.
-    pub bandwidth_mbps: f64,
+    pub link_mbps: f64,
     /// Number of pools that it would own with this one. An owner of several pools counts those up to this one, so that it
     /// keeps the first and hands over the others, rather than all at once.
     pub pools: u32,
@@ -34,7 +34,7 @@
     /// ```
     /// use host::suitability::Suitability;
     ///
-    /// let weak = Suitability { near_store: true, processors: 0.12, bandwidth_mbps: 10.0, pools: 1 };
+    /// let weak = Suitability { near_store: true, processors: 0.12, link_mbps: 10.0, pools: 1 };
     /// assert!(weak.is_sufficient(48) && !weak.is_sufficient(350));
     /// ```
     #[must_use]
@@ -42,7 +42,7 @@
         let pools = f64::from(self.pools.max(1));
         let need = f64::from(workers.max(1)) * pools;
         let processors = self.processors / (PROCESSORS_PER_WORKER * need);
-        let bandwidth = self.bandwidth_mbps / (BANDWIDTH_PER_WORKER_MBPS * need);
+        let bandwidth = self.link_mbps / (LINK_MBPS_PER_WORKER * need);
         processors.min(bandwidth).min(1.0)
     }
 
@@ -50,7 +50,7 @@
     #[must_use]
     pub fn capacity(&self) -> u32 {
         let processors = self.processors / PROCESSORS_PER_WORKER;
-        let bandwidth = self.bandwidth_mbps / BANDWIDTH_PER_WORKER_MBPS;
+        let bandwidth = self.link_mbps / LINK_MBPS_PER_WORKER;
         (processors.min(bandwidth) / f64::from(self.pools.max(1))) as u32
     }
 
--- a/crates/host/tests/suitability.rs
+++ b/crates/host/tests/suitability.rs
@@ -9,12 +9,12 @@
     let strong = Suitability {
         near_store: true,
         processors: 0.5,
-        bandwidth_mbps: 200.0,
+        link_mbps: 200.0,
         pools: 1,
     };
     let weak = Suitability {
         processors: 0.12,
-        bandwidth_mbps: 10.0,
+        link_mbps: 10.0,
         ..strong
     };
     (strong, weak)
@@ -44,7 +44,7 @@
 fn bandwidth_and_owned_pools_count() {
     let (strong, _) = strong_and_weak();
     let low_bandwidth = Suitability {
-        bandwidth_mbps: 10.0,
+        link_mbps: 10.0,
         ..strong
     };
     assert!(!low_bandwidth.is_sufficient(350));
