--- a/crates/host/src/owner/advice.rs
+++ b/crates/host/src/owner/advice.rs
@@ -1,4 +1,4 @@
-//! Questions to the advisor, asked by the host that is free soonest.
+//! Advisor queries of the owner, each made by the host that can get the answer soonest.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,7 +8,7 @@
 use pool::{AdvisorQuery, Ms};
 
 use super::Owner;
-use super::members::QUIET;
+use super::connected_hosts::MAX_SILENCE;
 use crate::advisor_proxies::ExpectedAt;
 use crate::clock;
 use crate::host::lock;
@@ -16,109 +16,119 @@
 use crate::log_sampling::is_logged_in_full;
 use crate::wire::FromOwner;
 
-/// A question that another host asks the advisor.
-pub(super) struct Question {
-    ask: AdvisorQuery,
-    until: Ms,
-    /// The host that asks, and when its answer is due.
-    helper: String,
+/// A query that another host makes to the advisor for this owner.
+pub(super) struct PendingQuery {
+    query: AdvisorQuery,
+    /// The query counts as failed after this time.
+    expires: Ms,
+    /// Name of the host that makes the query.
+    host: String,
+    /// When its answer is due.
     due: ExpectedAt,
 }
 
 impl Owner {
-    /// Has the advisor asked by the host that is free soonest: it serves one question at a time for each host.
-    pub(super) fn ask(self: &Arc<Self>, ask: AdvisorQuery) {
+    /// Makes a query to the advisor, by way of the host that can get the answer soonest: the advisor serves one query at
+    /// a time for each host.
+    pub(super) fn send_advisor_query(self: &Arc<Self>, query: AdvisorQuery) {
         let now = clock::now();
-        let helper = {
-            let own = lock(&self.helper).score(now, 0, ask.expected_duration);
-            let mut members = lock(&self.members);
-            let best = members
+        let proxy = {
+            let own = lock(&self.advisor_proxy).score(now, 0, query.expected_duration);
+            let mut hosts = lock(&self.hosts);
+            let best = hosts
                 .iter_mut()
-                .filter(|(_, member)| member.helps && now.saturating_sub(member.heard) < QUIET)
-                .map(|(name, member)| {
-                    let place = member.helper.score(now, member.away, ask.expected_duration);
-                    (place, name, member)
+                .filter(|(_, host)| {
+                    host.is_advisor_proxy && now.saturating_sub(host.last_heard) < MAX_SILENCE
                 })
-                .min_by_key(|(place, ..)| *place);
-            best.filter(|(place, ..)| *place < own)
-                .map(|(_, name, member)| {
-                    let due = member.helper.assign(now, ask.expected_duration);
-                    (name.clone(), member.to.clone(), due)
+                .map(|(name, host)| {
+                    let score =
+                        host.advisor_proxy
+                            .score(now, host.store_rtt, query.expected_duration);
+                    (score, name, host)
+                })
+                .min_by_key(|(score, ..)| *score);
+            best.filter(|(score, ..)| *score < own)
+                .map(|(_, name, host)| {
+                    let due = host.advisor_proxy.assign(now, query.expected_duration);
+                    (name.clone(), host.sender.clone(), due)
                 })
         };
-        match helper {
-            Some((name, to, due)) => {
-                let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-                let key = &ask.stage;
+        match proxy {
+            Some((name, sender, due)) => {
+                let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+                let key = &query.stage;
                 let message = FromOwner::Advise {
                     number,
                     stage: (key.job.to_string(), key.occurrence, key.step),
-                    workers: ask.workers.iter().map(ToString::to_string).collect(),
-                    takes: ask.expected_duration,
+                    workers: query.workers.iter().map(ToString::to_string).collect(),
+                    takes: query.expected_duration,
                 };
-                let question = Question {
-                    until: now + ask.expected_duration * 3 + 1_000,
-                    ask,
-                    helper: name,
+                let request = PendingQuery {
+                    expires: now + query.expected_duration * 3 + 1_000,
+                    query,
+                    host: name,
                     due,
                 };
-                lock(&self.questions).insert(number, question);
-                if to.try_send(message).is_err() {
-                    self.told_advice(number, None);
+                lock(&self.advisor_queries).insert(number, request);
+                if sender.try_send(message).is_err() {
+                    self.receive_advice(number, None);
                 }
             }
             None => {
-                let due = lock(&self.helper).assign(now, ask.expected_duration);
+                let due = lock(&self.advisor_proxy).assign(now, query.expected_duration);
                 let owner = Arc::clone(self);
                 self.host.stop.spawn(async move {
-                    let takes = Duration::from_millis(ask.expected_duration);
+                    let duration = Duration::from_millis(query.expected_duration);
                     let advisor = Arc::clone(&owner.host.advisor);
-                    let allowed = advisor.query(&ask.stage, &ask.workers, takes).await;
-                    lock(&owner.helper).complete(clock::now(), due);
-                    owner.advised(&ask, allowed.as_ref());
+                    let tickets = advisor.query(&query.stage, &query.workers, duration).await;
+                    lock(&owner.advisor_proxy).complete(clock::now(), due);
+                    owner.apply_advice(&query, tickets.as_ref());
                 });
             }
         }
     }
 
-    pub(super) fn told_advice(&self, number: u64, allowed: Option<&Tickets>) {
-        let question = lock(&self.questions).remove(&number);
-        if let Some(question) = question {
-            if let Some(member) = lock(&self.members).get_mut(&question.helper) {
-                member.helper.complete(clock::now(), question.due);
+    /// Applies the answer to a query that another host made; `None` if the query failed.
+    pub(super) fn receive_advice(&self, number: u64, tickets: Option<&Tickets>) {
+        let request = lock(&self.advisor_queries).remove(&number);
+        if let Some(request) = request {
+            if let Some(host) = lock(&self.hosts).get_mut(&request.host) {
+                host.advisor_proxy.complete(clock::now(), request.due);
             }
-            self.advised(&question.ask, allowed);
+            self.apply_advice(&request.query, tickets);
         }
     }
 
-    pub(super) fn advised(&self, ask: &AdvisorQuery, allowed: Option<&Tickets>) {
-        let outcome = if allowed.is_some() {
+    /// Logs the answer to a query and passes it to the pool.
+    pub(super) fn apply_advice(&self, query: &AdvisorQuery, tickets: Option<&Tickets>) {
+        let outcome = if tickets.is_some() {
             "answered"
         } else {
             "failed"
         };
         metrics::counter!("lentilyoke_advice_total", "outcome" => outcome).increment(1);
-        if allowed.is_none() || is_logged_in_full(&ask.stage.job) {
+        if tickets.is_none() || is_logged_in_full(&query.stage.job) {
             info!(
-                job = &*ask.stage.job, step = ask.stage.step, asked = ask.workers.len(), takes = ask.expected_duration,
-                allowed = allowed.map_or(-1, |(rows, _)| rows.len() as i64);
+                job = &*query.stage.job, step = query.stage.step, asked = query.workers.len(), takes = query.expected_duration,
+                allowed = tickets.map_or(-1, |(rows, _)| rows.len() as i64);
                 "advice"
             );
         }
-        let rows = allowed.map(|(rows, valid)| (rows.as_slice(), *valid));
-        lock(&self.pool).advisor_answered(clock::now(), ask, rows);
+        let rows = tickets.map(|(rows, valid)| (rows.as_slice(), *valid));
+        lock(&self.pool).advisor_answered(clock::now(), query, rows);
         self.wake.notify_one();
     }
 
-    pub(super) fn expire_questions(&self) {
+    /// Fails queries of other hosts that were not answered in time.
+    pub(super) fn expire_advisor_queries(&self) {
         let now = clock::now();
-        let late: Vec<u64> = lock(&self.questions)
+        let late: Vec<u64> = lock(&self.advisor_queries)
             .iter()
-            .filter(|(_, question)| question.until < now)
+            .filter(|(_, request)| request.expires < now)
             .map(|(&number, _)| number)
             .collect();
         for number in late {
-            self.told_advice(number, None);
+            self.receive_advice(number, None);
         }
     }
 }
