--- a/crates/host/src/catalog_sync.rs
+++ b/crates/host/src/catalog_sync.rs
@@ -202,7 +202,7 @@
         loop {
             self.catalog_sync.newer.notified().await;
             let mine = self.catalog_version();
-            let Some(link) = self.link_to_owner_where(|beat| beat.catalog > mine) else {
+            let Some(link) = self.link_to_owner_where(|heartbeat| heartbeat.catalog > mine) else {
                 behind_since = None;
                 continue;
             };
@@ -230,7 +230,7 @@
         loop {
             self.catalog_sync.newer_pool_map.notified().await;
             let mine = self.pool_map.load().version;
-            if let Some(link) = self.link_to_owner_where(|beat| beat.pool_map > mine)
+            if let Some(link) = self.link_to_owner_where(|heartbeat| heartbeat.pool_map > mine)
                 && let Some(Reply::PoolMap(map)) = link.fetch(Call::PoolMap).await
             {
                 self.update_pool_map(*map);
--- a/crates/host/src/front.rs
+++ b/crates/host/src/front.rs
@@ -56,7 +56,7 @@
         let began = clock::now();
         let (id, queue) = (Arc::clone(&job.id), job.queue.clone());
         let pool = route::choose_pool(&self.pool_map(), &job, &self.pool_loads());
-        let heard = self.last_heartbeat(pool);
+        let last = self.last_heartbeat(pool);
         let job = Job {
             epoch: if self.has(Mechanism::JobEpochs) {
                 self.owner_epoch(pool)
@@ -76,7 +76,7 @@
         metrics::histogram!("lentilyoke_submit_ms", "outcome" => outcome).record(took);
         info!(
             job = &*id, queue = queue, outcome:? = submitted, ms = clock::now().saturating_sub(began),
-            pool = pool, epoch = heard.heartbeat.epoch, beat_age = began.saturating_sub(heard.received_at),
+            pool = pool, epoch = last.heartbeat.epoch, beat_age = began.saturating_sub(last.received_at),
             plan = self.pool_map().version, store_served = self.store_available();
             "submit"
         );
@@ -159,12 +159,12 @@
     }
 
     /// Notifies the owner of the pool that a job's row has been written.
-    pub(crate) fn notify_accepted(&self, place: JobLocation, job: Job) {
-        let state = self.pool_state(place.pool);
+    pub(crate) fn notify_accepted(&self, location: JobLocation, job: Job) {
+        let state = self.pool_state(location.pool);
         if let Some(owner) = state.owner {
-            owner.add_accepted_job(job, place);
+            owner.add_accepted_job(job, location);
         } else if let Some(link) = state.link {
-            link.send(ToOwner::Accepted(Box::new(job), place));
+            link.send(ToOwner::Accepted(Box::new(job), location));
         }
     }
 
@@ -206,8 +206,8 @@
         match self.read_current(JOBS, &job_part(id), id).await? {
             None => Ok(None),
             Some(row) => {
-                let place = row.value.as_deref().and_then(job_row_header);
-                place.map(Some).ok_or(())
+                let header = row.value.as_deref().and_then(job_row_header);
+                header.map(Some).ok_or(())
             }
         }
     }
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Reads the present version of a row; `None` if there is no such row, an error if the store didn't answer.
+    /// Reads the present version of a row; `None` if there is no such row, an error if the store doesn't say.
     ///
     /// Plain reads may be stale: a job that was just accepted would look unknown, and a completed one still running.
     /// Transactions are not, so this commits one that writes nothing and requires the row to be absent; a conflict returns the
@@ -311,8 +311,8 @@
     /// Number of jobs of a queue of which nothing has started; `None` if a pool's count is missing or too old.
     #[must_use]
     pub fn pending(&self, queue: &str) -> Option<u64> {
-        self.sum_over_pools(MAX_PENDING_AGE, |beat| {
-            let pending = beat.pending.as_ref()?;
+        self.sum_over_pools(MAX_PENDING_AGE, |heartbeat| {
+            let pending = heartbeat.pending.as_ref()?;
             Some(pending.get(queue).copied().unwrap_or(0))
         })
     }
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -212,23 +212,23 @@
 
     /// Processes an owner's heartbeat. If both have the same version of the configuration, this host's is as current as the
     /// owner's.
-    pub(crate) fn receive_heartbeat(&self, beat: Heartbeat) {
+    pub(crate) fn receive_heartbeat(&self, heartbeat: Heartbeat) {
         let now = clock::now();
         let mine = self.catalog_version();
-        if let Some(at) = beat.confirmed_at(mine) {
-            self.confirm(at, beat.catalog_as_of);
+        if let Some(at) = heartbeat.confirmed_at(mine) {
+            self.confirm(at, heartbeat.catalog_as_of);
             self.catalog_sync
                 .confirmed_by_owner_at
                 .fetch_max(at, Ordering::Relaxed);
         }
-        if beat.store_failing && self.owned_pool_count() == 0 {
+        if heartbeat.store_failing && self.owned_pool_count() == 0 {
             self.probe_requested.notify_one();
         }
-        let (pool, catalog, pool_map) = (beat.pool, beat.catalog, beat.pool_map);
+        let (pool, catalog, pool_map) = (heartbeat.pool, heartbeat.catalog, heartbeat.pool_map);
         self.update_pool_state(pool, |state| {
             state.last_heartbeat = LastHeartbeat {
                 received_at: now,
-                heartbeat: beat,
+                heartbeat,
             }
         });
         if catalog > mine {
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,8 +1,6 @@
 //! A host process of the scheduler. Every host accepts jobs from callers; each pool of workers is owned by one host, which
 //! schedules tasks on it.
 //!
-//! * [`suitability`]: which hosts have what a pool needs.
-//! * [`takeover_delay`]: how long a host leaves a pool to others.
 //! * [`Store`], [`Workers`], [`Advisor`], [`Decode`]: external interfaces of a host.
 //! * [`Host`]: requests of callers ([`Host::submit`], [`Host::state`], [`Host::cancel`], [`Host::pending`]).
 //! * [`Owner`]: the owner of a pool, which takes it over, polls workers, starts tasks and stores progress.
@@ -14,7 +12,7 @@
 //! * [`advisor_proxies`]: choice of the host that queries the advisor.
 //! * [`wire`]: protocol between hosts; [`link`]: a host's connection to an owner.
 //! * [`verdict`]: whether an owner is lost.
-//! * [`post`]: suitability of a host as owner of a pool; [`turn`]: delay before a host takes a pool over.
+//! * [`suitability`]: suitability of a host as owner of a pool; [`takeover_delay`]: delay before a host takes a pool over.
 //! * [`store_outage`]: handover of a pool by an owner that has lost the store; [`lag`]: detection of an overloaded host.
 //! * [`log_sampling`]: sampling of the jobs that are logged in full.
 
@@ -48,7 +46,6 @@
 pub mod takeover_delay;
 mod timed_reader;
 mod transfer;
-
 pub mod verdict;
 pub mod wire;
 mod writer;
--- a/crates/host/src/packed.rs
+++ b/crates/host/src/packed.rs
@@ -36,7 +36,7 @@
         /// The parser's error.
         source: serde_json::Error,
     },
-    /// The unpacked data is larger than [`MAX_UNPACKED_BYTES`].
+    /// The unpacked data is larger than the limit.
     #[snafu(display("unpacked configuration is larger than {max_bytes} bytes"))]
     TooLarge {
         /// The limit in bytes.
--- a/crates/host/src/transfer.rs
+++ b/crates/host/src/transfer.rs
@@ -22,7 +22,7 @@
     CANCEL_PREFIX, JOBS, JobRow, Moved, PROGRESS, job_part, job_row_header, pool_part,
 };
 
-/// TransferOutcome of the transfer of several jobs.
+/// Outcome of the transfer of several jobs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum TransferOutcome {
     /// No transaction is in flight.
--- a/crates/host/src/wire.rs
+++ b/crates/host/src/wire.rs
@@ -64,7 +64,7 @@
         #[serde(default, rename = "answered")]
         store_answer_age: Option<Ms>,
     },
-    /// The host has accepted a job and written its row, which is at this place.
+    /// The host has accepted a job: its row is written, with this pool and version.
     Accepted(Box<Job>, JobLocation),
     /// A call with its number, answered with [`FromOwner::Reply`].
     #[serde(rename = "Ask")]
@@ -102,7 +102,7 @@
     Unknown,
     /// The job is cancelled, and the cancellation is stored.
     Cancelled,
-    /// The job's row exists, at this place.
+    /// The job's row exists, with this pool and version.
     Inserted(JobLocation),
     /// The job's row was not written and will not be.
     Refused,
