--- a/crates/host/src/owners.rs
+++ b/crates/host/src/owner_rows.rs
@@ -14,7 +14,7 @@
 
 use crate::claim::parse;
 use crate::host::{Host, lock};
-use crate::outside::StoreError;
+use crate::interfaces::StoreError;
 use crate::rows::{OWNER, OwnerRow, pool_part};
 
 /// A question for changes waits this long; then owners without a link are looked for anew.
@@ -56,11 +56,11 @@
 
 /// What is known of the owners' rows.
 #[derive(Debug, Default)]
-pub(crate) struct Owners {
+pub(crate) struct OwnerRows {
     pools: Mutex<Vec<watch::Sender<Known>>>,
 }
 
-impl Owners {
+impl OwnerRows {
     /// Tells the row of a pool's owner whenever a newer one is known.
     pub(crate) fn subscribe(&self, pool: u32) -> watch::Receiver<Known> {
         self.with(pool, watch::Sender::subscribe)
@@ -94,14 +94,14 @@
 pub(crate) async fn read(host: &Host, pool: u32) -> Option<(Option<Found>, u64)> {
     let page = host.store.list(OWNER, &pool_part(pool)).await.ok()?;
     let found = parse(&page.rows, OWNER);
-    host.owners.note(pool, found.clone());
+    host.owner_rows.note(pool, found.clone());
     Some((found, page.version))
 }
 
 /// Reads the rows of all pools' owners; tells up to which transaction.
 async fn read_all(host: &Host) -> Option<u64> {
     let mut version = u64::MAX;
-    for pool in 0..host.plan().pools() {
+    for pool in 0..host.pool_map().pool_count() {
         let (_, read) = read(host, pool).await?;
         version = version.min(read);
     }
@@ -113,18 +113,18 @@
     let mut after = None;
     let mut pools = 0;
     loop {
-        let unowned = host.unowned.notified();
-        if !host.misses_owner() {
+        let owner_missing = host.owner_missing.notified();
+        if !host.has_unknown_owner() {
             // All that changes until then is of no interest: the rows are read anew.
             after = None;
-            unowned.await;
+            owner_missing.await;
             continue;
         }
-        if pools != host.plan().pools() {
+        if pools != host.pool_map().pool_count() {
             after = None;
         }
         let Some(newest) = after else {
-            pools = host.plan().pools();
+            pools = host.pool_map().pool_count();
             after = read_all(host).await;
             if after.is_none() {
                 tokio::time::sleep(PAUSE).await;
@@ -140,11 +140,11 @@
                     if let (Some(pool), Some(found)) =
                         (pool, parse(std::slice::from_ref(row), OWNER))
                     {
-                        host.owners.note(pool, Some(found));
+                        host.owner_rows.note(pool, Some(found));
                     }
                 }
             }
-            Err(StoreError::Gone) => after = None,
+            Err(StoreError::HistoryCompacted) => after = None,
             Err(error) => {
                 warn!(error:% = error; "owners are not followed for now");
                 // What was missed meanwhile may not be told any more.
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -15,7 +15,7 @@
 use crate::host::Host;
 use crate::link::Link;
 use crate::owner::Owner;
-use crate::verdict::Answer;
+use crate::verdict::WitnessAnswer;
 use crate::wire::{Call, FromOwner, Receiver, Reply, Sender, ToOwner};
 
 /// Time between two beats. A shorter one finds a lost owner sooner and costs each host a wake-up more.
@@ -95,31 +95,31 @@
     let mut receiver = Receiver::<FromOwner>::new(read);
     let (to, from) = mpsc::channel(QUEUE);
     let link = Arc::new(Link::new(to));
-    link.tell(ToOwner::Hello {
+    link.send(ToOwner::Hello {
         host: host.settings.id.clone(),
         address: host.settings.address,
         pool,
         epoch,
         processors: host.settings.processors,
-        line: host.settings.line,
+        link_mbps: host.settings.link_mbps,
     });
     let beats = async {
         loop {
             let catalog = host.catalog_version();
-            let beat = ToOwner::Beat {
+            let beat = ToOwner::Heartbeat {
                 catalog,
-                served: host.served(),
-                away: host.away(),
-                owns: host.owns(),
+                store_available: host.store_available(),
+                store_rtt: host.store_rtt(),
+                owned_pools: host.owned_pool_count(),
                 sent: clock::now(),
-                answered: host.answered(),
+                store_answer_age: host.store_answer_age(),
             };
-            if !link.tell(beat) {
+            if !link.send(beat) {
                 return;
             }
             tokio::select! {
                 () = tokio::time::sleep(BEAT) => {}
-                () = host.probed.notified() => {}
+                () = host.probe_finished.notified() => {}
             }
         }
     };
@@ -133,17 +133,19 @@
                 Ok(None) | Err(_) => return LinkEnd::Lost(Loss::Broken),
             };
             match message {
-                FromOwner::Beat(beat) => {
-                    host.hear(beat);
-                    if host.link(pool).is_none() {
+                FromOwner::Heartbeat(beat) => {
+                    host.receive_heartbeat(beat);
+                    if host.owner_link(pool).is_none() {
                         host.set_link(pool, Some(Arc::clone(&link)));
                         info!(pool = pool, owner:% = address, epoch = epoch; "joined the owner");
                     }
                 }
-                FromOwner::NotOwner { life } => return LinkEnd::NotOwner { life },
-                FromOwner::Take { epoch: of } if of == epoch => return LinkEnd::Take,
-                FromOwner::Told(number, reply) => {
-                    if let Some(late) = link.answer(number, reply) {
+                FromOwner::NotOwner { incarnation } => {
+                    return LinkEnd::NotOwner { life: incarnation };
+                }
+                FromOwner::TakeOver { epoch: of } if of == epoch => return LinkEnd::Take,
+                FromOwner::Reply(number, reply) => {
+                    if let Some(late) = link.deliver_reply(number, reply) {
                         warn!(pool = pool, owner:% = address, reply = late.name(); "an answer came too late");
                     }
                 }
@@ -164,15 +166,15 @@
                         let workers: Vec<pool::WorkerId> =
                             workers.iter().map(|id| id.as_str().into()).collect();
                         let takes = Duration::from_millis(takes);
-                        let allowed = host.advisor.ask(&stage, &workers, takes).await;
+                        let allowed = host.advisor.query(&stage, &workers, takes).await;
                         let allowed = allowed.map(|(rows, valid)| {
                             let rows = rows.into_iter().map(|(id, text)| (id.to_string(), text));
                             (rows.collect(), valid)
                         });
-                        link.tell(ToOwner::Advised(number, allowed));
+                        link.send(ToOwner::Advised(number, allowed));
                     });
                 }
-                FromOwner::Take { .. } | FromOwner::Hears(_) => {}
+                FromOwner::TakeOver { .. } | FromOwner::OwnerReachable(_) => {}
             }
         }
     };
@@ -187,24 +189,26 @@
 }
 
 /// Asks another host, for this long, whether it hears the owner of a pool or is it.
-pub(crate) async fn hears(address: SocketAddr, pool: u32, time: Duration) -> Answer {
+pub(crate) async fn hears(address: SocketAddr, pool: u32, time: Duration) -> WitnessAnswer {
     let ask = async {
         let (read, half) = match connect(address, time).await {
             Ok(stream) => stream.into_split(),
-            Err(Loss::Refused) => return Answer::Refused,
-            Err(_) => return Answer::TimedOut,
+            Err(Loss::Refused) => return WitnessAnswer::Refused,
+            Err(_) => return WitnessAnswer::TimedOut,
         };
         let mut sender = Sender::<ToOwner>::new(half);
-        if sender.feed(&ToOwner::Hears(pool)).await.is_err() || sender.flush().await.is_err() {
-            return Answer::TimedOut;
+        if sender.feed(&ToOwner::OwnerReachable(pool)).await.is_err()
+            || sender.flush().await.is_err()
+        {
+            return WitnessAnswer::TimedOut;
         }
         match Receiver::<FromOwner>::new(read).next().await {
-            Ok(Some(FromOwner::Hears(true))) => Answer::Hears,
-            Ok(Some(FromOwner::Hears(false))) => Answer::DoesNotHear,
-            _ => Answer::TimedOut,
+            Ok(Some(FromOwner::OwnerReachable(true))) => WitnessAnswer::Hears,
+            Ok(Some(FromOwner::OwnerReachable(false))) => WitnessAnswer::DoesNotHear,
+            _ => WitnessAnswer::TimedOut,
         }
     };
-    timeout(time, ask).await.unwrap_or(Answer::TimedOut)
+    timeout(time, ask).await.unwrap_or(WitnessAnswer::TimedOut)
 }
 
 /// Answers other hosts.
@@ -254,20 +258,25 @@
                 pool,
                 epoch,
                 processors,
-                line,
+                link_mbps,
             })) => match host.owner(pool).filter(|owner| owner.epoch() == epoch) {
-                Some(owner) => (name, address, (processors, line), owner),
+                Some(owner) => (name, address, (processors, link_mbps), owner),
                 None => {
-                    drop(to.send(FromOwner::NotOwner { life: host.life }).await);
+                    drop(
+                        to.send(FromOwner::NotOwner {
+                            incarnation: host.incarnation,
+                        })
+                        .await,
+                    );
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     return;
                 }
             },
-            Ok(Some(ToOwner::Hears(pool))) => {
+            Ok(Some(ToOwner::OwnerReachable(pool))) => {
                 let state = host.pool_state(pool);
-                let recent = clock::now().saturating_sub(state.heard.at) < 900;
+                let recent = clock::now().saturating_sub(state.last_heartbeat.received_at) < 900;
                 let hears = state.owner.is_some() || recent && state.link.is_some();
-                drop(to.send(FromOwner::Hears(hears)).await);
+                drop(to.send(FromOwner::OwnerReachable(hears)).await);
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 return;
             }
@@ -281,7 +290,12 @@
             };
             owner.told(&name, member, message, &to);
             if owner.is_over() {
-                drop(to.send(FromOwner::NotOwner { life: host.life }).await);
+                drop(
+                    to.send(FromOwner::NotOwner {
+                        incarnation: host.incarnation,
+                    })
+                    .await,
+                );
                 break;
             }
         }
@@ -296,7 +310,7 @@
 
 impl Owner {
     /// Answers a call of a host, or of this one.
-    pub(crate) async fn answer(self: &Arc<Self>, call: Call) -> Reply {
+    pub(crate) async fn handle_call(self: &Arc<Self>, call: Call) -> Reply {
         match call {
             Call::State(id) => self.state(&id).map_or(Reply::Unknown, Reply::State),
             Call::Cancel(id) => self.cancel(&id).await,
@@ -308,7 +322,7 @@
                 }
                 None => Reply::Unsure,
             },
-            Call::Plan => Reply::Plan(Box::new((*self.host().plan()).clone())),
+            Call::PoolMap => Reply::PoolMap(Box::new((*self.host().pool_map()).clone())),
         }
     }
 }
--- a/crates/pool/src/advice.rs
+++ b/crates/pool/src/advice.rs
@@ -1,112 +1,124 @@
-//! Which workers to ask the advisor about.
+//! Which workers an advisor query names.
 //!
-//! Answers the load in which the advisor is scarce: a question costs a fixed time and a further time for each worker
-//! named. Naming too few means a second question with its fixed time; naming all costs the further time for nothing.
-//! So as many are named as give room for what waits with the share of yes that was seen, and a third more; and always as
-//! many as add little to the fixed time. Answers about a step never change, so what was asked too early is of use later.
+//! The advisor's time is scarce: a query takes a fixed time and an additional time for each worker it names. Naming too few
+//! workers leads to a second query with its fixed time; naming all of them wastes the additional time. So a query names as
+//! many workers as give enough capacity to the waiting tasks at the observed approval rate, and a third more; and in any
+//! case as many as add little to the fixed time. Answers about a step never change, so those about workers that aren't
+//! needed yet are used later.
 
 use std::cmp::Reverse;
 use std::hash::BuildHasher as _;
 
 use rustc_hash::FxBuildHasher;
 
-use crate::job::Advice;
+use crate::job::AdvisorPolicy;
 use crate::task::{Ms, WorkerId};
 
-/// A worker that could be asked about.
+/// A worker that a query may name.
 #[derive(Clone, Debug)]
-pub struct Choice {
+pub struct Candidate {
     /// The worker.
     pub worker: WorkerId,
-    /// How many of the waiting tasks it has room for now.
+    /// How many of the waiting tasks fit into its free capacity.
     pub fits: u32,
-    /// It was allowed before, and only its ticket ran out.
-    pub known: bool,
+    /// It was allowed before, and only its ticket has expired.
+    pub allowed_before: bool,
 }
 
-/// Spare beyond what the observed share of yes demands. The share varies from step to step by about a third.
-const SPARE: f64 = 1.35;
+/// Factor by which a query exceeds what the observed approval rate demands. The rate varies from step to step by about a
+/// third.
+const OVERSHOOT: f64 = 1.35;
 
-/// Share of the fixed time of a question that further workers may add to it without need.
-const CHEAP: f64 = 0.25;
+/// Workers beyond those needed may add up to this share of a query's fixed time.
+const FREE_TIME_SHARE: f64 = 0.25;
 
-/// How many workers may be named in any case: together they add little to the fixed time of a question.
+/// Number of workers that a query may name in any case: together they add little to its fixed time.
 #[must_use]
-pub fn cheap(advice: &Advice) -> usize {
-    if advice.each > 0.0 {
-        (advice.base * CHEAP / advice.each) as usize
+pub fn min_query_size(advice: &AdvisorPolicy) -> usize {
+    if advice.per_worker_ms > 0.0 {
+        (advice.base_ms * FREE_TIME_SHARE / advice.per_worker_ms) as usize
     } else {
         usize::MAX
     }
 }
 
-/// Time that a question about this many workers takes.
+/// Time that a query about this many workers takes.
 #[must_use]
-pub fn takes(advice: &Advice, workers: usize) -> Ms {
-    (advice.base + advice.each * workers as f64) as Ms
+pub fn query_duration(advice: &AdvisorPolicy, workers: usize) -> Ms {
+    (advice.base_ms + advice.per_worker_ms * workers as f64) as Ms
 }
 
-/// What a question is for.
+/// Requirements of a query.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
-    /// How many tasks wait.
-    pub need: u32,
-    /// Share of workers that are allowed, as seen so far.
-    pub yes: f64,
-    /// Most workers in the question.
-    pub most: usize,
-    /// Least workers in the question, if there are so many.
-    pub cheap: usize,
-    /// Differs from step to step: of workers that are as good, each step asks about others.
+pub struct Requirements {
+    /// Number of waiting tasks.
+    pub tasks: u32,
+    /// Observed share of workers that the advisor allows.
+    pub approval_rate: f64,
+    /// Maximum number of workers in the query.
+    pub max_workers: usize,
+    /// Minimum number of workers in the query, if there are so many.
+    pub min_workers: usize,
+    /// Seed of the order among equal workers. It differs from step to step, so that queries name different workers.
     pub seed: u64,
 }
 
-impl Wanted {
-    /// For how many tasks a worker should have room, so that the least question is enough.
-    fn each(&self) -> u32 {
-        let allowed = (self.cheap as f64 * self.yes).max(1.0);
-        let each = f64::from(self.need) * SPARE / allowed;
+impl Requirements {
+    /// Number of tasks that should fit on each worker, so that the smallest query is enough.
+    fn tasks_per_worker(&self) -> u32 {
+        let approved = (self.min_workers as f64 * self.approval_rate).max(1.0);
+        let each = f64::from(self.tasks) * OVERSHOOT / approved;
         each.ceil().max(1.0) as u32
     }
 
-    fn draw(&self, worker: &WorkerId) -> u64 {
+    fn tie_breaker(&self, worker: &WorkerId) -> u64 {
         FxBuildHasher.hash_one((self.seed, worker))
     }
 }
 
-/// Chooses whom to ask about: those that were allowed before and have room first, then those with room for as many tasks as
-/// each should take; among equals by chance. Steps are asked about at the same time, and if all named the workers with most
-/// room, they would get the same answers, and all but the first would find that room taken.
+/// Chooses the workers of a query: first those that were allowed before and have free capacity, then those on which as many
+/// tasks fit as each should take; pseudo-randomly among equals. Several steps are queried at the same time: if all of them
+/// named the workers with the most free capacity, they would get the same workers, and all but the first step would find the
+/// capacity taken.
 ///
 /// ```
-/// use pool::advice::{Choice, Wanted, choose};
+/// use pool::advice::{Candidate, Requirements, choose_workers};
 ///
-/// let all: Vec<Choice> = (0..40)
-///     .map(|at| Choice { worker: format!("w{at}").into(), fits: 2, known: false })
+/// let all: Vec<Candidate> = (0..40)
+///     .map(|at| Candidate { worker: format!("w{at}").into(), fits: 2, allowed_before: false })
 ///     .collect();
-/// let wanted = Wanted { need: 4, yes: 0.5, most: 30, cheap: 0, seed: 1 };
-/// assert_eq!(choose(&wanted, &all).len(), 6);
-/// assert_eq!(choose(&Wanted { cheap: 17, ..wanted }, &all).len(), 17);
+/// let required = Requirements { tasks: 4, approval_rate: 0.5, max_workers: 30, min_workers: 0, seed: 1 };
+/// assert_eq!(choose_workers(&required, &all).len(), 6);
+/// assert_eq!(choose_workers(&Requirements { min_workers: 17, ..required }, &all).len(), 17);
 /// ```
 #[must_use]
-pub fn choose(wanted: &Wanted, choices: &[Choice]) -> Vec<WorkerId> {
-    let each = wanted.each();
-    let mut order: Vec<&Choice> = choices.iter().collect();
-    order.sort_by_cached_key(|choice| {
-        let fits = choice.fits.min(each);
-        let known = choice.known && fits > 0;
-        Reverse((known, fits, choice.known, wanted.draw(&choice.worker)))
+pub fn choose_workers(required: &Requirements, candidates: &[Candidate]) -> Vec<WorkerId> {
+    let each = required.tasks_per_worker();
+    let mut sorted: Vec<&Candidate> = candidates.iter().collect();
+    sorted.sort_by_cached_key(|candidate| {
+        let fits = candidate.fits.min(each);
+        let usable = candidate.allowed_before && fits > 0;
+        Reverse((
+            usable,
+            fits,
+            candidate.allowed_before,
+            required.tie_breaker(&candidate.worker),
+        ))
     });
     let mut expected = 0.0;
     let mut chosen = Vec::new();
-    for choice in order {
-        let enough = expected >= f64::from(wanted.need) * SPARE || choice.fits == 0;
-        if chosen.len() >= wanted.most || enough && chosen.len() >= wanted.cheap {
+    for candidate in sorted {
+        let enough = expected >= f64::from(required.tasks) * OVERSHOOT || candidate.fits == 0;
+        if chosen.len() >= required.max_workers || enough && chosen.len() >= required.min_workers {
             break;
         }
-        let yes = if choice.known { 1.0 } else { wanted.yes };
-        expected += f64::from(choice.fits.min(wanted.need)) * yes;
-        chosen.push(choice.worker.clone());
+        let approval = if candidate.allowed_before {
+            1.0
+        } else {
+            required.approval_rate
+        };
+        expected += f64::from(candidate.fits.min(required.tasks)) * approval;
+        chosen.push(candidate.worker.clone());
     }
     chosen
 }
--- a/crates/pool/tests/losses.rs
+++ b/crates/pool/tests/losses.rs
@@ -1,28 +1,29 @@
-//! What is told of runs that are over without an end.
+//! Reports of lost runs: runs that are over although no end was reported.
 
-#[allow(dead_code, reason = "the other test files use the rest")]
+#[allow(dead_code, reason = "used by other test files")]
 mod case;
-#[allow(dead_code, reason = "the other test files use the rest")]
-mod world;
+#[allow(dead_code, reason = "used by other test files")]
+mod simulation;
 
-use case::{adopt, hold_all, pool, run};
-use pool::{Listing, Loss, Pool};
-use world::{UNIX, job};
+use case::{adopt, pool, report_all, run};
+use pool::{Loss, Pool, WorkerReport};
+use simulation::{UNIX, job};
 
 fn restart(pool: &mut Pool, now: u64, id: &str) {
-    let listing = Listing {
+    let listing = WorkerReport {
         clock: 10,
-        born: 2,
+        incarnation: 2,
         lease: 0,
-        asked: now,
-        ..Listing::default()
+        requested_at: now,
+        ..WorkerReport::default()
     };
-    pool.apply_listing(now, UNIX + now, &id.into(), &listing);
+    pool.apply_report(now, UNIX + now, &id.into(), &listing);
 }
 
-/// Crashes of workers could not be told from leases that were not renewed, nor a run that had just begun from an old one.
+/// Guards against losses that can't be told apart: a crash of the worker from a lease that was not renewed, and a run that had
+/// just begun from one that had run for long.
 #[test]
-fn a_lost_run_says_how_it_was_lost_and_how_long_it_ran() {
+fn a_lost_run_reports_its_cause_and_duration() {
     let mut pool = pool(2);
     adopt(
         &mut pool,
@@ -31,14 +32,14 @@
     );
     let started = run(&mut pool, 1_000);
     assert_eq!(started.len(), 2);
-    hold_all(&mut pool, 2_500, &started);
+    report_all(&mut pool, 2_500, &started);
     restart(&mut pool, 3_000, &started[0].worker);
     let lost = pool.take_lost_runs();
     assert_eq!(lost.len(), 1);
     assert_eq!(lost[0].loss, Loss::Restarted);
     assert_eq!(lost[0].survived, 1_500);
     assert!(lost[0].confirmed);
-    drop(pool.plan(20_000, UNIX + 20_000));
+    drop(pool.schedule(20_000, UNIX + 20_000));
     let lost = pool.take_lost_runs();
     assert_eq!(lost.len(), 1);
     assert_eq!(lost[0].loss, Loss::Lapsed);
