--- a/crates/pool/src/batch.rs
+++ b/crates/pool/src/batch.rs
@@ -120,7 +120,7 @@
 
     /// Removes jobs whose retention period has passed since they became final; returns them so that their rows can be deleted.
     pub fn remove_expired_jobs(&mut self, unix: u64) -> Vec<JobId> {
-        let remember = self.options.retention;
+        let retention = self.options.retention;
         let expired: Vec<JobId> = self
             .jobs
             .values()
@@ -128,7 +128,7 @@
                 live.stored_state.is_final()
                     && live.stored_state != State::Queued
                     && !live.dirty
-                    && unix.saturating_sub(live.closed) > remember
+                    && unix.saturating_sub(live.closed) > retention
                     && live.open.values().all(|occurrence| {
                         let mut tasks = occurrence.stages.iter().flat_map(|stage| &stage.tasks);
                         tasks.all(|task| task.run.is_none())
--- a/crates/pool/src/replies.rs
+++ b/crates/pool/src/replies.rs
@@ -148,7 +148,7 @@
     pub fn advisor_answered(
         &mut self,
         now: Ms,
-        ask: &AdvisorQuery,
+        query: &AdvisorQuery,
         allowed: Option<(&[(WorkerId, String)], Ms)>,
     ) {
         let incarnations: Vec<u64> = allowed.map_or_else(Vec::new, |(rows, _)| {
@@ -156,17 +156,17 @@
                 .map(|(id, _)| self.workers.get(id).map_or(0, |worker| worker.incarnation))
                 .collect()
         });
-        self.open_queries.remove(&ask.stage);
-        self.overdue_queries.remove(&ask.stage);
+        self.open_queries.remove(&query.stage);
+        self.overdue_queries.remove(&query.stage);
         let queue = self
             .jobs
-            .get(&ask.stage.job)
+            .get(&query.stage.job)
             .map(|live| live.job.queue.clone());
-        let Some(stage) = self.stage_mut(&ask.stage) else {
+        let Some(stage) = self.stage_mut(&query.stage) else {
             return;
         };
         stage.advised.query_since = None;
-        let Some((rows, valid)) = allowed else {
+        let Some((rows, ticket_lifetime)) = allowed else {
             stage.advised.no_query_before = now + QUERY_RETRY_DELAY;
             return;
         };
@@ -177,19 +177,19 @@
                 id.clone(),
                 Ticket {
                     text: text.clone(),
-                    valid_until: now + valid,
+                    valid_until: now + ticket_lifetime,
                     incarnation,
                 },
             );
         }
-        for id in &ask.workers {
+        for id in &query.workers {
             if !rows.iter().any(|(allowed, _)| allowed == id) {
                 stage.advised.denied.insert(id.clone());
             }
         }
         if let Some(queue) = queue {
             self.queue_stats
-                .record_answer(&queue, ask.workers.len(), rows.len());
+                .record_answer(&queue, query.workers.len(), rows.len());
         }
     }
 }
--- a/crates/pool/src/task.rs
+++ b/crates/pool/src/task.rs
@@ -98,13 +98,13 @@
 
 impl Run {
     /// A run whose start command is sent at `now`.
-    pub(crate) fn new(number: u32, worker: WorkerId, now: Ms, latest: Ms) -> Self {
+    pub(crate) fn new(number: u32, worker: WorkerId, now: Ms, start_deadline: Ms) -> Self {
         Self {
             number,
             worker,
             phase: Phase::Starting,
             requested_at: now,
-            start_deadline: latest,
+            start_deadline,
             times_sent: 1,
             last_sent: now,
             stop_sent: 0,
--- a/crates/pool/tests/case/mod.rs
+++ b/crates/pool/tests/case/mod.rs
@@ -19,6 +19,7 @@
     pool
 }
 
+/// Adds workers to the directory and the stored roster, and lets them report at time 1000.
 pub(crate) fn register_workers(pool: &mut Pool, workers: usize) {
     let ids: Vec<WorkerId> = (0..workers).map(|at| format!("w{at:02}").into()).collect();
     for (at, id) in ids.iter().enumerate() {
@@ -39,6 +40,7 @@
     }
 }
 
+/// A worker reports these runs and ends.
 pub(crate) fn report(
     pool: &mut Pool,
     now: u64,
@@ -57,6 +59,7 @@
     pool.apply_report(now, UNIX + now, id, &report);
 }
 
+/// All workers report; each has its share of `runs`.
 pub(crate) fn report_all(pool: &mut Pool, now: u64, runs: &[Start]) {
     let ids: Vec<WorkerId> = pool.workers().map(|worker| worker.id.clone()).collect();
     for id in ids {
@@ -74,6 +77,7 @@
     }
 }
 
+/// The start commands among `commands`.
 pub(crate) fn starts(commands: Vec<Command>) -> Vec<Start> {
     let start = |command| match command {
         Command::Start(start) => Some(start),
@@ -82,6 +86,7 @@
     commands.into_iter().filter_map(start).collect()
 }
 
+/// Number of stop commands.
 pub(crate) fn stops(commands: &[Command]) -> usize {
     commands
         .iter()
@@ -89,10 +94,12 @@
         .count()
 }
 
+/// Hands a newly accepted job to the pool.
 pub(crate) fn adopt(pool: &mut Pool, now: u64, job: Job) {
     pool.adopt(now, UNIX + now, Arc::new(job), None, false);
 }
 
+/// Runs a scheduling pass and confirms all its start commands.
 pub(crate) fn run(pool: &mut Pool, now: u64) -> Vec<Start> {
     let started = starts(pool.schedule(now, UNIX + now));
     for start in &started {
@@ -101,6 +108,7 @@
     started
 }
 
+/// The end of the run that was started with this command.
 pub(crate) fn end(start: &Start, number: u64, outcome: RunOutcome) -> RunEnd {
     RunEnd {
         number,
--- a/crates/pool/tests/lost_answers.rs
+++ b/crates/pool/tests/lost_answers.rs
@@ -73,16 +73,16 @@
 /// carried out late or not at all. A worker answers within 10 ms, so one lost command may cost a job about 100 ms.
 #[test]
 fn lost_answers_delay_quick_jobs_little() {
-    let mut world = Simulation::new(7, 20);
-    world.conditions.lost_answer_rate = 0.065;
-    world.start_owner();
-    world.run_for(200);
+    let mut sim = Simulation::new(7, 20);
+    sim.conditions.lost_answer_rate = 0.065;
+    sim.start_owner();
+    sim.run_for(200);
     for at in 0..60 {
-        world.accept(job(&format!("000000000000q{at:03}"), &[(10, 100, 600)]));
-        world.run_for(50);
+        sim.accept(job(&format!("000000000000q{at:03}"), &[(10, 100, 600)]));
+        sim.run_for(50);
     }
-    world.run_for(4_000);
-    assert!(world.violations.is_empty(), "{:?}", world.violations);
-    let late = world.count_late(850);
+    sim.run_for(4_000);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
+    let late = sim.count_late(850);
     assert!(late <= 3, "{late} of 60 took over 850 ms");
 }
