--- a/crates/pool/src/rank.rs
+++ b/crates/pool/src/rank.rs
@@ -97,8 +97,8 @@
 
 impl QueueStats {
     /// Records how long a task of a queue took, and its estimate.
-    pub fn record_duration(&mut self, queue: &str, took: Ms, estimate: Ms) {
-        let ratio = (took as f64 / estimate.max(1) as f64).clamp(0.1, 10.0);
+    pub fn record_duration(&mut self, queue: &str, duration: Ms, estimate: Ms) {
+        let ratio = (duration as f64 / estimate.max(1) as f64).clamp(0.1, 10.0);
         let mean = self.duration_ratios.entry(queue.to_owned()).or_insert(1.0);
         *mean += EMA_WEIGHT * 0.2 * (ratio - *mean);
     }
@@ -110,8 +110,8 @@
     }
 
     /// Records an advisor answer: how many workers were in the query, and how many of them it allowed.
-    pub fn record_answer(&mut self, queue: &str, asked: usize, allowed: usize) {
-        let share = allowed as f64 / asked.max(1) as f64;
+    pub fn record_answer(&mut self, queue: &str, queried: usize, allowed: usize) {
+        let share = allowed as f64 / queried.max(1) as f64;
         let mean = self.approval_rates.entry(queue.to_owned()).or_insert(share);
         *mean += EMA_WEIGHT * (share - *mean);
     }
--- a/crates/pool/tests/policies.rs
+++ b/crates/pool/tests/policies.rs
@@ -259,23 +259,23 @@
 /// the target is exceeded, are paused if that is not enough, and speed up again only after the ratio has stayed low.
 #[test]
 fn best_effort_tasks_are_slowed_down_in_time() {
-    let mut tempo = PaceController::default();
+    let mut controller = PaceController::default();
     let worker: WorkerId = "w".into();
-    assert_eq!(tempo.update(1_000, &worker, 0.3), 100);
-    assert_eq!(tempo.update(1_200, &worker, 0.9), 25);
+    assert_eq!(controller.update(1_000, &worker, 0.3), 100);
+    assert_eq!(controller.update(1_200, &worker, 0.9), 25);
     assert_eq!(
-        tempo.update(1_400, &worker, 1.2),
+        controller.update(1_400, &worker, 1.2),
         25,
         "a reading covers half a second"
     );
-    assert_eq!(tempo.update(2_000, &worker, 1.2), 0);
+    assert_eq!(controller.update(2_000, &worker, 1.2), 0);
     assert_eq!(
-        tempo.update(3_000, &worker, 0.3),
+        controller.update(3_000, &worker, 0.3),
         0,
         "the ratio has not been low for long enough"
     );
     let mut now = 3_000;
-    while tempo.update(now, &worker, 0.3) < 100 {
+    while controller.update(now, &worker, 0.3) < 100 {
         now += 200;
         assert!(now < 30_000, "the pace returns to 100%");
     }
@@ -327,7 +327,7 @@
         job("00000000000000h2", &[(1, 4_000, 60_000)]),
     );
     let started = run(&mut pool, 1_001);
-    let gather = |job: &str| {
+    let poll_delay = |job: &str| {
         let start = started
             .iter()
             .find(|start| &*start.task.stage.job == job)
@@ -335,7 +335,10 @@
         pool.poll_delay(&start.worker)
     };
     assert_eq!(
-        (gather("00000000000000h1"), gather("00000000000000h2")),
+        (
+            poll_delay("00000000000000h1"),
+            poll_delay("00000000000000h2")
+        ),
         (50, 200)
     );
 }
