--- a/crates/pool/src/monitor.rs
+++ b/crates/pool/src/monitor.rs
@@ -11,8 +11,6 @@
 
 /// Minimum time between two checks: on most workers, reports don't arrive more often.
 const CHECK_INTERVAL: Ms = 200;
-/// A worker is not checked if its last report is older than this, as nothing is known of the present state of its runs.
-const MAX_REPORT_AGE: Ms = 1_500;
 /// A task whose progress hasn't changed for this long is stalled. Reports arrive at least every 0.7 s, and a task of 15 s
 /// advances by one percent in 0.15 s.
 const STALL_TIMEOUT: Ms = 2_500;
@@ -26,8 +24,6 @@
 const FIRST_FAILURE_SCORE: f64 = 1.0;
 /// Added by a failure of a task that has failed before: the task itself is the likelier cause.
 const REPEATED_FAILURE_SCORE: f64 = 0.25;
-/// Added by a stalled task.
-const STALL_SCORE: f64 = 1.5;
 /// Subtracted by a task that succeeds.
 const SUCCESS_CREDIT: f64 = 0.6;
 
@@ -122,7 +118,8 @@
         let mut stalled = Vec::new();
         let mut paces = Vec::new();
         for worker in self.workers.values() {
-            if now.saturating_sub(worker.last_poll) > MAX_REPORT_AGE {
+            // After 1.5 s without a report, nothing is known of the present state of the worker's runs.
+            if now.saturating_sub(worker.last_poll) > 1_500 {
                 continue;
             }
             let mut max_ratio = 0.0_f64;
@@ -170,7 +167,8 @@
         for (key, id) in stalled {
             self.stop_run(&key);
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.failure_score += STALL_SCORE;
+                // A stalled task counts as one and a half first failures.
+                worker.failure_score += 1.5;
                 if worker.failure_score >= SUSPECT_SCORE {
                     worker.paused_until = worker.paused_until.max(now + SUSPECT_PAUSE);
                 }
