--- a/crates/host/src/advisor_proxies.rs
+++ b/crates/host/src/advisor_proxies.rs
@@ -44,8 +44,8 @@
 pub struct ExpectedAt(pub Ms);
 
 impl AdvisorProxy {
-    /// Rank of this host for a query of the duration `takes`. `round_trip` is the round trip between the host and the platform, in
-    /// milliseconds. Before the first answer, the delay between owner and host is assumed to be the same again.
+    /// Rank of this host for a query of the duration `takes`. `round_trip` is the time in which the platform answers the host.
+    /// Until the host has answered, its delay is taken as twice that: the way between owner and host counts as much again.
     #[must_use]
     pub fn score(&self, now: Ms, round_trip: Ms, takes: Ms) -> Score {
         let delay = self.delay.unwrap_or(round_trip.min(MAX_DELAY) * 2);
--- a/crates/host/src/catalog_sync.rs
+++ b/crates/host/src/catalog_sync.rs
@@ -161,7 +161,7 @@
         for row in page.rows.iter().filter(|row| row.key == key) {
             let value = row.value.as_deref().unwrap_or_default();
             match self.decode.catalog(value) {
-                Some(catalog) => self.put_catalog(catalog),
+                Some(catalog) => self.update_catalog(catalog),
                 None => warn!(bytes = value.len(); "configuration can't be parsed"),
             }
         }
@@ -171,10 +171,10 @@
     async fn follow_pool_map(&self) {
         let parts = [COMMON.to_owned()];
         let store = self.store.as_ref();
-        let rhythm = PollTiming::default()
+        let timing = PollTiming::default()
             .wait(POOL_MAP_POLL)
             .retry(POOL_MAP_RETRY_DELAY);
-        follow(store, POOL_MAP, &parts, None, rhythm, |change| {
+        follow(store, POOL_MAP, &parts, None, timing, |change| {
             let rows = match change {
                 Change::Snapshot(page) | Change::Update(page) => page.rows,
                 Change::Failed(error) => {
@@ -242,7 +242,7 @@
     fn apply_packed_catalog(&self, packed: &Packed) -> bool {
         match Catalog::try_from(packed) {
             Ok(catalog) => {
-                self.put_catalog(catalog);
+                self.update_catalog(catalog);
                 true
             }
             Err(error) => {
--- a/crates/host/src/follow.rs
+++ b/crates/host/src/follow.rs
@@ -93,13 +93,13 @@
     table: &str,
     parts: &[String],
     from: Option<u64>,
-    rhythm: PollTiming,
+    timing: PollTiming,
     mut apply: impl FnMut(Change),
 ) {
     let mut newest = from.unwrap_or(0);
     let mut listed = from.is_some();
     // Rows that the caller has read already may be old, so the first poll returns at once.
-    let mut wait = if listed { Duration::ZERO } else { rhythm.wait };
+    let mut wait = if listed { Duration::ZERO } else { timing.wait };
     loop {
         if !listed {
             let page = read(store, table, parts, newest).await;
@@ -115,19 +115,19 @@
                 feed.at = known_at(asked, wait, &feed);
                 // After an answer that took long, an immediate poll confirms sooner that nothing has changed since.
                 let late = clock::now().saturating_sub(feed.at) > LATE_ANSWER;
-                wait = if late { Duration::ZERO } else { rhythm.wait };
+                wait = if late { Duration::ZERO } else { timing.wait };
                 feed.rows.retain(|row| parts.contains(&row.part));
                 let any = !feed.rows.is_empty();
                 apply(Change::Update(feed));
-                if any && !full && !rhythm.pause.is_zero() {
-                    tokio::time::sleep(rhythm.pause).await;
+                if any && !full && !timing.pause.is_zero() {
+                    tokio::time::sleep(timing.pause).await;
                 }
             }
             Err(StoreError::HistoryCompacted) => listed = false,
             Err(error) => {
                 wait = Duration::ZERO;
                 apply(Change::Failed(error));
-                tokio::time::sleep(rhythm.retry).await;
+                tokio::time::sleep(timing.retry).await;
             }
         }
     }
--- a/crates/host/src/hedge.rs
+++ b/crates/host/src/hedge.rs
@@ -103,14 +103,21 @@
         timeout: Duration,
         mut handle: impl FnMut(T, Attempt) -> Result<(), E>,
     ) -> Result<Outcome, E> {
-        if self.answer(first, overdue, None, &mut handle).await? == Some(Attempt::Current) {
+        if self
+            .wait_for_answer(first, overdue, None, &mut handle)
+            .await?
+            == Some(Attempt::Current)
+        {
             return Ok(Outcome::InTime);
         }
         let first = Some(self.calls);
         let left = timeout.saturating_sub(overdue);
         let answered = match repeat() {
-            Some(second) => self.answer(second, left, first, &mut handle).await?,
-            None => self.late_answer(left, first, &mut handle).await?,
+            Some(second) => {
+                self.wait_for_answer(second, left, first, &mut handle)
+                    .await?
+            }
+            None => self.wait_for_late_answer(left, first, &mut handle).await?,
         };
         Ok(match answered {
             Some(Attempt::Earlier) => Outcome::Late,
@@ -121,7 +128,7 @@
 
     /// Makes a call and waits for its answer or the one to the call with the number `first`, and handles answers to other calls
     /// meanwhile. Returns which of the two was answered, or `None` after the time-out.
-    async fn answer<E>(
+    async fn wait_for_answer<E>(
         &mut self,
         call: BoxFuture<'static, T>,
         timeout: Duration,
@@ -157,7 +164,7 @@
     }
 
     /// Waits for the answer to the call with the number `first`, and handles answers to other calls meanwhile.
-    async fn late_answer<E>(
+    async fn wait_for_late_answer<E>(
         &mut self,
         timeout: Duration,
         first: Option<u64>,
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -309,7 +309,7 @@
     }
 
     /// Puts a configuration into force unless one at least as new is.
-    pub(crate) fn put_catalog(&self, catalog: Catalog) {
+    pub(crate) fn update_catalog(&self, catalog: Catalog) {
         let before = self.catalog_version();
         if catalog.version > before {
             info!(version = catalog.version, before = before, queues = catalog.queues.len(); "configuration in force");
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -23,7 +23,6 @@
 pub mod clock;
 mod election;
 pub mod follow;
-mod front;
 pub mod hedge;
 mod host;
 pub mod insert;
@@ -37,6 +36,7 @@
 mod peers;
 pub mod pool_map;
 mod pool_state;
+mod requests;
 pub mod route;
 mod rows;
 mod session;
@@ -51,11 +51,11 @@
 mod writer;
 
 pub use catalog::{Catalog, Queue};
-pub use front::{JobStatus, Submitted};
 pub use host::Host;
 pub use interfaces::{
     Advisor, Decode, Feed, Page, PollFailure, Row, Store, StoreError, Tickets, Transaction, Workers,
 };
 pub use owner::Owner;
 pub use pool_map::PoolMap;
+pub use requests::{JobStatus, Submitted};
 pub use settings::{Settings, StoreTables};
--- a/crates/host/src/owner/news.rs
+++ b/crates/host/src/owner/news.rs
@@ -75,7 +75,7 @@
         let mut pool = lock(&self.pool);
         pool.set_stored_roster(&names(&owned.roster));
         // Only workers that the former owner might use count: the list may be old, and name some that are gone.
-        pool.inherit(clock::now(), names(former), &owned.silent);
+        pool.inherit(clock::now(), names(former), &owned.unavailable);
     }
 
     pub(super) fn jobs_changed(&self, change: Change) {
--- a/crates/host/src/rows.rs
+++ b/crates/host/src/rows.rs
@@ -66,12 +66,12 @@
     pub job: J,
     /// Set if the job was transferred from another pool.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub moved: Option<Moved>,
+    pub moved: Option<TransferHistory>,
 }
 
 /// History of a job that was transferred between pools.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub(crate) struct Moved {
+pub(crate) struct TransferHistory {
     /// The pools that the job was in before. It never returns to one of them, whose owner might still receive an older version
     /// of the row.
     pub from: Vec<u32>,
@@ -86,7 +86,7 @@
     pub pool: u32,
     /// Set if the job was transferred from another pool.
     #[serde(default)]
-    pub moved: Option<Moved>,
+    pub moved: Option<TransferHistory>,
 }
 
 /// Parses the pool of a job from the value of its row.
@@ -125,36 +125,40 @@
 pub(crate) struct RosterRow {
     /// Number of writes of the row by this owner.
     pub serial: u64,
-    /// Workers that may be given tasks, and unreachable ones for which `silent` has no space. A new owner waits until each of
+    /// Workers that may be given tasks, and unavailable ones for which `unavailable` has no space. A new owner waits until each of
     /// them has answered or its lease has expired.
     pub roster: Vec<String>,
-    /// Unreachable workers with the runs that may still be executing there. A new owner holds back only these tasks.
-    pub silent: Vec<pool::UnavailableWorker>,
+    /// Unavailable workers with the runs that may still be executing there. A new owner holds back only these tasks.
+    #[serde(rename = "silent")]
+    pub unavailable: Vec<pool::UnavailableWorker>,
 }
 
 impl RosterRow {
     /// Creates a row of at most `max_bytes` bytes, unless the ids of the workers alone take more.
     ///
-    /// Silent workers are listed with their runs, in the given order, as long as there is space. The others are added to the
+    /// Unavailable workers are listed with their runs, in the given order, as long as there is space. The others are added to the
     /// roster, where each takes little more than its id; a new owner then knows less about them and waits longer.
     pub(crate) fn new(
         serial: u64,
         roster: impl IntoIterator<Item = String>,
-        silent: Vec<pool::UnavailableWorker>,
+        unavailable: Vec<pool::UnavailableWorker>,
         max_bytes: usize,
     ) -> Self {
         let mut row = Self {
             serial,
             roster: roster.into_iter().collect(),
-            silent: Vec::new(),
+            unavailable: Vec::new(),
         };
-        let ids: usize = silent.iter().map(|it| encoded_len(&it.worker)).sum();
+        let ids: usize = unavailable
+            .iter()
+            .map(|entry| encoded_len(&entry.worker))
+            .sum();
         let mut left = max_bytes.saturating_sub(encoded_len(&row) + ids);
-        for worker in silent {
+        for worker in unavailable {
             let more = encoded_len(&worker) - encoded_len(&worker.worker);
             if more <= left {
                 left -= more;
-                row.silent.push(worker);
+                row.unavailable.push(worker);
             } else {
                 row.roster.push(worker.worker.to_string());
             }
--- a/crates/host/src/transfer.rs
+++ b/crates/host/src/transfer.rs
@@ -19,7 +19,7 @@
 use crate::owner::Owner;
 use crate::route;
 use crate::rows::{
-    CANCEL_PREFIX, JOBS, JobRow, Moved, PROGRESS, job_part, job_row_header, pool_part,
+    CANCEL_PREFIX, JOBS, JobRow, PROGRESS, TransferHistory, job_part, job_row_header, pool_part,
 };
 
 /// Outcome of the transfer of several jobs.
@@ -78,7 +78,7 @@
             epoch: 0,
             ..(*job).clone()
         },
-        moved: Some(Moved { from, progress }),
+        moved: Some(TransferHistory { from, progress }),
     };
     let Ok(value) = serde_json::to_vec(&next) else {
         return Ok(());
--- a/crates/host/src/writer.rs
+++ b/crates/host/src/writer.rs
@@ -86,7 +86,7 @@
             owner.host().settings.max_row_bytes,
         );
         let same_roster = next_roster.roster == claim.roster.roster;
-        let same_silent = next_roster.silent == claim.roster.silent;
+        let same_silent = next_roster.unavailable == claim.roster.unavailable;
         let heirs = owner.heirs();
         let new_heirs = heirs != claim.owner.successors && renamed.elapsed() > HEIRS_PACE;
         let roster_changed = !same_roster || !same_silent || new_heirs;
