--- a/crates/resource/src/id.rs
+++ b/crates/resource/src/id.rs
@@ -1,4 +1,4 @@
-//! Aliases for the names used throughout the system.
+//! Aliases for the identifiers used across the crates.
 
 /// A rack of workers, unique in the cell.
 pub type Rack = String;
@@ -10,11 +10,11 @@
 pub type Region = String;
 /// A team of callers that shares one quota.
 pub type Team = String;
-/// A service that quick requests are made to.
+/// A service that handles quick requests.
 pub type Service = String;
-/// A caller's own name for one request, unique within its team.
+/// A request's id, chosen by the caller and unique within its team.
 pub type Request = String;
-/// What a request works on (a parcel, a seat); requests for one key run one after another.
+/// The entity that a request works on (a parcel, a seat); requests with the same key run one after another.
 pub type Key = String;
 /// A job, unique in the cell.
 pub type Job = String;
@@ -22,7 +22,7 @@
 pub type Placer = String;
 /// An entry process, unique in the cell.
 pub type Entry = String;
-/// Fencing token of a rack's owner; rises with every change of owner.
+/// Fencing token of a rack's owner; increases with every change of owner.
 pub type Epoch = u64;
-/// Counts the lives of a worker; changes whenever its memory is lost.
+/// Identifies one incarnation of a worker process; changes whenever the worker loses its memory.
 pub type Incarnation = u64;
--- a/crates/resource/src/lib.rs
+++ b/crates/resource/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a worker offers and a task needs: processors, memory and accelerators.
+//! Resources that a worker offers and a task requests: processors, memory and accelerators.
 //!
-//! * [`Size`]: a checked amount of all three.
-//! * [`Raw`]: the same as operators and callers write it.
-//! * [`id`]: aliases for the names that travel through the system.
+//! * [`Size`]: a validated amount of all three.
+//! * [`Raw`]: the same amount as operators and callers write it, not validated yet.
+//! * [`id`]: aliases for the identifiers used across the crates.
 
 pub mod id;
 mod raw;
--- a/crates/resource/src/size.rs
+++ b/crates/resource/src/size.rs
@@ -1,10 +1,10 @@
-//! A checked amount of processors, memory and accelerators.
+//! A validated amount of processors, memory and accelerators.
 
 use serde::{Deserialize, Serialize};
 
 use crate::raw::{Error, Raw};
 
-/// An amount of processors, memory and accelerators.
+/// A validated amount of processors, memory and accelerators.
 ///
 /// ```
 /// use resource::{Raw, Size};
@@ -23,16 +23,16 @@
     /// Memory, in MiB.
     #[serde(rename = "m")]
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of accelerators.
     #[serde(rename = "a", default, skip_serializing_if = "is_zero")]
     pub accelerators: u64,
 }
 
 impl Size {
-    /// Nothing.
+    /// No resources.
     pub const ZERO: Self = Self::new(0, 0, 0);
 
-    /// An amount from its parts: thousandths of a core, MiB, accelerators.
+    /// Creates an amount from thousandths of a core, MiB of memory and a number of accelerators.
     #[must_use]
     pub const fn new(millicores: u64, memory_mib: u64, accelerators: u64) -> Self {
         Self {
@@ -42,15 +42,15 @@
         }
     }
 
-    /// Whether this much can be taken out of `room`.
+    /// Whether this amount can be allocated from `available`.
     #[must_use]
-    pub const fn fits(self, room: Self) -> bool {
-        self.millicores <= room.millicores
-            && self.memory_mib <= room.memory_mib
-            && self.accelerators <= room.accelerators
+    pub const fn fits(self, available: Self) -> bool {
+        self.millicores <= available.millicores
+            && self.memory_mib <= available.memory_mib
+            && self.accelerators <= available.accelerators
     }
 
-    /// The sum of both.
+    /// Sum of both amounts, per component.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self::new(
@@ -60,7 +60,7 @@
         )
     }
 
-    /// What is left after `other` is taken out, or `None` if it does not fit.
+    /// Subtracts `other`; `None` if `other` does not fit into this amount.
     #[must_use]
     pub const fn minus(self, other: Self) -> Option<Self> {
         if !other.fits(self) {
@@ -73,7 +73,7 @@
         ))
     }
 
-    /// What is left after `other` is taken out, nothing going below zero.
+    /// Subtracts `other`; each component stops at zero.
     #[must_use]
     pub const fn saturating_minus(self, other: Self) -> Self {
         Self::new(
@@ -83,7 +83,7 @@
         )
     }
 
-    /// This amount `n` times.
+    /// This amount multiplied by `n`.
     #[must_use]
     pub const fn times(self, n: u64) -> Self {
         Self::new(
@@ -93,19 +93,19 @@
         )
     }
 
-    /// The largest of the three shares of `whole` that this amount takes, 0 to 1 and beyond.
+    /// Dominant share: the largest of the three shares of `total` that this amount takes. Above 1 if it exceeds `total`.
     ///
-    /// An amount that `whole` has none of counts as a full share.
+    /// A resource that is requested but that `total` has none of counts as a share of 1.
     #[must_use]
-    pub fn share(self, whole: Self) -> f64 {
-        let part = |used: u64, all: u64| match (used, all) {
+    pub fn share(self, total: Self) -> f64 {
+        let share = |used: u64, total: u64| match (used, total) {
             (0, _) => 0.0,
             (_, 0) => 1.0,
-            (used, all) => used as f64 / all as f64,
+            (used, total) => used as f64 / total as f64,
         };
-        part(self.millicores, whole.millicores)
-            .max(part(self.memory_mib, whole.memory_mib))
-            .max(part(self.accelerators, whole.accelerators))
+        share(self.millicores, total.millicores)
+            .max(share(self.memory_mib, total.memory_mib))
+            .max(share(self.accelerators, total.accelerators))
     }
 }
 
