--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -9,17 +9,17 @@
 //! * [`correct`]: sizes corrected from measured usage.
 //! * [`Quota`]: who may take how much.
 
-mod budget;
 pub mod choose;
+mod concurrency_limit;
 pub mod correct;
 pub mod detect;
 pub mod evict;
 mod index;
-mod limit;
 mod quota;
+mod retry_budget;
 
-pub use budget::Budget;
 pub use choose::{Room, Rule};
+pub use concurrency_limit::Limit;
 pub use index::Index;
-pub use limit::Limit;
 pub use quota::{Quota, Standing};
+pub use retry_budget::Budget;
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -2,19 +2,19 @@
 //!
 //! * [`Settings`]: flags and environment variables for logs and metrics.
 //! * [`logs`]: JSON lines, bounded.
-//! * [`exposed`]: metrics as text.
+//! * [`exposition`]: metrics as text.
 //! * [`Health`]: metrics, health and readiness over HTTP.
 //! * [`Stop`]: SIGTERM, and the tasks that are joined before the program ends.
 //! * [`Since`]: time since the program began.
 
-pub mod exposed;
+pub mod exposition;
 mod health;
 pub mod logs;
 mod settings;
-mod since;
-mod stop;
+mod shutdown;
+mod uptime;
 
 pub use health::Health;
 pub use settings::Settings;
-pub use since::Since;
-pub use stop::Stop;
+pub use shutdown::Stop;
+pub use uptime::Since;
