--- a/crates/bench/src/bin/lentilyoke-trial.rs
+++ b/crates/bench/src/bin/lentilyoke-trial.rs
@@ -3,8 +3,8 @@
 //! Pure decisions on made-up sizes and outcomes, with fixed seeds: it prints the same each time.
 
 use clap::{Parser, ValueEnum};
-use policy::detect::{Consecutive, Cusum, Rule as Detector, ratio};
-use policy::{Index, Room, Rule};
+use policy::detect::{Consecutive, Cusum, Detector, log_likelihood_ratio};
+use policy::{Capacity, Index, Rule};
 use rand::seq::SliceRandom as _;
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -112,7 +112,7 @@
     let mut used = Size::ZERO;
     for (nth, task) in tasks.iter().enumerate() {
         if let Some(at) = index.place(rule(name, nth), *task) {
-            index.take(at, *task);
+            index.reserve(at, *task);
             used = used.plus(*task);
         }
     }
@@ -130,10 +130,10 @@
     }
 }
 
-fn empty() -> Room {
-    Room {
+fn empty() -> Capacity {
+    Capacity {
         free: HOST,
-        whole: HOST,
+        total: HOST,
         siblings: 0,
     }
 }
@@ -145,7 +145,7 @@
     let mut used = Size::ZERO;
     for (nth, task) in tasks.iter().enumerate() {
         match index.place(rule(name, nth), *task) {
-            Some(at) => index.take(at, *task),
+            Some(at) => index.reserve(at, *task),
             None => break,
         }
         used = used.plus(*task);
@@ -162,7 +162,7 @@
             index.push(empty());
             index.len() - 1
         });
-        index.take(at, *task);
+        index.reserve(at, *task);
     }
     let total: Size = tasks.iter().copied().sum();
     index.len() as f64 / total.share(HOST).ceil()
@@ -189,8 +189,8 @@
 }
 
 impl Detector for MovingAverage {
-    fn failed(&mut self, failed: bool) -> bool {
-        self.ratios[self.next] = ratio(failed);
+    fn record(&mut self, failed: bool) -> bool {
+        self.ratios[self.next] = log_likelihood_ratio(failed);
         self.next = (self.next + 1) % self.ratios.len();
         self.ratios.iter().sum::<f64>() >= self.threshold
     }
@@ -240,12 +240,12 @@
                 let mut random = ChaCha8Rng::seed_from_u64(seed);
                 let mut rule = make();
                 for _ in 0..BEFORE {
-                    if rule.failed(random.random::<f64>() < sound) {
+                    if rule.record(random.random::<f64>() < sound) {
                         alarms += 1;
                         rule.reset();
                     }
                 }
-                let found = (1..=AFTER).find(|_| rule.failed(random.random::<f64>() < broken));
+                let found = (1..=AFTER).find(|_| rule.record(random.random::<f64>() < broken));
                 delays.push(found.unwrap_or(AFTER + 1));
             }
             delays.sort_unstable();
--- a/crates/cell/src/desk.rs
+++ b/crates/cell/src/desk.rs
@@ -340,7 +340,7 @@
     } else {
         job.size
     };
-    let beyond = bound.standing(alone) != policy::Standing::Within;
+    let beyond = bound.status_with(alone) != policy::QuotaStatus::Within;
     if beyond && (job.shape == Shape::Service || !team.borrow) {
         let reason = format!("the quota of team {:?} never allows it", job.team);
         return Err(Fault::new(Kind::NeverFits, reason));
--- a/crates/cell/src/desk/digests.rs
+++ b/crates/cell/src/desk/digests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use policy::{Index, Room, Rule};
+use policy::{Capacity, Index, Rule};
 use resource::{Size, id};
 use wire::{Band, Digest};
 
@@ -34,9 +34,9 @@
         while places.len() < digest.free.len() {
             places.push(self.index.len());
             self.rack_of.push(digest.rack.clone());
-            self.index.push(Room {
+            self.index.push(Capacity {
                 free: Size::ZERO,
-                whole: self.whole,
+                total: self.whole,
                 siblings: 0,
             });
         }
@@ -70,7 +70,7 @@
     /// A rack with room for a task; the room counts as taken until the owner tells otherwise.
     pub fn take(&mut self, rule: Rule, size: Size) -> Option<&id::Rack> {
         let at = self.index.place(rule, size)?;
-        self.index.take(at, size);
+        self.index.reserve(at, size);
         self.rack_of.get(at)
     }
 
@@ -80,14 +80,17 @@
             let places = self.places.get(rack)?;
             for ((urgent, lent), place) in workers.iter_mut().zip(places) {
                 let yields = if band == Band::Urgent { *urgent } else { *lent };
-                let free = self.index.room(*place).map_or(Size::ZERO, |room| room.free);
+                let free = self
+                    .index
+                    .capacity(*place)
+                    .map_or(Size::ZERO, |room| room.free);
                 if yields == Size::ZERO || !size.fits(free.plus(yields)) {
                     continue;
                 }
                 let needed = size.saturating_minus(free);
                 *urgent = urgent.saturating_minus(needed);
                 *lent = lent.saturating_minus(needed);
-                self.index.take(*place, size);
+                self.index.reserve(*place, size);
                 return Some(rack.clone());
             }
         }
@@ -98,7 +101,7 @@
     #[must_use]
     pub fn free(&self) -> Size {
         (0..self.index.len())
-            .filter_map(|at| self.index.room(at))
+            .filter_map(|at| self.index.capacity(at))
             .map(|r| r.free)
             .sum()
     }
--- a/crates/cell/src/desk/plan.rs
+++ b/crates/cell/src/desk/plan.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use config::{Cell, Pack};
-use policy::{Quota, Rule, Standing};
+use policy::{Quota, QuotaStatus, Rule};
 use resource::{Size, id};
 use wire::{Band, Gang, Mode, Order, Shape, Task, TaskId};
 
@@ -182,11 +182,11 @@
         work.clear_break();
         let (size, total, n) = (work.job.size, work.job.total(), work.job.tasks);
         let quota = quota(cell, &name.0, *used);
-        let band = match quota.standing(total) {
-            Standing::Within if work.job.urgent => Band::Urgent,
-            Standing::Within => Band::Normal,
-            Standing::Borrowing => Band::Borrowed,
-            Standing::Beyond => return None,
+        let band = match quota.status_with(total) {
+            QuotaStatus::Within if work.job.urgent => Band::Urgent,
+            QuotaStatus::Within => Band::Normal,
+            QuotaStatus::Borrowing => Band::Borrowed,
+            QuotaStatus::Exceeded => return None,
         };
         let mut trial = digests.clone();
         let rack = |_| trial.take(Rule::BestFit, size).cloned();
@@ -221,15 +221,15 @@
     /// The band that one more task of a job would have; `None` if it must wait.
     fn band(&self, name: &Name, cell: &Cell, used: Size) -> Option<Band> {
         let job = &self.jobs.get(name)?.job;
-        let standing = quota(cell, &name.0, used).standing(job.size);
+        let standing = quota(cell, &name.0, used).status_with(job.size);
         match (standing, job.shape) {
-            (Standing::Within, _) if job.urgent => Some(Band::Urgent),
-            (Standing::Within, Shape::Service) => Some(Band::Standing),
-            (Standing::Within, _) => Some(Band::Normal),
-            (Standing::Borrowing, Shape::Batch) => Some(Band::Borrowed),
+            (QuotaStatus::Within, _) if job.urgent => Some(Band::Urgent),
+            (QuotaStatus::Within, Shape::Service) => Some(Band::Standing),
+            (QuotaStatus::Within, _) => Some(Band::Normal),
+            (QuotaStatus::Borrowing, Shape::Batch) => Some(Band::Borrowed),
             // Services are never stopped for others, so they can't be given what may be asked
             // back.
-            (Standing::Borrowing | Standing::Beyond, _) => None,
+            (QuotaStatus::Borrowing | QuotaStatus::Exceeded, _) => None,
         }
     }
 
--- a/crates/cell/src/host.rs
+++ b/crates/cell/src/host.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::detect::{Cusum, Rule as _};
+use policy::detect::{Cusum, Detector as _};
 use resource::{Size, id};
 use wire::TaskId;
 use worker::call::{Adopted, Moment};
@@ -107,7 +107,7 @@
 
     /// Work that it was given has ended.
     pub fn outcome(&mut self, failed: bool, now: Now) {
-        let broken = self.rule.failed(failed);
+        let broken = self.rule.record(failed);
         self.trust = match (self.trust, failed) {
             (Trust::Probing, true) => Trust::Suspect(now + PROBE_AFTER),
             (Trust::Probing, false) => {
--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use policy::{Room, Rule};
+use policy::{Capacity, Rule};
 use resource::{Size, id};
 use wire::{Band, Digest, Event, Fate, Holding, Inventory, RackStatus, Seniority, Shape, TaskId};
 use worker::call::Adopted;
@@ -354,7 +354,7 @@
         self.tasks.values().filter(batch).map(|t| t.reserve).sum()
     }
 
-    fn rooms(&self, now: Now, siblings_of: &TaskId) -> (Vec<id::Worker>, Vec<Room>) {
+    fn rooms(&self, now: Now, siblings_of: &TaskId) -> (Vec<id::Worker>, Vec<Capacity>) {
         let open = self.hosts.iter().filter(|(_, host)| host.open(now));
         let room = |(name, host): (&id::Worker, &Host)| {
             let sibling = |t: &&Placed| {
@@ -365,9 +365,9 @@
             let siblings = self.tasks.values().filter(sibling).count() as u32;
             (
                 name.clone(),
-                Room {
+                Capacity {
                     free: self.free(name, host),
-                    whole: host.size,
+                    total: host.size,
                     siblings,
                 },
             )
--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -222,11 +222,11 @@
             let lower: Vec<&Placed> = lower.collect();
             let cost = |t: &&Placed| Victim {
                 size: t.reserve,
-                loss_ms: lost(t, now),
+                lost_work_ms: lost(t, now),
             };
             let costs: Vec<Victim> = lower.iter().map(cost).collect();
             let chosen = evict::victims(free, task.size, &costs)?;
-            let loss: u64 = chosen.iter().map(|&at| costs[at].loss_ms).sum();
+            let loss: u64 = chosen.iter().map(|&at| costs[at].lost_work_ms).sum();
             let ids: Vec<TaskId> = chosen.iter().map(|&at| lower[at].id().clone()).collect();
             Some((ids.len(), loss, worker.clone(), ids))
         };
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use config::{Service, home};
-use policy::Budget;
+use policy::RetryBudget;
 use telemetry::{Health, Since, Stop};
 use tokio::sync::Notify;
 use wire::{Answer, Class, Fault, Job, Kind, Request, State};
@@ -27,7 +27,7 @@
     pub(crate) table: Table,
     upstream: Upstream,
     gate: Gate,
-    budgets: Mutex<HashMap<String, Budget>>,
+    budgets: Mutex<HashMap<String, RetryBudget>>,
     pub(crate) burn: Burn,
     since: Since,
     pub(crate) stop: Stop,
@@ -276,16 +276,16 @@
     fn pay(&self, team: &str, share: f64) {
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let budget = budgets.entry(team.to_owned());
-        let budget = budget.or_insert_with(|| Budget::new(share, SAVED_RETRIES));
+        let budget = budget.or_insert_with(|| RetryBudget::new(share, SAVED_RETRIES));
         budget.set_share(share);
-        budget.pay();
+        budget.deposit();
     }
 
     /// A try that reached no owner costs nobody anything, so it needs no budget.
     fn may_retry(&self, team: &str, answer: &Answer) -> bool {
         let free = matches!(answer, Answer::Fault(f) if f.kind == Kind::NoOwner);
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
-        free || budgets.get_mut(team).is_some_and(Budget::take)
+        free || budgets.get_mut(team).is_some_and(RetryBudget::try_withdraw)
     }
 
     fn count(&self, team: &str, service: &str, answer: &Answer, began: Duration) {
--- a/crates/entry/src/gate.rs
+++ b/crates/entry/src/gate.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use policy::Limit;
+use policy::ConcurrencyLimit;
 
 /// Limit that a team or rack starts with.
 const START: u32 = 64;
@@ -16,7 +16,7 @@
 /// Limits by name, in shards.
 #[derive(Debug)]
 pub struct Gate {
-    shards: Vec<Mutex<HashMap<String, Limit>>>,
+    shards: Vec<Mutex<HashMap<String, ConcurrencyLimit>>>,
 }
 
 /// Room that a request holds in a [`Gate`]; given back when it is dropped.
@@ -58,7 +58,7 @@
             (format!("team {team}"), most),
             (format!("rack {rack}"), MOST_PER_RACK),
         ] {
-            let entered = self.with(&name, most, Limit::enter);
+            let entered = self.with(&name, most, ConcurrencyLimit::try_acquire);
             if !entered {
                 return None;
             }
@@ -67,7 +67,7 @@
         Some(pass)
     }
 
-    fn with<T>(&self, name: &str, most: u32, change: impl FnOnce(&mut Limit) -> T) -> T {
+    fn with<T>(&self, name: &str, most: u32, change: impl FnOnce(&mut ConcurrencyLimit) -> T) -> T {
         let hash = name
             .bytes()
             .fold(0_usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into()));
@@ -75,8 +75,8 @@
         let mut limits = shard.lock().unwrap_or_else(PoisonError::into_inner);
         let limit = limits
             .entry(name.to_owned())
-            .or_insert_with(|| Limit::new(START.min(most), most));
-        limit.set_most(most);
+            .or_insert_with(|| ConcurrencyLimit::new(START.min(most), most));
+        limit.set_max(most);
         change(limit)
     }
 }
@@ -92,7 +92,8 @@
     fn drop(&mut self) {
         for name in &self.names {
             let latency = self.latency;
-            self.gate.with(name, u32::MAX, |limit| limit.leave(latency));
+            self.gate
+                .with(name, u32::MAX, |limit| limit.release(latency));
         }
     }
 }
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -15,7 +15,7 @@
 use cell::fence::Takeover;
 use cell::{Desk, Event, Go, Next, Now, Ownership, Rack, Record, Stage, Ticket};
 use config::Cell;
-use policy::Budget;
+use policy::RetryBudget;
 use resource::{Size, id};
 use tokio::sync::{Notify, oneshot};
 use wire::{Digest, Inventory, RackStatus, Seniority};
@@ -58,7 +58,7 @@
     desk: Option<Desk>,
     memory: Memory,
     starts: HashMap<Ticket, oneshot::Sender<Go>>,
-    budgets: BTreeMap<id::Team, Budget>,
+    budgets: BTreeMap<id::Team, RetryBudget>,
     listed: BTreeMap<id::Worker, Listed>,
     listed_at: Now,
     /// Since when the list differs from the roster.
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -5,7 +5,7 @@
 
 use cell::{Go, Now, Over, Stage, Ticket};
 use config::Service;
-use policy::Budget;
+use policy::RetryBudget;
 use tokio::sync::oneshot;
 use wire::{Answer, Claim, Fault, Kind, Request, Verdict};
 use worker::Error;
@@ -280,12 +280,15 @@
         let mut state = self.state();
         let budget = state.budgets.entry(team.to_owned());
         budget
-            .or_insert_with(|| Budget::new(share, SAVED_RETRIES))
-            .pay();
+            .or_insert_with(|| RetryBudget::new(share, SAVED_RETRIES))
+            .deposit();
     }
 
     fn may_retry(&self, team: &str) -> bool {
-        self.state().budgets.get_mut(team).is_some_and(Budget::take)
+        self.state()
+            .budgets
+            .get_mut(team)
+            .is_some_and(RetryBudget::try_withdraw)
     }
 }
 
--- a/crates/policy/src/choose.rs
+++ b/crates/policy/src/choose.rs
@@ -1,33 +1,33 @@
-//! Which worker, or which rack, a task goes to.
+//! Which worker, or which rack, a task is placed on.
 
 use config::Pack;
 use resource::Size;
 
-/// What is known of one place where a task could go.
+/// Capacity of one place (a worker or a rack) where a task could be placed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
-    /// What is free.
+pub struct Capacity {
+    /// Free capacity.
     pub free: Size,
-    /// All that the place has.
-    pub whole: Size,
-    /// Tasks of the same job that are there already.
+    /// Total capacity.
+    pub total: Size,
+    /// Number of tasks of the same job that are already at this place.
     pub siblings: u32,
 }
 
-/// How to choose among places with room.
+/// How to choose among the places with enough free capacity.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Rule {
-    /// The place that is left with the least room.
+    /// The place with the least capacity left over.
     BestFit,
-    /// The first with room.
+    /// The first place where the task fits.
     FirstFit,
-    /// The place with the most room.
+    /// The place with the most capacity left over.
     LeastLoaded,
-    /// The place with the fewest tasks of the same job; among those, the one with the most room.
+    /// The place with the fewest tasks of the same job; among those, the one with the most capacity left over.
     Spread,
-    /// Any place with room: a baseline for measurements.
+    /// Any place where the task fits: a baseline for measurements.
     Random {
-        /// Where to begin to look.
+        /// Selects the place, modulo the number of places where the task fits.
         seed: u64,
     },
 }
@@ -42,40 +42,45 @@
     }
 }
 
-/// Weight of an accelerator that a task leaves unused where it goes: more than a whole host.
-const WASTED_ACCELERATOR: f64 = 4.0;
-/// Weight of an uneven rest.
-const UNEVEN: f64 = 0.5;
+/// Penalty for placing a task that needs no accelerator where accelerators are free; more than the leftover of a whole
+/// empty host.
+const WASTED_ACCELERATOR_PENALTY: f64 = 4.0;
+/// Weight of the difference between the leftover shares of processors and memory.
+const IMBALANCE_WEIGHT: f64 = 0.5;
 
-/// The place for a task of this size, as an index into `rooms`.
+/// Chooses the place for a task of this size, as an index into `places`.
 ///
 /// ```
-/// use policy::{Room, Rule, choose};
+/// use policy::{Capacity, Rule, choose};
 /// use resource::Size;
 ///
-/// let whole = Size::new(16_000, 65_536, 0);
-/// let room = |cores: u64| Room { free: Size::new(cores * 1_000, 65_536, 0), whole, siblings: 0 };
-/// let rooms = [room(16), room(3), room(1)];
+/// let total = Size::new(16_000, 65_536, 0);
+/// let capacity = |cores: u64| Capacity { free: Size::new(cores * 1_000, 65_536, 0), total, siblings: 0 };
+/// let places = [capacity(16), capacity(3), capacity(1)];
 /// let task = Size::new(2_000, 1_024, 0);
-/// assert_eq!(choose::place(Rule::BestFit, &rooms, task), Some(1));
-/// assert_eq!(choose::place(Rule::LeastLoaded, &rooms, task), Some(0));
-/// assert_eq!(choose::place(Rule::BestFit, &rooms, Size::new(17_000, 0, 0)), None);
+/// assert_eq!(choose::place(Rule::BestFit, &places, task), Some(1));
+/// assert_eq!(choose::place(Rule::LeastLoaded, &places, task), Some(0));
+/// assert_eq!(choose::place(Rule::BestFit, &places, Size::new(17_000, 0, 0)), None);
 /// ```
 #[must_use]
-pub fn place(rule: Rule, rooms: &[Room], size: Size) -> Option<usize> {
-    let fitting = rooms
+pub fn place(rule: Rule, places: &[Capacity], size: Size) -> Option<usize> {
+    let fitting = places
         .iter()
         .enumerate()
-        .filter(|(_, room)| size.fits(room.free));
-    let lowest = |score: fn(&Room, Size) -> f64| {
-        let scored = fitting.clone().map(|(at, room)| (at, score(room, size)));
+        .filter(|(_, capacity)| size.fits(capacity.free));
+    let lowest = |score: fn(&Capacity, Size) -> f64| {
+        let scored = fitting
+            .clone()
+            .map(|(at, capacity)| (at, score(capacity, size)));
         scored.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
     };
     match rule {
         Rule::FirstFit => fitting.clone().next().map(|(at, _)| at),
         Rule::BestFit => lowest(leftover),
-        Rule::LeastLoaded => lowest(|room, size| -leftover(room, size)),
-        Rule::Spread => lowest(|room, size| f64::from(room.siblings) * 8.0 - leftover(room, size)),
+        Rule::LeastLoaded => lowest(|capacity, size| -leftover(capacity, size)),
+        Rule::Spread => {
+            lowest(|capacity, size| f64::from(capacity.siblings) * 8.0 - leftover(capacity, size))
+        }
         Rule::Random { seed } => {
             let n = fitting.clone().count() as u64;
             let nth = seed.checked_rem(n)? as usize;
@@ -84,26 +89,26 @@
     }
 }
 
-/// How much of the place stays unused once the task is there: 0 for none, 2 for all, and more if
-/// the task keeps others from accelerators that it does not use itself.
+/// Score of the capacity that stays unused at the place once the task is there: 0 for none, 2 if
+/// all of it, plus a penalty if the task blocks accelerators that it does not use itself.
 ///
-/// The shares of processors and memory are added, and half of their difference again: a place that
-/// runs out of one of them can't use what it has left of the other.
-fn leftover(room: &Room, size: Size) -> f64 {
-    let left = room.free.saturating_minus(size);
-    let part = |left: u64, whole: u64| {
-        if whole == 0 {
+/// The score adds the unused shares of processors and memory, and half of their difference: a place that
+/// runs out of one of them can't use what is left of the other.
+fn leftover(capacity: &Capacity, size: Size) -> f64 {
+    let left = capacity.free.saturating_minus(size);
+    let share = |left: u64, total: u64| {
+        if total == 0 {
             0.0
         } else {
-            left as f64 / whole as f64
+            left as f64 / total as f64
         }
     };
-    let cores = part(left.millicores, room.whole.millicores);
-    let memory = part(left.memory_mib, room.whole.memory_mib);
-    let wasted = if size.accelerators == 0 && room.free.accelerators > 0 {
-        WASTED_ACCELERATOR
+    let cores = share(left.millicores, capacity.total.millicores);
+    let memory = share(left.memory_mib, capacity.total.memory_mib);
+    let accelerators = if size.accelerators == 0 && capacity.free.accelerators > 0 {
+        WASTED_ACCELERATOR_PENALTY
     } else {
-        part(left.accelerators, room.whole.accelerators)
+        share(left.accelerators, capacity.total.accelerators)
     };
-    cores + memory + (cores - memory).abs() * UNEVEN + wasted
+    cores + memory + (cores - memory).abs() * IMBALANCE_WEIGHT + accelerators
 }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,112 +1,113 @@
-//! How many requests are let in at once.
+//! How many requests are admitted at once.
 
 use std::time::Duration;
 
-/// A limit on concurrency that follows measured latency.
+/// A concurrency limit that adapts to measured latency.
 ///
-/// While answers come about as fast as they ever did, the limit grows by one for each full round;
-/// when they come much slower, work is queueing somewhere behind, and the limit shrinks. What is
-/// turned away is told so at once, instead of waiting in a queue that it can't leave in time.
+/// While latency stays close to the lowest seen, the limit grows by one per round of answers; when latency
+/// is much higher, work is queueing downstream and the limit shrinks. Requests over the limit are rejected at once,
+/// instead of waiting in a queue that they can't leave before their deadline.
 ///
 /// ```
-/// use policy::Limit;
+/// use policy::ConcurrencyLimit;
 /// use std::time::Duration;
 ///
-/// let mut limit = Limit::new(2, 100);
-/// assert!(limit.enter() && limit.enter());
-/// assert!(!limit.enter());
-/// limit.leave(Some(Duration::from_millis(5)));
-/// assert!(limit.enter());
+/// let mut limit = ConcurrencyLimit::new(2, 100);
+/// assert!(limit.try_acquire() && limit.try_acquire());
+/// assert!(!limit.try_acquire());
+/// limit.release(Some(Duration::from_millis(5)));
+/// assert!(limit.try_acquire());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     limit: f64,
-    most: f64,
-    inside: u32,
-    fastest: f64,
-    usual: f64,
+    max: f64,
+    in_flight: u32,
+    min_latency: f64,
+    mean_latency: f64,
     answers: u32,
 }
 
-/// Answers this many times slower than the fastest mean that work is queueing.
-const SLOW: f64 = 3.0;
-/// Differences below this are never taken for queueing, in seconds.
-const TOLERANCE: f64 = 0.020;
+/// A mean latency above the lowest latency times this factor means that work is queueing.
+const QUEUEING_FACTOR: f64 = 3.0;
+/// A smaller difference between the mean and the lowest latency never counts as queueing, in seconds.
+const LATENCY_TOLERANCE_S: f64 = 0.020;
 /// Share of the limit that is kept when it shrinks.
-const SHRINK: f64 = 0.9;
-/// Weight of one answer in the usual latency.
-const WEIGHT: f64 = 0.05;
-/// The fastest latency fades by this factor with each answer, so that it follows lasting changes.
-const FADE: f64 = 1.000_2;
-/// The limit never shrinks below this.
-const LEAST: f64 = 4.0;
+const SHRINK_FACTOR: f64 = 0.9;
+/// Weight of one answer in the moving average of latency.
+const MEAN_WEIGHT: f64 = 0.05;
+/// Growth of the lowest latency with each answer, so that it follows lasting changes.
+const MIN_LATENCY_GROWTH: f64 = 1.000_2;
+/// The limit never shrinks below this, unless the configured maximum is lower.
+const MIN_LIMIT: f64 = 4.0;
 
-impl Limit {
-    /// A limit that starts at `start` and never exceeds `most`.
+impl ConcurrencyLimit {
+    /// Creates a limit that starts at `start` and never exceeds `max`.
     #[must_use]
-    pub fn new(start: u32, most: u32) -> Self {
+    pub fn new(start: u32, max: u32) -> Self {
         Self {
             limit: f64::from(start),
-            most: f64::from(most),
-            inside: 0,
-            fastest: f64::INFINITY,
-            usual: 0.0,
+            max: f64::from(max),
+            in_flight: 0,
+            min_latency: f64::INFINITY,
+            mean_latency: 0.0,
             answers: 0,
         }
     }
 
-    /// Lets one request in, if there is room.
-    pub fn enter(&mut self) -> bool {
-        if f64::from(self.inside) + 1.0 > self.limit {
+    /// Admits one request; `false` if the limit is reached.
+    pub fn try_acquire(&mut self) -> bool {
+        if f64::from(self.in_flight) + 1.0 > self.limit {
             return false;
         }
-        self.inside += 1;
+        self.in_flight += 1;
         true
     }
 
-    /// One request has left; `latency` if it was answered, `None` if it says nothing about load.
-    pub fn leave(&mut self, latency: Option<Duration>) {
-        self.inside = self.inside.saturating_sub(1);
+    /// Records that an admitted request has ended. `latency` is `None` if its duration says nothing about load.
+    pub fn release(&mut self, latency: Option<Duration>) {
+        self.in_flight = self.in_flight.saturating_sub(1);
         let Some(latency) = latency.map(|l| l.as_secs_f64()) else {
             return;
         };
         self.answers += 1;
-        self.fastest = (self.fastest * FADE).min(latency);
-        self.usual = match self.answers {
+        self.min_latency = (self.min_latency * MIN_LATENCY_GROWTH).min(latency);
+        self.mean_latency = match self.answers {
             1 => latency,
-            _ => self.usual + WEIGHT * (latency - self.usual),
+            _ => self.mean_latency + MEAN_WEIGHT * (latency - self.mean_latency),
         };
         self.adapt();
     }
 
-    /// Sets the most that is ever let in, after a change of configuration.
-    pub fn set_most(&mut self, most: u32) {
-        self.most = f64::from(most);
-        self.limit = self.limit.min(self.most);
+    /// Sets the maximum of the limit, after a change of configuration.
+    pub fn set_max(&mut self, max: u32) {
+        self.max = f64::from(max);
+        self.limit = self.limit.min(self.max);
     }
 
-    /// Requests inside.
+    /// Number of admitted requests that have not ended.
     #[must_use]
-    pub const fn inside(&self) -> u32 {
-        self.inside
+    pub const fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
-    /// The present limit.
+    /// The current limit.
     #[must_use]
     pub const fn limit(&self) -> u32 {
         self.limit as u32
     }
 
     fn adapt(&mut self) {
-        let slow = self.usual > self.fastest * SLOW && self.usual > self.fastest + TOLERANCE;
-        let busy = f64::from(self.inside) + 1.0 >= self.limit / 2.0;
+        let slow = self.mean_latency > self.min_latency * QUEUEING_FACTOR
+            && self.mean_latency > self.min_latency + LATENCY_TOLERANCE_S;
+        let busy = f64::from(self.in_flight) + 1.0 >= self.limit / 2.0;
         if slow {
-            // Once per round of answers, not once per answer: the others of the round were let in
-            // under the old limit and say nothing new.
-            self.limit *= 1.0 - (1.0 - SHRINK) / self.limit.max(1.0);
+            // Spreads one reduction over a round of answers instead of reducing per answer: all requests of the round
+            // were admitted under the old limit, so their latencies carry the same information.
+            self.limit *= 1.0 - (1.0 - SHRINK_FACTOR) / self.limit.max(1.0);
         } else if busy {
             self.limit += 1.0 / self.limit;
         }
-        self.limit = self.limit.clamp(LEAST.min(self.most), self.most);
+        self.limit = self.limit.clamp(MIN_LIMIT.min(self.max), self.max);
     }
 }
--- a/crates/policy/src/correct.rs
+++ b/crates/policy/src/correct.rs
@@ -1,18 +1,17 @@
-//! Sizes corrected from measured usage.
+//! Reservations corrected by measured usage.
 //!
-//! Declared sizes are far off, and usage comes late. What is set aside for a task grows at once
-//! when it uses more than it said, and shrinks only if the operators allow it, only for batch
-//! work, and only after usage has been seen for a while.
+//! Declared sizes are often far off, and usage is reported late. A reservation grows as soon as a task uses more than it
+//! declared. It shrinks only if the operators allow it, only for batch work, and only after several usage reports.
 
 use resource::Size;
 
-/// Reports that must have been seen before a size shrinks.
-pub const SEEN: u32 = 5;
+/// Number of usage reports required before a reservation may shrink.
+pub const MIN_REPORTS: u32 = 5;
 
-/// What to set aside for a task.
+/// Computes the reservation for a task.
 ///
-/// `peak` is the most that it was seen to use in `seen` reports; `margin` is the share kept above
-/// that, since reports lag. `shrink` says whether less than `declared` may be set aside.
+/// `peak` is its highest usage over `reports` usage reports; `margin` is the share reserved on top of
+/// that, because reports lag. `shrink` says whether less than `declared` may be reserved.
 ///
 /// ```
 /// use policy::correct;
@@ -25,8 +24,8 @@
 /// assert_eq!(correct::reserve(declared, peak, 1, 0.25, true), declared);
 /// ```
 #[must_use]
-pub fn reserve(declared: Size, peak: Size, seen: u32, margin: f64, shrink: bool) -> Size {
-    let shrink = shrink && seen >= SEEN;
+pub fn reserve(declared: Size, peak: Size, reports: u32, margin: f64, shrink: bool) -> Size {
+    let shrink = shrink && reports >= MIN_REPORTS;
     let one = |declared: u64, peak: u64| {
         let wanted = (peak as f64 * (1.0 + margin)).ceil() as u64;
         match shrink {
--- a/crates/policy/src/detect.rs
+++ b/crates/policy/src/detect.rs
@@ -1,30 +1,30 @@
-//! When a worker that fails its work is not trusted any more.
+//! When a worker that fails its tasks counts as faulty.
 //!
-//! A worker that fails everything it starts is always free, and so attracts work. [`Cusum`] is the
-//! rule in use; [`Consecutive`] is kept as the baseline that it is measured against, on the same
+//! A worker that fails every task at once is always free, and so attracts work. [`Cusum`] is the
+//! detector in use; [`Consecutive`] is the baseline that it is compared with on the same
 //! traces: see "Bad workers" in `docs/DESIGN.md`.
 
-/// Usual share of attempts that fail on a sound worker, for the rules that need one.
-pub const SOUND: f64 = 0.02;
-/// Share of attempts that fail on a worker that is to be found.
-pub const BROKEN: f64 = 0.9;
+/// Expected share of failed attempts on a healthy worker.
+pub const HEALTHY_FAILURE_RATE: f64 = 0.02;
+/// Assumed share of failed attempts on a faulty worker.
+pub const FAULTY_FAILURE_RATE: f64 = 0.9;
 
-/// A rule that watches the outcomes of one worker.
-pub trait Rule: Send {
-    /// Takes note of an outcome; `true` if the worker is not to be trusted from now on.
-    fn failed(&mut self, failed: bool) -> bool;
-    /// Forgets everything, after the worker has been given another chance.
+/// A detector that follows the outcomes of one worker.
+pub trait Detector: Send {
+    /// Records an outcome; `true` if the worker counts as faulty from now on.
+    fn record(&mut self, failed: bool) -> bool;
+    /// Forgets all recorded outcomes, so that the worker is judged afresh.
     fn reset(&mut self);
 }
 
-/// So many failures in a row.
+/// Detects a number of failures in a row.
 ///
 /// ```
-/// use policy::detect::{Consecutive, Rule};
+/// use policy::detect::{Consecutive, Detector};
 ///
-/// let mut rule = Consecutive::new(3);
-/// assert!(!rule.failed(true) && !rule.failed(true));
-/// assert!(rule.failed(true));
+/// let mut detector = Consecutive::new(3);
+/// assert!(!detector.record(true) && !detector.record(true));
+/// assert!(detector.record(true));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Consecutive {
@@ -32,7 +32,7 @@
     count: u32,
 }
 
-/// Cumulative sum of log-likelihood ratios, kept above zero: finds lasting changes soonest.
+/// Cumulative sum of log-likelihood ratios, never below zero (CUSUM): detects a lasting change with the least delay.
 #[derive(Clone, Debug)]
 pub struct Cusum {
     threshold: f64,
@@ -40,15 +40,15 @@
 }
 
 impl Consecutive {
-    /// Distrusts a worker after this many failures in a row.
+    /// Creates a detector that triggers after this many failures in a row.
     #[must_use]
     pub const fn new(limit: u32) -> Self {
         Self { limit, count: 0 }
     }
 }
 
-impl Rule for Consecutive {
-    fn failed(&mut self, failed: bool) -> bool {
+impl Detector for Consecutive {
+    fn record(&mut self, failed: bool) -> bool {
         self.count = if failed { self.count + 1 } else { 0 };
         self.count >= self.limit
     }
@@ -59,7 +59,7 @@
 }
 
 impl Cusum {
-    /// Distrusts a worker when the sum reaches this threshold.
+    /// Creates a detector that triggers when the sum reaches this threshold.
     #[must_use]
     pub const fn new(threshold: f64) -> Self {
         Self {
@@ -69,9 +69,9 @@
     }
 }
 
-impl Rule for Cusum {
-    fn failed(&mut self, failed: bool) -> bool {
-        self.sum = (self.sum + ratio(failed)).max(0.0);
+impl Detector for Cusum {
+    fn record(&mut self, failed: bool) -> bool {
+        self.sum = (self.sum + log_likelihood_ratio(failed)).max(0.0);
         self.sum >= self.threshold
     }
 
@@ -80,12 +80,12 @@
     }
 }
 
-/// Logarithm of how much likelier the outcome is on a broken worker than on a sound one.
+/// Logarithm of how much likelier the outcome is on a faulty worker than on a healthy one.
 #[must_use]
-pub fn ratio(failed: bool) -> f64 {
+pub fn log_likelihood_ratio(failed: bool) -> f64 {
     if failed {
-        (BROKEN / SOUND).ln()
+        (FAULTY_FAILURE_RATE / HEALTHY_FAILURE_RATE).ln()
     } else {
-        ((1.0 - BROKEN) / (1.0 - SOUND)).ln()
+        ((1.0 - FAULTY_FAILURE_RATE) / (1.0 - HEALTHY_FAILURE_RATE)).ln()
     }
 }
--- a/crates/policy/src/evict.rs
+++ b/crates/policy/src/evict.rs
@@ -1,27 +1,27 @@
-//! Which tasks make room for urgent work.
+//! Which tasks are preempted for urgent work.
 
 use resource::Size;
 
-/// A task that could be stopped.
+/// A task that could be preempted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Victim {
-    /// What it takes.
+    /// Capacity that the task takes.
     pub size: Size,
-    /// Work that would be lost since its last checkpoint, in milliseconds.
-    pub loss_ms: u64,
+    /// Work that would be lost, since the last checkpoint, in milliseconds.
+    pub lost_work_ms: u64,
 }
 
-/// The fewest tasks, and among them the ones with the least work to lose, whose end makes room
-/// for `size` beside what is `free`; as indices into `victims`. `None` if all are too few.
+/// Selects the fewest tasks, and among them those that lose the least work, whose preemption frees
+/// enough for `size` on top of what is `free`; as indices into `victims`. `None` if preempting all of them is not enough.
 ///
-/// Tasks are taken greedily, the one first that helps most, then those that turn out not to be
-/// needed are let off; with a handful of tasks on a host this is exact enough.
+/// The selection is greedy: tasks that cover the most of the missing capacity come first, then those that turn out to be
+/// unnecessary are dropped. With a handful of tasks on a host this is close enough to the optimum.
 ///
 /// ```
 /// use policy::evict::{Victim, victims};
 /// use resource::Size;
 ///
-/// let task = |cores: u64| Victim { size: Size::new(cores * 1_000, 0, 0), loss_ms: 0 };
+/// let task = |cores: u64| Victim { size: Size::new(cores * 1_000, 0, 0), lost_work_ms: 0 };
 /// let running = [task(1), task(4), task(2)];
 /// assert_eq!(victims(Size::ZERO, Size::new(3_000, 0, 0), &running), Some(vec![1]));
 /// assert_eq!(victims(Size::ZERO, Size::new(8_000, 0, 0), &running), None);
@@ -31,31 +31,33 @@
     let missing = size.saturating_minus(free);
     let mut order: Vec<usize> = (0..victims.len()).collect();
     order.sort_by(|&a, &b| {
-        let help = |v: &Victim| v.size.share(missing).min(1.0);
+        let coverage = |v: &Victim| v.size.share(missing).min(1.0);
         let (a, b) = (&victims[a], &victims[b]);
-        help(b).total_cmp(&help(a)).then(a.loss_ms.cmp(&b.loss_ms))
+        coverage(b)
+            .total_cmp(&coverage(a))
+            .then(a.lost_work_ms.cmp(&b.lost_work_ms))
     });
     let mut chosen = Vec::new();
-    let mut room = free;
+    let mut available = free;
     for at in order {
-        if size.fits(room) {
+        if size.fits(available) {
             break;
         }
-        room = room.plus(victims[at].size);
+        available = available.plus(victims[at].size);
         chosen.push(at);
     }
-    if !size.fits(room) {
+    if !size.fits(available) {
         return None;
     }
-    spare(room, size, victims, &mut chosen);
+    drop_unnecessary(available, size, victims, &mut chosen);
     Some(chosen)
 }
 
-/// Lets off those that are not needed after all.
-fn spare(mut room: Size, size: Size, victims: &[Victim], chosen: &mut Vec<usize>) {
-    chosen.retain(|&at| match room.minus(victims[at].size) {
+/// Removes the tasks from `chosen` without which `size` still fits.
+fn drop_unnecessary(mut available: Size, size: Size, victims: &[Victim], chosen: &mut Vec<usize>) {
+    chosen.retain(|&at| match available.minus(victims[at].size) {
         Some(rest) if size.fits(rest) => {
-            room = rest;
+            available = rest;
             false
         }
         _ => true,
--- a/crates/policy/src/index.rs
+++ b/crates/policy/src/index.rs
@@ -1,106 +1,110 @@
-//! Many places at once, ordered by what they have free.
+//! An index over many places, ordered by their free processors.
 
 use std::collections::BTreeSet;
 
 use resource::Size;
 
-use crate::{Room, Rule, choose};
+use crate::{Capacity, Rule, choose};
 
-/// Places looked at closely for one decision. More find hardly better ones and cost more.
-const LOOK: usize = 48;
+/// Maximum number of places scored for one decision. More cost more and hardly improve the choice.
+const MAX_CANDIDATES: usize = 48;
 
-/// Many places, kept in the order of their free processors, so that a decision looks at a few of
+/// Many places, ordered by their free processors, so that a decision scores a few of
 /// them instead of all: its cost grows with the logarithm of their number.
 ///
 /// ```
-/// use policy::{Index, Room, Rule};
+/// use policy::{Capacity, Index, Rule};
 /// use resource::Size;
 ///
-/// let whole = Size::new(16_000, 65_536, 0);
+/// let total = Size::new(16_000, 65_536, 0);
 /// let mut index = Index::default();
 /// for cores in [16_u64, 3, 1] {
 ///     let free = Size::new(cores * 1_000, 65_536, 0);
-///     index.push(Room { free, whole, siblings: 0 });
+///     index.push(Capacity { free, total, siblings: 0 });
 /// }
 /// let task = Size::new(2_000, 1_024, 0);
 /// assert_eq!(index.place(Rule::BestFit, task), Some(1));
-/// index.take(1, task);
+/// index.reserve(1, task);
 /// assert_eq!(index.place(Rule::BestFit, task), Some(0));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Index {
-    rooms: Vec<Room>,
-    order: BTreeSet<(u64, usize)>,
+    places: Vec<Capacity>,
+    by_free_millicores: BTreeSet<(u64, usize)>,
 }
 
 impl Index {
-    /// Adds a place; its number is the count of those before it.
-    pub fn push(&mut self, room: Room) {
-        self.order.insert((room.free.millicores, self.rooms.len()));
-        self.rooms.push(room);
+    /// Adds a place; its number is the count of the places added before it.
+    pub fn push(&mut self, capacity: Capacity) {
+        self.by_free_millicores
+            .insert((capacity.free.millicores, self.places.len()));
+        self.places.push(capacity);
     }
 
-    /// What is known of a place.
+    /// Capacity of a place.
     #[must_use]
-    pub fn room(&self, at: usize) -> Option<&Room> {
-        self.rooms.get(at)
+    pub fn capacity(&self, at: usize) -> Option<&Capacity> {
+        self.places.get(at)
     }
 
     /// Number of places.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.rooms.len()
+        self.places.len()
     }
 
     /// Whether there is no place.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.rooms.is_empty()
+        self.places.is_empty()
     }
 
-    /// Sets what is free at a place.
+    /// Sets the free capacity of a place and resets its number of siblings.
     pub fn set(&mut self, at: usize, free: Size) {
-        let Some(room) = self.rooms.get_mut(at) else {
+        let Some(capacity) = self.places.get_mut(at) else {
             return;
         };
-        self.order.remove(&(room.free.millicores, at));
-        room.free = free;
-        room.siblings = 0;
-        self.order.insert((free.millicores, at));
+        self.by_free_millicores
+            .remove(&(capacity.free.millicores, at));
+        capacity.free = free;
+        capacity.siblings = 0;
+        self.by_free_millicores.insert((free.millicores, at));
     }
 
-    /// Takes room at a place, until its owner tells what is really left.
-    pub fn take(&mut self, at: usize, size: Size) {
-        let Some(room) = self.rooms.get_mut(at) else {
+    /// Reserves capacity at a place, until its owner reports the actual free capacity through [`Index::set`].
+    pub fn reserve(&mut self, at: usize, size: Size) {
+        let Some(capacity) = self.places.get_mut(at) else {
             return;
         };
-        self.order.remove(&(room.free.millicores, at));
-        room.free = room.free.saturating_minus(size);
-        room.siblings += 1;
-        self.order.insert((room.free.millicores, at));
+        self.by_free_millicores
+            .remove(&(capacity.free.millicores, at));
+        capacity.free = capacity.free.saturating_minus(size);
+        capacity.siblings += 1;
+        self.by_free_millicores
+            .insert((capacity.free.millicores, at));
     }
 
-    /// The place for a task of this size, among those closest to what the rule looks for.
+    /// Chooses the place for a task of this size, among those at the end of the order that the rule prefers.
     #[must_use]
     pub fn place(&self, rule: Rule, size: Size) -> Option<usize> {
         let from = (size.millicores, 0);
-        let fitting = |&(_, at): &(u64, usize)| size.fits(self.rooms[at].free).then_some(at);
-        let near: Vec<usize> = match rule {
+        let fitting = |&(_, at): &(u64, usize)| size.fits(self.places[at].free).then_some(at);
+        let candidates: Vec<usize> = match rule {
             Rule::LeastLoaded | Rule::Spread => self
-                .order
+                .by_free_millicores
                 .range(from..)
                 .rev()
                 .filter_map(fitting)
-                .take(LOOK)
+                .take(MAX_CANDIDATES)
                 .collect(),
             Rule::FirstFit | Rule::Random { .. } | Rule::BestFit => self
-                .order
+                .by_free_millicores
                 .range(from..)
                 .filter_map(fitting)
-                .take(LOOK)
+                .take(MAX_CANDIDATES)
                 .collect(),
         };
-        let rooms: Vec<Room> = near.iter().map(|&at| self.rooms[at]).collect();
-        choose::place(rule, &rooms, size).map(|nth| near[nth])
+        let capacities: Vec<Capacity> = candidates.iter().map(|&at| self.places[at]).collect();
+        choose::place(rule, &capacities, size).map(|nth| candidates[nth])
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,13 +1,13 @@
-//! Pure decisions, apart from all I/O.
+//! Scheduling decisions, free of I/O.
 //!
-//! * [`choose`]: which worker, or which rack, a task goes to.
-//! * [`Index`]: many places, of which a decision looks at few.
-//! * [`evict`]: which tasks make room for urgent work.
-//! * [`Limit`]: how many requests are let in at once.
-//! * [`Budget`]: how much may be retried.
-//! * [`detect`]: when a worker that fails its work is not trusted any more.
-//! * [`correct`]: sizes corrected from measured usage.
-//! * [`Quota`]: who may take how much.
+//! * [`choose`]: which worker, or which rack, a task is placed on.
+//! * [`Index`]: an index over many places, of which a decision scores only a few.
+//! * [`evict`]: which tasks are preempted for urgent work.
+//! * [`ConcurrencyLimit`]: how many requests are admitted at once.
+//! * [`RetryBudget`]: how much may be retried.
+//! * [`detect`]: when a worker that fails its tasks counts as faulty.
+//! * [`correct`]: reservations corrected by measured usage.
+//! * [`Quota`]: whether a team may use more resources.
 
 pub mod choose;
 mod concurrency_limit;
@@ -18,8 +18,8 @@
 mod quota;
 mod retry_budget;
 
-pub use choose::{Room, Rule};
-pub use concurrency_limit::Limit;
+pub use choose::{Capacity, Rule};
+pub use concurrency_limit::ConcurrencyLimit;
 pub use index::Index;
-pub use quota::{Quota, Standing};
-pub use retry_budget::Budget;
+pub use quota::{Quota, QuotaStatus};
+pub use retry_budget::RetryBudget;
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,55 +1,56 @@
-//! Who may take how much.
+//! Whether a team may use more resources.
 
 use resource::Size;
 
-/// The use that one team makes of its quota.
+/// A team's quota and its current use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Quota {
-    /// What the team may take when others want their share as well.
+    /// Resources guaranteed to the team when other teams use their quotas too.
     pub quota: Size,
-    /// What it takes.
+    /// Resources that the team uses.
     pub used: Size,
-    /// Whether it may use what others leave idle.
+    /// Whether the team may use resources that other teams leave idle.
     pub borrow: bool,
 }
 
-/// How a task stands towards its team's quota.
+/// Whether a task fits into its team's quota.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum QuotaStatus {
     /// Within the quota.
     Within,
-    /// Beyond it; may run on what others leave idle, and yields to them.
+    /// Over the quota; the task may run on resources that other teams leave idle, and is preempted when they need them.
     Borrowing,
-    /// Beyond it, and the team may not borrow: it waits.
-    Beyond,
+    /// Over the quota, and the team may not borrow: the task waits.
+    Exceeded,
 }
 
 impl Quota {
-    /// How one more task of this size would stand.
+    /// Status of the quota with one more task of this size.
     ///
     /// ```
     /// use policy::Quota;
-    /// use policy::Standing;
+    /// use policy::QuotaStatus;
     /// use resource::Size;
     ///
     /// let cores = |n: u64| Size::new(n * 1_000, 0, 0);
     /// let quota = Quota { quota: cores(4), used: cores(3), borrow: true };
-    /// assert_eq!(quota.standing(cores(1)), Standing::Within);
-    /// assert_eq!(quota.standing(cores(2)), Standing::Borrowing);
+    /// assert_eq!(quota.status_with(cores(1)), QuotaStatus::Within);
+    /// assert_eq!(quota.status_with(cores(2)), QuotaStatus::Borrowing);
     /// ```
     #[must_use]
-    pub fn standing(&self, size: Size) -> Standing {
+    pub fn status_with(&self, size: Size) -> QuotaStatus {
         if self.within(size) {
-            return Standing::Within;
+            return QuotaStatus::Within;
         }
         if self.borrow {
-            Standing::Borrowing
+            QuotaStatus::Borrowing
         } else {
-            Standing::Beyond
+            QuotaStatus::Exceeded
         }
     }
 
-    /// A quota of zero accelerators does not keep a team from them: they are shared by need.
+    /// Whether one more task of this size stays within the quota. A quota of zero accelerators does not exclude a team
+    /// from accelerators: those are shared by need.
     fn within(&self, size: Size) -> bool {
         let wanted = self.used.plus(size);
         wanted.millicores <= self.quota.millicores
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -1,54 +1,54 @@
 //! How much may be retried.
 
-/// Retries that one caller's requests may cause.
+/// A budget for the retries that one caller's requests may cause.
 ///
-/// Each request pays in a share of a retry, each retry takes a whole one out. When everything
-/// fails, retries add that share to the load and no more; without it a fault would multiply load.
+/// Each request deposits a fraction of a retry and each retry withdraws a whole one. If everything
+/// fails, retries add at most that fraction to the load; without a budget, retries would multiply the load during a fault.
 ///
 /// ```
-/// use policy::Budget;
+/// use policy::RetryBudget;
 ///
-/// let mut budget = Budget::new(0.5, 1.0);
-/// assert!(budget.take());
-/// assert!(!budget.take());
-/// budget.pay();
-/// budget.pay();
-/// assert!(budget.take());
+/// let mut budget = RetryBudget::new(0.5, 1.0);
+/// assert!(budget.try_withdraw());
+/// assert!(!budget.try_withdraw());
+/// budget.deposit();
+/// budget.deposit();
+/// assert!(budget.try_withdraw());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     share: f64,
-    most: f64,
-    saved: f64,
+    max: f64,
+    balance: f64,
 }
 
-impl Budget {
-    /// A budget of `share` retries per request that saves up `most`, and starts full.
+impl RetryBudget {
+    /// Creates a full budget that gains `share` retries per request and holds at most `max` retries.
     #[must_use]
-    pub const fn new(share: f64, most: f64) -> Self {
+    pub const fn new(share: f64, max: f64) -> Self {
         Self {
             share,
-            most,
-            saved: most,
+            max,
+            balance: max,
         }
     }
 
-    /// Sets the share, after a change of configuration.
+    /// Sets the retries gained per request, after a change of configuration.
     pub const fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// One request was made.
-    pub const fn pay(&mut self) {
-        self.saved = (self.saved + self.share).min(self.most);
+    /// Records a request, which adds its share of a retry.
+    pub const fn deposit(&mut self) {
+        self.balance = (self.balance + self.share).min(self.max);
     }
 
-    /// Takes one retry out, if there is one.
-    pub fn take(&mut self) -> bool {
-        if self.saved < 1.0 {
+    /// Withdraws one retry; `false` if less than one is left.
+    pub fn try_withdraw(&mut self) -> bool {
+        if self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
