--- a/crates/entry/src/bin/lentilyoke-entry.rs
+++ b/crates/entry/src/bin/lentilyoke-entry.rs
@@ -6,15 +6,15 @@
 use clap::Parser as _;
 use entry::{Entry, Settings, serve};
 use snafu::{ResultExt as _, Whatever};
-use telemetry::{Stop, logs};
+use telemetry::{Shutdown, logs};
 use tokio::net::TcpListener;
 
 #[tokio::main]
 async fn main() -> Result<(), Whatever> {
     let settings = Settings::parse();
     logs::init(&settings.telemetry.log)?;
-    let stop = Stop::default();
-    stop.on_signal();
+    let stop = Shutdown::default();
+    stop.drain_on_signal();
     let placers = settings.placers.iter().map(SocketAddr::to_string).collect();
     let entry = Entry::new(&settings.name, placers, stop.clone());
     let metrics = entry
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -6,7 +6,7 @@
 
 use config::{Service, home};
 use policy::RetryBudget;
-use telemetry::{Health, Since, Stop};
+use telemetry::{Health, Shutdown, Uptime};
 use tokio::sync::Notify;
 use wire::{Answer, Class, Fault, Job, Kind, Request, State};
 
@@ -29,8 +29,8 @@
     gate: Gate,
     budgets: Mutex<HashMap<String, RetryBudget>>,
     pub(crate) burn: Burn,
-    since: Since,
-    pub(crate) stop: Stop,
+    since: Uptime,
+    pub(crate) stop: Shutdown,
     pub(crate) health: Health,
     refresh_now: Notify,
     refreshed: Notify,
@@ -39,7 +39,7 @@
 impl Entry {
     /// An entry that knows these placers.
     #[must_use]
-    pub fn new(name: &str, placers: Vec<String>, stop: Stop) -> Arc<Self> {
+    pub fn new(name: &str, placers: Vec<String>, stop: Shutdown) -> Arc<Self> {
         Arc::new(Self {
             name: name.to_owned(),
             table: Table::new(placers),
@@ -47,7 +47,7 @@
             gate: Gate::default(),
             budgets: Mutex::default(),
             burn: Burn::default(),
-            since: Since::start(),
+            since: Uptime::start(),
             stop,
             health: Health::default(),
             refresh_now: Notify::new(),
@@ -86,7 +86,7 @@
         let Some((placer, ask)) = self.table.ask(&self.name) else {
             return;
         };
-        let asked = self.since.now();
+        let asked = self.since.elapsed();
         match self.upstream.routes(&placer, ask).await {
             Ok(routes) => self.table.learn(routes, asked),
             Err(_) => {
@@ -96,13 +96,13 @@
             }
         }
         self.refreshed.notify_waiters();
-        let fresh = self.table.is_fresh(self.since.now());
-        self.health.set(fresh && !self.stop.is_draining());
+        let fresh = self.table.is_fresh(self.since.elapsed());
+        self.health.set_ready(fresh && !self.stop.is_draining());
     }
 
     /// Runs a quick request.
     pub async fn run(&self, request: Request) -> Answer {
-        let began = self.since.now();
+        let began = self.since.elapsed();
         let (team, service) = (request.team.clone(), request.service.clone());
         let answer = self.checked(request, began).await;
         self.count(&team, &service, &answer, began);
@@ -135,7 +135,7 @@
             .tries(&request, rack, cell.policy.retry_share, began)
             .await;
         if matches!(answer, Answer::Done(_)) {
-            pass.answered(self.since.now().saturating_sub(began));
+            pass.answered(self.since.elapsed().saturating_sub(began));
         }
         answer
     }
@@ -153,7 +153,7 @@
         let mut backoff = BACKOFF;
         self.pay(&request.team, retry_share);
         loop {
-            let left = expires.saturating_sub(self.since.now());
+            let left = expires.saturating_sub(self.since.elapsed());
             if left.is_zero() {
                 return ledger.answer(Answer::fault(Kind::Deadline, "the deadline has passed"));
             }
@@ -173,7 +173,7 @@
                     }
                 },
             };
-            let spent = self.since.now().saturating_sub(began);
+            let spent = self.since.elapsed().saturating_sub(began);
             if !may_help(&answer) || spent > SEARCH || !self.may_retry(&request.team, &answer) {
                 return ledger.answer(answer);
             }
@@ -216,7 +216,7 @@
         F: Fn(String, String) -> R,
         R: Future<Output = Result<Result<State, Fault>, Missed>>,
     {
-        let began = self.since.now();
+        let began = self.since.elapsed();
         let applied = self.serving()?;
         let unknown = || Fault::new(Kind::UnknownTeam, format!("there is no team {team:?}"));
         let known = applied.cell.team(team).ok_or_else(unknown)?;
@@ -244,7 +244,7 @@
                 Err(fault) => fault,
             };
             let answer = Answer::Fault(fault);
-            if !may_help(&answer) || self.since.now().saturating_sub(began) > SEARCH {
+            if !may_help(&answer) || self.since.elapsed().saturating_sub(began) > SEARCH {
                 return match ledger.answer(answer) {
                     Answer::Fault(fault) => Err(fault),
                     Answer::Done(_) => Err(Fault::new(Kind::OwnerLost, "no answer")),
@@ -260,7 +260,7 @@
         if self.stop.is_draining() {
             return Err(Fault::new(Kind::Draining, "this entry is stopping"));
         }
-        let fresh = self.table.is_fresh(self.since.now());
+        let fresh = self.table.is_fresh(self.since.elapsed());
         let applied = self.table.applied().filter(|_| fresh);
         applied.ok_or_else(|| Fault::new(Kind::NoOwner, "this entry hears of no placer"))
     }
@@ -289,7 +289,7 @@
     }
 
     fn count(&self, team: &str, service: &str, answer: &Answer, began: Duration) {
-        let took = self.since.now().saturating_sub(began);
+        let took = self.since.elapsed().saturating_sub(began);
         let kind = match answer {
             Answer::Done(_) => "done",
             Answer::Fault(fault) => fault.kind.word(),
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -117,7 +117,7 @@
 }
 
 async fn ready(State(entry): Shared) -> StatusCode {
-    if entry.health.ready() {
+    if entry.health.is_ready() {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
--- a/crates/entry/tests/cell/mod.rs
+++ b/crates/entry/tests/cell/mod.rs
@@ -19,17 +19,17 @@
 use platform::{Host, Standing, Table as _, Transaction};
 use resource::Size;
 use standin::{Platform, Racks};
-use telemetry::Stop;
+use telemetry::Shutdown;
 use tokio::net::TcpListener;
 use wire::rpc::PlacerServer as _;
 
 pub struct Cell {
     pub platform: Arc<Platform>,
     pub racks: Racks,
-    pub placer: Stop,
+    pub placer: Shutdown,
     pub placer_address: SocketAddr,
     pub server: ServerHandle,
-    pub entry: Stop,
+    pub entry: Shutdown,
     pub address: SocketAddr,
     serving: tokio::task::JoinHandle<()>,
 }
@@ -64,7 +64,7 @@
             .await
             .unwrap();
 
-        let placer = Stop::default();
+        let placer = Shutdown::default();
         let listener = Listener::builder().build("127.0.0.1:0").await.unwrap();
         let placer_address = listener.local_addr().unwrap();
         let options = Options::new("p1", &placer_address.to_string()).place("north", "north-1");
@@ -80,7 +80,7 @@
         let server = listener.start(Server::new(Arc::clone(&node)).into_rpc());
         node.spawn();
 
-        let stop = Stop::default();
+        let stop = Shutdown::default();
         let (address, serving) = serve_entry(vec![placer_address.to_string()], &stop).await;
         let cell = Self {
             platform,
@@ -135,7 +135,7 @@
 /// Serves an entry that knows these placers.
 pub async fn serve_entry(
     placers: Vec<String>,
-    stop: &Stop,
+    stop: &Shutdown,
 ) -> (SocketAddr, tokio::task::JoinHandle<()>) {
     let entry = Entry::new("e1", placers, stop.clone());
     entry.spawn(Duration::from_millis(50));
--- a/crates/entry/tests/truth.rs
+++ b/crates/entry/tests/truth.rs
@@ -11,7 +11,7 @@
 use jsonrpsee::RpcModule;
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::server::{Server as Listener, ServerHandle};
-use telemetry::Stop;
+use telemetry::Shutdown;
 use tokio::io::AsyncReadExt as _;
 use tokio::net::TcpListener;
 use wire::{Ask, Owner, Routes};
@@ -69,7 +69,7 @@
 #[tokio::test]
 async fn an_owner_that_breaks_off_may_have_run_it() {
     let (placer, server) = naming(breaking().await).await;
-    let stop = Stop::default();
+    let stop = Shutdown::default();
     let (entry, serving) = serve_entry(vec![placer.to_string()], &stop).await;
     until_configured(entry).await;
     let got = ask(entry, "a", &headers("k", false), "x").await;
@@ -92,7 +92,7 @@
     let address = gone.local_addr().unwrap();
     drop(gone);
     let (placer, server) = naming(address).await;
-    let stop = Stop::default();
+    let stop = Shutdown::default();
     let (entry, serving) = serve_entry(vec![placer.to_string()], &stop).await;
     for _ in 0..100 {
         let got = ask(entry, "a", &headers("k", false), "x").await;
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -7,7 +7,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use log::{info, warn};
 use pool::{Mechanism, Ms};
-use telemetry::Stop;
+use telemetry::Shutdown;
 use tokio::sync::Notify;
 
 use crate::catalog::Catalog;
@@ -49,7 +49,7 @@
     pub(crate) workers: Arc<dyn Workers>,
     pub(crate) advisor: Arc<dyn Advisor>,
     pub(crate) decode: Arc<dyn Decode>,
-    pub(crate) stop: Stop,
+    pub(crate) stop: Shutdown,
     /// Start time of this process in Unix milliseconds.
     pub(crate) incarnation: u64,
     catalog: ArcSwapOption<Catalog>,
@@ -90,7 +90,7 @@
         workers: Arc<dyn Workers>,
         advisor: Arc<dyn Advisor>,
         decode: Arc<dyn Decode>,
-        stop: Stop,
+        stop: Shutdown,
     ) -> Arc<Self> {
         Arc::new(Self {
             settings,
--- a/crates/placer/src/bin/lentilyoke-placer.rs
+++ b/crates/placer/src/bin/lentilyoke-placer.rs
@@ -6,7 +6,7 @@
 use jsonrpsee::server::{Server as Listener, ServerConfig};
 use placer::{Node, Rpc, Server, Settings};
 use snafu::{ResultExt as _, Whatever};
-use telemetry::{Stop, logs};
+use telemetry::{Shutdown, logs};
 use wire::rpc::PlacerServer as _;
 
 /// Connections from entries, other placers and operators, at most.
@@ -16,8 +16,8 @@
 async fn main() -> Result<(), Whatever> {
     let settings = Settings::parse();
     logs::init(&settings.telemetry.log)?;
-    let stop = Stop::default();
-    stop.on_signal();
+    let stop = Shutdown::default();
+    stop.drain_on_signal();
     let config = ServerConfig::builder()
         .max_connections(CONNECTIONS)
         .set_tcp_no_delay(true)
--- a/crates/placer/src/claims/writer.rs
+++ b/crates/placer/src/claims/writer.rs
@@ -82,14 +82,14 @@
     }
 
     fn remember(&mut self, batch: &Batch) {
-        let now = self.node.since.now();
+        let now = self.node.since.elapsed();
         self.written
             .extend(batch.open.iter().map(|(claim, _)| (now, claim.row())));
     }
 
     /// Adds the deletion of old claims.
     fn sweep(&mut self, mut transaction: Transaction) -> Transaction {
-        let now = self.node.since.now();
+        let now = self.node.since.elapsed();
         let keep = self.node.options.remember;
         for _ in 0..SWEEP {
             match self.written.front() {
--- a/crates/placer/src/node.rs
+++ b/crates/placer/src/node.rs
@@ -14,7 +14,7 @@
 use config::{Cell, Version};
 use platform::{Hosts, Table};
 use resource::id;
-use telemetry::{Health, Since, Stop};
+use telemetry::{Health, Shutdown, Uptime};
 use tokio::sync::Notify;
 use wire::{Ask, Digest, Inventory, Owner, Routes, Seniority, Status};
 
@@ -45,9 +45,9 @@
     pub(crate) workers: Arc<dyn worker::Host>,
     pub(crate) peers: Arc<dyn Peers>,
     /// Time since its start.
-    pub since: Since,
+    pub since: Uptime,
     /// Its end.
-    pub stop: Stop,
+    pub stop: Shutdown,
     /// Whether it is ready for work.
     pub health: Health,
     pub(crate) claims: Claims,
@@ -74,7 +74,7 @@
         hosts: Arc<dyn Hosts>,
         workers: Arc<dyn worker::Host>,
         peers: Arc<dyn Peers>,
-        stop: Stop,
+        stop: Shutdown,
     ) -> Arc<Self> {
         let (claims, ends) = Claims::new();
         Arc::new(Self {
@@ -83,7 +83,7 @@
             hosts,
             workers,
             peers,
-            since: Since::start(),
+            since: Uptime::start(),
             stop,
             health: Health::default(),
             claims,
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Starts all that the placer does; it ends with the [`Stop`] that it was given.
+    /// Starts all that the placer does; it ends with the [`Shutdown`] that it was given.
     pub fn spawn(self: &Arc<Self>) {
         let ends = lock(&self.ends).take();
         if let Some(ends) = ends {
@@ -111,7 +111,7 @@
     /// Stops in good order: takes nothing new, finishes what is in hand, hands over all racks.
     pub async fn drain(&self) {
         self.stop.drain();
-        self.health.set(false);
+        self.health.set_ready(false);
         self.beat_now.notify_one();
         let deadline = tokio::time::Instant::now() + self.options.drain;
         for shard in self.shards() {
@@ -129,7 +129,7 @@
     /// Time since the start.
     #[must_use]
     pub fn now(&self) -> Now {
-        self.since.now()
+        self.since.elapsed()
     }
 
     /// The configuration to act on, with its version.
--- a/crates/placer/src/node/beat.rs
+++ b/crates/placer/src/node/beat.rs
@@ -110,7 +110,7 @@
         node.doubt(&changed);
     }
     node.health
-        .set(!node.stop.is_draining() && node.applied().is_some());
+        .set_ready(!node.stop.is_draining() && node.applied().is_some());
 }
 
 /// Learns the configuration from other placers while the table does not answer. The table may be
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -202,7 +202,7 @@
     ) -> Result<Go, Fault> {
         let (ticket, mut start) = self.queue(node, request, service, expires)?;
         self.dispatch(node.now());
-        let deadline = node.since.instant(expires);
+        let deadline = node.since.instant_at(expires);
         match tokio::time::timeout_at(deadline, &mut start).await {
             Ok(Ok(go)) => return Ok(go),
             Ok(Err(_)) => return Err(deposed()),
--- a/crates/placer/tests/world/mod.rs
+++ b/crates/placer/tests/world/mod.rs
@@ -21,7 +21,7 @@
 use platform::{Host, Standing, Table as _, Transaction};
 use resource::Size;
 use standin::{Journal, Platform, Racks};
-use telemetry::Stop;
+use telemetry::Shutdown;
 use wire::rpc::PlacerServer as _;
 use wire::{Answer, Job, Request, Shape, State};
 
@@ -117,7 +117,7 @@
             racks: self.racks.clone(),
             net: Arc::clone(&self.net),
         });
-        let stop = Stop::default();
+        let stop = Shutdown::default();
         let name = options.name.clone();
         let node = Node::new(
             options,
--- a/crates/policy/src/choose.rs
+++ b/crates/policy/src/choose.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// Penalty for placing a task that needs no accelerator where accelerators are free; more than the leftover of a whole
-/// empty host.
+/// Penalty for placing a task that needs no accelerator where accelerators are free; more than the leftover
+/// of a whole empty host.
 const WASTED_ACCELERATOR_PENALTY: f64 = 4.0;
 /// Weight of the difference between the leftover shares of processors and memory.
 const IMBALANCE_WEIGHT: f64 = 0.5;
--- a/crates/policy/src/correct.rs
+++ b/crates/policy/src/correct.rs
@@ -1,7 +1,8 @@
 //! Reservations corrected by measured usage.
 //!
-//! Declared sizes are often far off, and usage is reported late. A reservation grows as soon as a task uses more than it
-//! declared. It shrinks only if the operators allow it, only for batch work, and only after several usage reports.
+//! Declared sizes are often far off, and usage is reported late. A reservation grows as soon as a task uses
+//! more than it declared. It shrinks only if the operators allow it, only for batch work, and only after
+//! several usage reports.
 
 use resource::Size;
 
--- a/crates/policy/src/evict.rs
+++ b/crates/policy/src/evict.rs
@@ -11,11 +11,13 @@
     pub lost_work_ms: u64,
 }
 
-/// Selects the fewest tasks, and among them those that lose the least work, whose preemption frees
-/// enough for `size` on top of what is `free`; as indices into `victims`. `None` if preempting all of them is not enough.
+/// Selects the fewest tasks, and among them those that lose the least work, whose preemption frees enough for
+/// `size` on top of what is `free`; as indices into `victims`. `None` if preempting all of them is not
+/// enough.
 ///
-/// The selection is greedy: tasks that cover the most of the missing capacity come first, then those that turn out to be
-/// unnecessary are dropped. With a handful of tasks on a host this is close enough to the optimum.
+/// The selection is greedy: tasks that cover the most of the missing capacity come first, then those that
+/// turn out to be unnecessary are dropped. With a handful of tasks on a host this is close enough to the
+/// optimum.
 ///
 /// ```
 /// use policy::evict::{Victim, victims};
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -18,7 +18,8 @@
 pub enum QuotaStatus {
     /// Within the quota.
     Within,
-    /// Over the quota; the task may run on resources that other teams leave idle, and is preempted when they need them.
+    /// Over the quota; the task may run on resources that other teams leave idle, and is preempted when they
+    /// need them.
     Borrowing,
     /// Over the quota, and the team may not borrow: the task waits.
     Exceeded,
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Whether one more task of this size stays within the quota. A quota of zero accelerators does not exclude a team
-    /// from accelerators: those are shared by need.
+    /// Whether one more task of this size stays within the quota. A quota of zero accelerators does not
+    /// exclude a team from accelerators: those are shared by need.
     fn within(&self, size: Size) -> bool {
         let wanted = self.used.plus(size);
         wanted.millicores <= self.quota.millicores
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -2,8 +2,9 @@
 
 /// A budget for the retries that one caller's requests may cause.
 ///
-/// Each request deposits a fraction of a retry and each retry withdraws a whole one. If everything
-/// fails, retries add at most that fraction to the load; without a budget, retries would multiply the load during a fault.
+/// Each request deposits a fraction of a retry and each retry withdraws a whole one. If everything fails,
+/// retries add at most that fraction to the load; without a budget, retries would multiply the load during a
+/// fault.
 ///
 /// ```
 /// use policy::RetryBudget;
--- a/crates/resource/src/size.rs
+++ b/crates/resource/src/size.rs
@@ -93,7 +93,8 @@
         )
     }
 
-    /// Dominant share: the largest of the three shares of `total` that this amount takes. Above 1 if it exceeds `total`.
+    /// Dominant share: the largest of the three shares of `total` that this amount takes. Above 1 if it
+    /// exceeds `total`.
     ///
     /// A resource that is requested but that `total` has none of counts as a share of 1.
     #[must_use]
--- a/crates/standin/src/bin/lentilyoke-standin.rs
+++ b/crates/standin/src/bin/lentilyoke-standin.rs
@@ -13,7 +13,7 @@
 use snafu::{OptionExt as _, ResultExt as _, Whatever, whatever};
 use standin::serve;
 use standin::{Carried, Counts, Faults, Machine, Platform};
-use telemetry::Stop;
+use telemetry::Shutdown;
 use tokio::net::TcpListener;
 
 /// Small stand-ins for the platform and for racks of workers.
@@ -99,8 +99,8 @@
 
 #[tokio::main]
 async fn main() -> Result<(), Whatever> {
-    let stop = Stop::default();
-    stop.on_signal();
+    let stop = Shutdown::default();
+    stop.drain_on_signal();
     match Settings::parse().role {
         Role::Platform {
             listen,
@@ -177,7 +177,7 @@
 async fn listen_on(
     address: SocketAddr,
     router: Router,
-    stop: &Stop,
+    stop: &Shutdown,
 ) -> Result<SocketAddr, Whatever> {
     let listener = TcpListener::bind(address)
         .await
@@ -221,7 +221,7 @@
     whatever!("the platform does not answer: {error}")
 }
 
-async fn link_to(to: SocketAddr, delay_ms: u64, stop: &Stop) -> Result<(), Whatever> {
+async fn link_to(to: SocketAddr, delay_ms: u64, stop: &Shutdown) -> Result<(), Whatever> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(any)
         .await
--- a/crates/standin/src/racks.rs
+++ b/crates/standin/src/racks.rs
@@ -6,7 +6,7 @@
 
 use async_trait::async_trait;
 use resource::Size;
-use telemetry::Since;
+use telemetry::Uptime;
 use wire::TaskId;
 use worker::call::{
     Adopt, Adopted, Hello, Moment, Pulse, Ran, Report, Run, Start, Stop, Stopped, Throttle, Void,
@@ -19,14 +19,14 @@
 /// Machines by address.
 #[derive(Clone, Debug)]
 pub struct Racks {
-    since: Since,
+    since: Uptime,
     machines: Arc<Mutex<BTreeMap<String, Machine>>>,
 }
 
 impl Default for Racks {
     fn default() -> Self {
         Self {
-            since: Since::start(),
+            since: Uptime::start(),
             machines: Arc::default(),
         }
     }
@@ -82,7 +82,7 @@
     }
 
     fn now(&self) -> Moment {
-        self.since.now().as_millis() as Moment
+        self.since.elapsed().as_millis() as Moment
     }
 
     /// Calls a machine, unless it is frozen, in which case nothing ever answers.
--- a/crates/standin/src/serve/hosts.rs
+++ b/crates/standin/src/serve/hosts.rs
@@ -9,7 +9,7 @@
 use axum::routing::{get, post};
 use axum::{Json, Router};
 use serde::Serialize;
-use telemetry::{Since, Stop as Ending};
+use telemetry::{Shutdown, Uptime};
 use worker::Refusal;
 use worker::call::{Adopt, Moment, Pulse, Run, Start, Stop, Throttle, Void};
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct Control {
     machine: Arc<Mutex<Machine>>,
-    since: Since,
+    since: Uptime,
 }
 
 impl Control {
@@ -31,12 +31,12 @@
     pub fn new(machine: Machine) -> Self {
         Self {
             machine: Arc::new(Mutex::new(machine)),
-            since: Since::start(),
+            since: Uptime::start(),
         }
     }
 
     /// Lets time pass until the program ends.
-    pub async fn tick(self, ending: Ending) {
+    pub async fn tick(self, ending: Shutdown) {
         while ending.sleep(TICK).await {
             let now = self.now();
             self.lock().tick(now);
@@ -48,7 +48,7 @@
     }
 
     fn now(&self) -> Moment {
-        self.since.now().as_millis() as Moment
+        self.since.elapsed().as_millis() as Moment
     }
 
     /// Calls the machine, unless it is frozen: then nothing answers until it thaws.
--- a/crates/telemetry/src/health.rs
+++ b/crates/telemetry/src/health.rs
@@ -11,37 +11,41 @@
 use snafu::{ResultExt as _, Whatever};
 use tokio::net::TcpListener;
 
-use crate::Stop;
+use crate::Shutdown;
 
-/// Whether the program is ready for work; served with its metrics.
+/// Readiness of the program, served over HTTP with its metrics.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     ready: Arc<AtomicBool>,
 }
 
 impl Health {
-    /// Says whether the program is ready for work.
-    pub fn set(&self, ready: bool) {
+    /// Sets whether the program is ready for work.
+    pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::Relaxed);
     }
 
     /// Whether the program is ready for work.
     #[must_use]
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Serves `/metrics`, `/health` and `/ready`; tells the address it got.
+    /// Serves `/metrics`, `/health` and `/ready`, and returns the address that it listens on.
     ///
     /// # Errors
-    /// If the address is taken or metrics were set up before.
-    pub async fn serve(&self, address: SocketAddr, stop: &Stop) -> Result<SocketAddr, Whatever> {
+    /// If the address can't be bound or a metrics recorder is already installed.
+    pub async fn serve(
+        &self,
+        address: SocketAddr,
+        stop: &Shutdown,
+    ) -> Result<SocketAddr, Whatever> {
         let recorder = PrometheusBuilder::new()
             .install_recorder()
-            .whatever_context("metrics: set up twice")?;
+            .whatever_context("metrics: a recorder is already installed")?;
         let health = self.clone();
         let ready = move || async move {
-            if health.ready() {
+            if health.is_ready() {
                 StatusCode::OK
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
@@ -56,13 +60,13 @@
             .with_whatever_context(|_| format!("metrics: can't listen on {address}"))?;
         let address = listener
             .local_addr()
-            .whatever_context("metrics: no address")?;
-        let ended = stop.clone();
+            .whatever_context("metrics: the listener has no local address")?;
+        let shutdown = stop.clone();
         stop.spawn(async move {
             let server = axum::serve(listener, router);
             drop(
                 server
-                    .with_graceful_shutdown(async move { ended.ended().await })
+                    .with_graceful_shutdown(async move { shutdown.ended().await })
                     .await,
             );
         });
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,11 +1,11 @@
-//! What every program of the system has in common.
+//! Logging, metrics and shutdown, shared by every program of the system.
 //!
 //! * [`Settings`]: flags and environment variables for logs and metrics.
-//! * [`logs`]: JSON lines, bounded.
+//! * [`logs`]: logs as JSON lines, bounded in volume.
 //! * [`exposition`]: metrics as text.
 //! * [`Health`]: metrics, health and readiness over HTTP.
-//! * [`Stop`]: SIGTERM, and the tasks that are joined before the program ends.
-//! * [`Since`]: time since the program began.
+//! * [`Shutdown`]: graceful shutdown on SIGTERM, which waits for every task.
+//! * [`Uptime`]: time since the start of the process.
 
 pub mod exposition;
 mod health;
@@ -16,5 +16,5 @@
 
 pub use health::Health;
 pub use settings::Settings;
-pub use shutdown::Stop;
-pub use uptime::Since;
+pub use shutdown::Shutdown;
+pub use uptime::Uptime;
--- a/crates/telemetry/src/settings.rs
+++ b/crates/telemetry/src/settings.rs
@@ -4,15 +4,15 @@
 
 use clap::Args;
 
-/// Settings that every program has.
+/// Settings shared by every program.
 #[derive(Args, Clone, Debug)]
 #[group(id = "telemetry")]
 pub struct Settings {
-    /// Least severe messages that are logged.
+    /// Minimum severity of the messages that are logged.
     #[arg(long, env = "LENTILYOKE_LOG", default_value = "info",
           value_parser = ["error", "warn", "info", "debug", "trace"])]
     pub log: String,
-    /// Address of metrics, health and readiness; port 0 takes any free one.
+    /// Listen address for metrics, health and readiness; port 0 selects any free port.
     #[arg(long, env = "LENTILYOKE_METRICS", default_value = "127.0.0.1:0")]
     pub metrics: SocketAddr,
 }
--- a/crates/telemetry/src/shutdown.rs
+++ b/crates/telemetry/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! A stop that joins everything that was started.
+//! Graceful shutdown that waits for every task.
 
 use std::future::Future;
 
@@ -6,19 +6,19 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Tells every task of a program to end, and waits until they have.
+/// Signals every task of a program to end, and waits until all have ended.
 ///
-/// Stopping has two steps: first nothing new is taken while what is in hand is finished
-/// ([`Stop::draining`]), then everything ends ([`Stop::ended`]).
+/// Shutdown has two phases: while draining ([`Shutdown::draining`]), no new work is accepted and work in
+/// progress is finished; then all tasks end ([`Shutdown::ended`]).
 #[derive(Clone, Debug, Default)]
-pub struct Stop {
+pub struct Shutdown {
     drain: CancellationToken,
     end: CancellationToken,
     tasks: TaskTracker,
 }
 
-impl Stop {
-    /// Starts a task that is joined in the end.
+impl Shutdown {
+    /// Spawns a task that [`Shutdown::join`] waits for.
     pub fn spawn<F>(&self, task: F)
     where
         F: Future + Send + 'static,
@@ -27,8 +27,8 @@
         drop(self.tasks.spawn(task));
     }
 
-    /// Begins to drain when the process gets SIGTERM or SIGINT.
-    pub fn on_signal(&self) {
+    /// Starts draining when the process receives SIGTERM or SIGINT.
+    pub fn drain_on_signal(&self) {
         let stop = self.clone();
         self.spawn(async move {
             let (Ok(mut term), Ok(mut int)) = (
@@ -46,7 +46,7 @@
         });
     }
 
-    /// Calls `reload` whenever the process gets SIGHUP. Without this the signal would end the process.
+    /// Calls `reload` whenever the process receives SIGHUP, which would otherwise terminate the process.
     pub fn on_hangup(&self, reload: impl Fn() + Send + 'static) {
         let stop = self.clone();
         self.spawn(async move {
@@ -62,34 +62,34 @@
         });
     }
 
-    /// Begins to drain.
+    /// Starts draining.
     pub fn drain(&self) {
         self.drain.cancel();
     }
 
-    /// Whether nothing new is to be taken.
+    /// Whether draining has started, so that no new work may be accepted.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.drain.is_cancelled()
     }
 
-    /// Waits until draining begins.
+    /// Waits until draining starts.
     pub async fn draining(&self) {
         self.drain.cancelled().await;
     }
 
-    /// Whether everything is to end.
+    /// Whether all tasks have to end.
     #[must_use]
     pub fn is_ended(&self) -> bool {
         self.end.is_cancelled()
     }
 
-    /// Waits until everything is to end.
+    /// Waits until all tasks have to end.
     pub async fn ended(&self) {
         self.end.cancelled().await;
     }
 
-    /// Waits for this long; `false` if everything is to end before that.
+    /// Sleeps for `time`; `false` if all tasks have to end before that.
     pub async fn sleep(&self, time: std::time::Duration) -> bool {
         tokio::select! {
             () = tokio::time::sleep(time) => true,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Ends everything and waits for all tasks.
+    /// Signals all tasks to end and waits for them.
     pub async fn join(&self) {
         self.drain.cancel();
         self.end.cancel();
--- a/crates/telemetry/src/uptime.rs
+++ b/crates/telemetry/src/uptime.rs
@@ -1,17 +1,17 @@
-//! Time since the program began.
+//! Time since the start of the process.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Tells the time since it was made. It follows tokio's clock, which tests can pause.
+/// A monotonic clock that starts at zero when it is created. It follows tokio's clock, which tests can pause.
 #[derive(Clone, Copy, Debug)]
-pub struct Since {
+pub struct Uptime {
     start: Instant,
 }
 
-impl Since {
-    /// Begins now.
+impl Uptime {
+    /// Starts the clock.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -21,13 +21,13 @@
 
     /// Time since the start.
     #[must_use]
-    pub fn now(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// The instant at which `now` will say this.
+    /// The instant at which [`Uptime::elapsed`] returns `at`.
     #[must_use]
-    pub fn instant(&self, at: Duration) -> Instant {
+    pub fn instant_at(&self, at: Duration) -> Instant {
         self.start + at
     }
 }
