--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,25 +1,25 @@
-//! Pure decisions, apart from all I/O.
+//! Scheduling decisions, free of I/O.
 //!
-//! * [`choose`]: which worker, or which rack, a task goes to.
-//! * [`Index`]: many places, of which a decision looks at few.
-//! * [`evict`]: which tasks make room for urgent work.
-//! * [`Limit`]: how many requests are let in at once.
-//! * [`Budget`]: how much may be retried.
-//! * [`detect`]: when a worker that fails its work is not trusted any more.
-//! * [`correct`]: sizes corrected from measured usage.
-//! * [`Quota`]: who may take how much.
+//! * [`choose`]: which worker, or which rack, a task is placed on.
+//! * [`Index`]: an index over many places, of which a decision scores only a few.
+//! * [`evict`]: which tasks are preempted for urgent work.
+//! * [`ConcurrencyLimit`]: how many requests are admitted at once.
+//! * [`RetryBudget`]: how much may be retried.
+//! * [`detect`]: when a worker that fails its tasks counts as faulty.
+//! * [`correct`]: reservations corrected by measured usage.
+//! * [`Quota`]: whether a team may use more resources.
 
-mod budget;
 pub mod choose;
+mod concurrency_limit;
 pub mod correct;
 pub mod detect;
 pub mod evict;
 mod index;
-mod limit;
 mod quota;
+mod retry_budget;
 
-pub use budget::Budget;
-pub use choose::{Room, Rule};
+pub use choose::{Capacity, Rule};
+pub use concurrency_limit::ConcurrencyLimit;
 pub use index::Index;
-pub use limit::Limit;
-pub use quota::{Quota, Standing};
+pub use quota::{Quota, QuotaStatus};
+pub use retry_budget::RetryBudget;
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,20 +1,20 @@
-//! What every program of the system has in common.
+//! Logging, metrics and shutdown, shared by every program of the system.
 //!
 //! * [`Settings`]: flags and environment variables for logs and metrics.
-//! * [`logs`]: JSON lines, bounded.
-//! * [`exposed`]: metrics as text.
+//! * [`logs`]: logs as JSON lines, bounded in volume.
+//! * [`exposition`]: metrics as text.
 //! * [`Health`]: metrics, health and readiness over HTTP.
-//! * [`Stop`]: SIGTERM, and the tasks that are joined before the program ends.
-//! * [`Since`]: time since the program began.
+//! * [`Shutdown`]: graceful shutdown on SIGTERM, which waits for every task.
+//! * [`Uptime`]: time since the start of the process.
 
-pub mod exposed;
+pub mod exposition;
 mod health;
 pub mod logs;
 mod settings;
-mod since;
-mod stop;
+mod shutdown;
+mod uptime;
 
 pub use health::Health;
 pub use settings::Settings;
-pub use since::Since;
-pub use stop::Stop;
+pub use shutdown::Shutdown;
+pub use uptime::Uptime;
