--- a/crates/bench/src/bin/lentilyoke-bench.rs
+++ b/crates/bench/src/bin/lentilyoke-bench.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use bench::truth::{self, Journal};
+use bench::verify::{self, Journal};
 use bench::{Options, Workload, play};
 use clap::Parser;
 use hyper::Method;
@@ -59,7 +59,7 @@
         "{} requests asked; workers ran {runs} and started {starts} tasks",
         asked.len()
     );
-    let findings = truth::check(&asked, &journals);
+    let findings = verify::check(&asked, &journals);
     if !findings.is_clean() {
         whatever!("some answers were not true: {findings:?}");
     }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -3,12 +3,12 @@
 //! * [`Workload`]: what callers ask, read from a file.
 //! * [`play`]: asks it, in open loop.
 //! * [`Tally`]: what callers got, by stream.
-//! * [`truth`]: holds the answers against the workers' journals.
+//! * [`verify`]: holds the answers against the workers' journals.
 
 mod client;
 mod load;
 mod tally;
-pub mod truth;
+pub mod verify;
 mod workload;
 
 pub use client::{Client, Got, Outcome};
--- a/crates/model/src/ownership.rs
+++ b/crates/model/src/ownership.rs
@@ -19,7 +19,7 @@
 //!
 //! Times are what is left of them, in ticks, so the search needs no last tick: it covers histories
 //! of any length. The workers' rule is the code's own ([`worker::Slot`]); the owner's rules are
-//! restated here, and `tests/in_step.rs` holds them against `cell::fence` on random histories.
+//! restated here, and `tests/conformance.rs` holds them against `cell::fence` on random histories.
 
 use worker::Slot;
 
