--- a/crates/model/src/bin/lentilyoke-model.rs
+++ b/crates/model/src/bin/lentilyoke-model.rs
@@ -1,21 +1,22 @@
-//! Prints bounds, numbers of states and the shortest bad trace without each safeguard.
+//! Searches every specification with all safeguards and without each of them; prints the number of
+//! states or a shortest trace to a violation.
 
-use model::{Found, Spec, claims, configuration, gang, ownership, search, tasks};
+use model::{SearchResult, Spec, claims, configuration, gang, ownership, search, tasks};
 
 fn main() {
-    show(
+    print_search(
         "ownership, all safeguards",
         &ownership_with(ownership::Guards::ALL),
     );
     for (name, guards) in ownership_without() {
-        show(
+        print_search(
             &format!("ownership without {name}"),
             &ownership_with(guards),
         );
     }
-    show("claims, all safeguards", &claims_with(claims::Guards::ALL));
+    print_search("claims, all safeguards", &claims_with(claims::Guards::ALL));
     let all = claims::Guards::ALL;
-    show(
+    print_search(
         "claims without claim",
         &claims_with(claims::Guards {
             claim: false,
@@ -26,59 +27,62 @@
         claim_checks_owner: false,
         ..all
     };
-    show("claims without claim_checks_owner", &claims_with(guards));
-    show(
-        "claims without memory",
+    print_search("claims without claim_checks_owner", &claims_with(guards));
+    print_search(
+        "claims without deduplicate",
         &claims_with(claims::Guards {
-            memory: false,
+            deduplicate: false,
             ..all
         }),
     );
-    show(
-        "claims without ledger",
+    print_search(
+        "claims without track_lost_answers",
         &claims_with(claims::Guards {
-            ledger: false,
+            track_lost_answers: false,
             ..all
         }),
     );
-    show(
-        "claims without void",
-        &claims_with(claims::Guards { void: false, ..all }),
+    print_search(
+        "claims without void_unanswered",
+        &claims_with(claims::Guards {
+            void_unanswered: false,
+            ..all
+        }),
     );
     let all = tasks::Guards::ALL;
-    show("tasks, all safeguards", &tasks_with(all));
-    show(
-        "tasks without seniority",
+    print_search("tasks, all safeguards", &tasks_with(all));
+    print_search(
+        "tasks without reject_older",
         &tasks_with(tasks::Guards {
-            seniority: false,
+            reject_older: false,
             ..all
         }),
     );
-    show(
-        "tasks without addressed",
+    print_search(
+        "tasks without check_rack_epoch",
         &tasks_with(tasks::Guards {
-            addressed: false,
+            check_rack_epoch: false,
             ..all
         }),
     );
-    show(
-        "tasks without outrank",
+    print_search(
+        "tasks without learn_home_owners",
         &tasks_with(tasks::Guards {
-            outrank: false,
+            learn_home_owners: false,
             ..all
         }),
     );
-    show(
-        "tasks without count_all",
+    print_search(
+        "tasks without query_all_racks",
         &tasks_with(tasks::Guards {
-            count_all: false,
+            query_all_racks: false,
             ..all
         }),
     );
-    show(
-        "tasks without doubt",
+    print_search(
+        "tasks without verify_unanswered",
         &tasks_with(tasks::Guards {
-            doubt: false,
+            verify_unanswered: false,
             ..all
         }),
     );
@@ -87,61 +91,64 @@
         guards,
         versions: 3,
         outages: 1,
-        mishaps: 2,
+        faults: 2,
     };
-    show("configuration, all safeguards", &with(all));
-    show(
-        "configuration without compare",
+    print_search("configuration, all safeguards", &with(all));
+    print_search(
+        "configuration without compare_and_set",
         &with(configuration::Guards {
-            compare: false,
+            compare_and_set: false,
             ..all
         }),
     );
-    show(
-        "configuration without rising",
+    print_search(
+        "configuration without monotonic",
         &with(configuration::Guards {
-            rising: false,
+            monotonic: false,
             ..all
         }),
     );
-    show(
-        "configuration without confirm",
+    print_search(
+        "configuration without wait_for_confirmation",
         &with(configuration::Guards {
-            confirm: false,
+            wait_for_confirmation: false,
             ..all
         }),
     );
     let guards = configuration::Guards {
-        learn_first: false,
+        learn_before_serving: false,
         ..all
     };
-    show("configuration without learn_first", &with(guards));
-    show(
-        "configuration without fresh",
+    print_search("configuration without learn_before_serving", &with(guards));
+    print_search(
+        "configuration without learn_after_pause",
         &with(configuration::Guards {
-            fresh: false,
+            learn_after_pause: false,
             ..all
         }),
     );
     let guards = configuration::Guards {
-        give_fresh: false,
+        share_only_when_serving: false,
         ..all
     };
-    show("configuration without give_fresh", &with(guards));
+    print_search(
+        "configuration without share_only_when_serving",
+        &with(guards),
+    );
     let all = gang::Guards::ALL;
-    show("gang, all safeguards", &gang::Gang { guards: all });
+    print_search("gang, all safeguards", &gang::Gang { guards: all });
     let guards = gang::Guards {
         hold_first: false,
         ..all
     };
-    show("gang without hold_first", &gang::Gang { guards });
-    show(
+    print_search("gang without hold_first", &gang::Gang { guards });
+    print_search(
         "gang without undo",
         &gang::Gang {
             guards: gang::Guards { undo: false, ..all },
         },
     );
-    show(
+    print_search(
         "gang without serial",
         &gang::Gang {
             guards: gang::Guards {
@@ -152,14 +159,14 @@
     );
 }
 
-fn show<S: Spec>(name: &str, spec: &S) {
+fn print_search<S: Spec>(name: &str, spec: &S) {
     let start = std::time::Instant::now();
     match search(spec) {
-        Found::Holds { states } => {
+        SearchResult::Holds { states } => {
             println!("{name}: holds in {states} states ({:.1?})", start.elapsed());
         }
-        Found::Bad { what, trace } => {
-            println!("{name}: {what}, after {} steps:", trace.len());
+        SearchResult::Violated { violation, trace } => {
+            println!("{name}: {violation}, after {} steps:", trace.len());
             for step in trace {
                 println!("    {step}");
             }
@@ -200,7 +207,13 @@
                 ..all
             },
         ),
-        ("wait", ownership::Guards { wait: false, ..all }),
+        (
+            "takeover_delay",
+            ownership::Guards {
+                takeover_delay: false,
+                ..all
+            },
+        ),
         (
             "confirm",
             ownership::Guards {
@@ -208,11 +221,17 @@
                 ..all
             },
         ),
-        ("life", ownership::Guards { life: false, ..all }),
         (
-            "occupied",
+            "incarnation",
+            ownership::Guards {
+                incarnation: false,
+                ..all
+            },
+        ),
+        (
+            "keep_clear_of_runs",
             ownership::Guards {
-                occupied: false,
+                keep_clear_of_runs: false,
                 ..all
             },
         ),
@@ -226,7 +245,7 @@
 fn tasks_with(guards: tasks::Guards) -> tasks::Tasks {
     tasks::Tasks {
         guards,
-        homes: 2,
+        home_epochs: 2,
         attempts: 3,
         handovers: 2,
     }
--- a/crates/model/src/claims.rs
+++ b/crates/model/src/claims.rs
@@ -1,35 +1,38 @@
-//! Claims: a non-idempotent request runs at most once, and "not run" is true.
+//! Claims: a non-idempotent request runs at most once, and the answer "not run" is true.
 //!
-//! One request is asked twice, through two entries. Two placers own the rack one after the other;
-//! the table fences claims by the rack's row, and may lose an answer after the write took effect.
-//! Start commands are delayed without bound and duplicated; the worker honours the epoch only once
-//! the new owner has adopted it, so an old owner's command can still start work there before that.
+//! One request is submitted twice, through two entries. Two placers own the rack one after the
+//! other. The table fences claims by the rack's row, and its answer can be lost after the write has
+//! taken effect. Start commands are delayed without bound and duplicated. A worker enforces a new
+//! epoch only after the new owner has adopted it, so until then a command of the old owner can still
+//! start work there.
 
 use std::collections::BTreeSet;
 
-use crate::{Spec, Steps};
+use crate::{Spec, Successors};
 
-/// Number of asks.
-pub const ASKS: usize = 2;
+/// Number of submissions of the request.
+pub const SUBMISSIONS: usize = 2;
 /// Number of placers.
 pub const PLACERS: usize = 2;
 /// Number of workers.
 pub const WORKERS: usize = 2;
 
-/// Safeguards; the protocol has them all.
+/// Safeguards. The protocol has all of them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Guards {
     /// A request is claimed before it is started.
     pub claim: bool,
-    /// A claim fails if the rack has another owner. The search shows that nothing untrue follows
-    /// without it; it spares callers a "may have run" where "not run" can be said.
+    /// A claim fails if the rack has another owner. The search shows that no violation follows
+    /// without this check: it only lets the answer be "not run" where it would otherwise be "may
+    /// have run".
     pub claim_checks_owner: bool,
-    /// An owner remembers what it was asked, so that the second ask joins the first.
-    pub memory: bool,
-    /// An answer that was lost counts as "may have run", even if a later one says "not run".
-    pub ledger: bool,
-    /// A start that brought no answer is voided at its worker before "not run" is said.
-    pub void: bool,
+    /// An owner remembers the requests that it received, so that a second submission joins the
+    /// first.
+    pub deduplicate: bool,
+    /// After a lost answer the entry answers "may have run", even if a later answer is "not run".
+    pub track_lost_answers: bool,
+    /// A start command without an answer is voided at its worker before "not run" is answered.
+    pub void_unanswered: bool,
 }
 
 impl Guards {
@@ -37,9 +40,9 @@
     pub const ALL: Self = Self {
         claim: true,
         claim_checks_owner: true,
-        memory: true,
-        ledger: true,
-        void: true,
+        deduplicate: true,
+        track_lost_answers: true,
+        void_unanswered: true,
     };
 }
 
@@ -52,48 +55,48 @@
     pub epochs: u8,
 }
 
-/// What a caller was told.
+/// Answer to a caller.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-enum Told {
+enum Answer {
     Done,
     NotRun,
     MayHaveRun,
 }
 
-/// What an owner knows of the request.
+/// Progress of the request at an owner.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 enum Progress {
     #[default]
-    Unheard,
-    Heard,
+    NotReceived,
+    Received,
     Claimed,
     Sent {
         worker: usize,
     },
-    Ended(Option<Told>),
+    Ended(Option<Answer>),
 }
 
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 struct Placer {
     epoch: u8,
     progress: Progress,
-    /// The asks that wait for this owner, as bits.
-    asks: u8,
+    /// Submissions that wait for this owner, as a bit mask.
+    submissions: u8,
 }
 
-/// Where an ask stands at its entry.
+/// State of a submission at its entry.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Ask {
+enum Submission {
     Open {
-        lost: bool,
-        tries: u8,
+        answer_lost: bool,
+        attempts: u8,
     },
     Waiting {
         placer: usize,
-        lost: bool,
-        tries: u8,
+        answer_lost: bool,
+        attempts: u8,
     },
-    Told(Told),
+    Answered(Answer),
 }
 
 /// The whole system.
@@ -102,18 +105,18 @@
     epoch: u8,
     claim: Option<u8>,
     placers: [Placer; PLACERS],
-    asks: [Ask; ASKS],
-    /// Epoch that each worker obeys.
-    slots: [u8; WORKERS],
-    /// Attempts that each worker ran or voided: (epoch, ran).
+    submissions: [Submission; SUBMISSIONS],
+    /// Epoch that each worker enforces.
+    worker_epochs: [u8; WORKERS],
+    /// Start commands that each worker has run or voided: (epoch, whether it was run).
     seen: [BTreeSet<(u8, bool)>; WORKERS],
-    /// Starts under way: (worker, epoch).
-    mail: BTreeSet<(usize, u8)>,
+    /// Start commands in flight: (worker, epoch).
+    in_flight: BTreeSet<(usize, u8)>,
     runs: u8,
 }
 
 impl Claims {
-    fn take(&self, state: &State, steps: &mut Steps<State>) {
+    fn take_over(&self, state: &State, successors: &mut Successors<State>) {
         if state.epoch == self.epochs {
             return;
         }
@@ -124,25 +127,30 @@
                 epoch: next.epoch,
                 ..Placer::default()
             };
-            // Asks that waited for the same process in its former life get no answer.
-            for ask in &mut next.asks {
-                if let Ask::Waiting { placer, tries, .. } = *ask
+            // Submissions that wait for the previous incarnation of the process get no answer.
+            for submission in &mut next.submissions {
+                if let Submission::Waiting {
+                    placer, attempts, ..
+                } = *submission
                     && placer == p
                 {
-                    *ask = Ask::Open { lost: true, tries };
+                    *submission = Submission::Open {
+                        answer_lost: true,
+                        attempts,
+                    };
                 }
             }
             let epoch = next.epoch;
-            steps.push(|| format!("p{p} takes epoch {epoch}"), next);
+            successors.push(|| format!("p{p} takes over under epoch {epoch}"), next);
         }
     }
 
-    fn adopt(&self, state: &State, steps: &mut Steps<State>) {
+    fn adopt(&self, state: &State, successors: &mut Successors<State>) {
         for w in 0..WORKERS {
-            if state.slots[w] < state.epoch {
+            if state.worker_epochs[w] < state.epoch {
                 let mut next = state.clone();
-                next.slots[w] = state.epoch;
-                steps.push(
+                next.worker_epochs[w] = state.epoch;
+                successors.push(
                     || format!("w{w} is adopted under epoch {}", state.epoch),
                     next,
                 );
@@ -150,105 +158,127 @@
         }
     }
 
-    fn ask(&self, state: &State, steps: &mut Steps<State>) {
-        for a in 0..ASKS {
-            match state.asks[a] {
-                Ask::Open { lost, tries } if tries < 2 => {
+    fn submit(&self, state: &State, successors: &mut Successors<State>) {
+        for a in 0..SUBMISSIONS {
+            match state.submissions[a] {
+                Submission::Open {
+                    answer_lost,
+                    attempts,
+                } if attempts < 2 => {
                     for p in (0..PLACERS).filter(|p| state.placers[*p].epoch > 0) {
-                        self.arrive(state, a, p, lost, tries, steps);
+                        self.receive(state, a, p, answer_lost, attempts, successors);
                     }
                 }
-                Ask::Waiting { placer, tries, .. } => {
+                Submission::Waiting {
+                    placer, attempts, ..
+                } => {
                     let mut next = state.clone();
-                    next.asks[a] = Ask::Open { lost: true, tries };
-                    next.placers[placer].asks &= !(1 << a);
-                    steps.push(
-                        || format!("the connection of ask {a} to p{placer} breaks"),
+                    next.submissions[a] = Submission::Open {
+                        answer_lost: true,
+                        attempts,
+                    };
+                    next.placers[placer].submissions &= !(1 << a);
+                    successors.push(
+                        || format!("the connection of submission {a} to p{placer} breaks"),
                         next,
                     );
                 }
-                Ask::Open { lost, .. } => self.give_up(state, a, lost, steps),
-                Ask::Told(_) => {}
+                Submission::Open { answer_lost, .. } => {
+                    self.abandon(state, a, answer_lost, successors);
+                }
+                Submission::Answered(_) => {}
             }
         }
     }
 
-    fn arrive(
+    fn receive(
         &self,
         state: &State,
         a: usize,
         p: usize,
-        lost: bool,
-        tries: u8,
-        steps: &mut Steps<State>,
+        answer_lost: bool,
+        attempts: u8,
+        successors: &mut Successors<State>,
     ) {
         let mut next = state.clone();
-        let tries = tries + 1;
-        next.asks[a] = Ask::Waiting {
+        let attempts = attempts + 1;
+        next.submissions[a] = Submission::Waiting {
             placer: p,
-            lost,
-            tries,
+            answer_lost,
+            attempts,
         };
         let placer = &mut next.placers[p];
-        placer.asks |= 1 << a;
-        let again = placer.progress != Progress::Unheard && !self.guards.memory;
-        if placer.progress == Progress::Unheard || again {
-            placer.progress = Progress::Heard;
+        placer.submissions |= 1 << a;
+        let again = placer.progress != Progress::NotReceived && !self.guards.deduplicate;
+        if placer.progress == Progress::NotReceived || again {
+            placer.progress = Progress::Received;
         }
-        steps.push(|| format!("ask {a} reaches p{p}"), next);
+        successors.push(|| format!("submission {a} reaches p{p}"), next);
     }
 
-    /// An entry that has no try left says what it may say.
-    fn give_up(&self, state: &State, a: usize, lost: bool, steps: &mut Steps<State>) {
+    /// Answers a submission whose entry has no attempt left.
+    fn abandon(
+        &self,
+        state: &State,
+        a: usize,
+        answer_lost: bool,
+        successors: &mut Successors<State>,
+    ) {
         let mut next = state.clone();
-        let told = if lost && self.guards.ledger {
-            Told::MayHaveRun
+        let answer = if answer_lost && self.guards.track_lost_answers {
+            Answer::MayHaveRun
         } else {
-            Told::NotRun
+            Answer::NotRun
         };
-        next.asks[a] = Ask::Told(told);
-        steps.push(|| format!("ask {a} is told {told:?}"), next);
+        next.submissions[a] = Submission::Answered(answer);
+        successors.push(
+            || format!("the entry answers submission {a}: {answer:?}"),
+            next,
+        );
     }
 
-    fn work(&self, state: &State, p: usize, steps: &mut Steps<State>) {
+    fn advance(&self, state: &State, p: usize, successors: &mut Successors<State>) {
         let placer = state.placers[p];
         match placer.progress {
-            Progress::Unheard => {}
-            Progress::Heard => self.claim(state, p, steps),
+            Progress::NotReceived => {}
+            Progress::Received => self.claim(state, p, successors),
             Progress::Claimed => {
-                for w in (0..WORKERS).filter(|w| state.slots[*w] >= placer.epoch) {
+                for w in (0..WORKERS).filter(|w| state.worker_epochs[*w] >= placer.epoch) {
                     let mut next = state.clone();
-                    next.mail.insert((w, placer.epoch));
+                    next.in_flight.insert((w, placer.epoch));
                     next.placers[p].progress = Progress::Sent { worker: w };
-                    steps.push(|| format!("p{p} sends the start to w{w}"), next);
+                    successors.push(|| format!("p{p} sends the start command to w{w}"), next);
                 }
                 let mut next = state.clone();
-                next.placers[p].progress = Progress::Ended(Some(Told::NotRun));
-                steps.push(|| format!("p{p} gives up before the start"), next);
+                next.placers[p].progress = Progress::Ended(Some(Answer::NotRun));
+                successors.push(
+                    || format!("p{p} abandons the request before the start"),
+                    next,
+                );
             }
-            Progress::Sent { worker } => self.resolve(state, p, worker, steps),
-            Progress::Ended(told) => self.tell(state, p, told, steps),
+            Progress::Sent { worker } => self.resolve(state, p, worker, successors),
+            Progress::Ended(answer) => self.reply(state, p, answer, successors),
         }
     }
 
-    fn claim(&self, state: &State, p: usize, steps: &mut Steps<State>) {
+    fn claim(&self, state: &State, p: usize, successors: &mut Successors<State>) {
         let epoch = state.placers[p].epoch;
         let mut next = state.clone();
         if !self.guards.claim {
             next.placers[p].progress = Progress::Claimed;
-            steps.push(|| format!("p{p} does not claim"), next);
+            successors.push(|| format!("p{p} does not claim"), next);
             return;
         }
         let owner = state.epoch == epoch || !self.guards.claim_checks_owner;
         if !owner {
-            next.placers[p].progress = Progress::Ended(Some(Told::NotRun));
-            steps.push(|| format!("the claim of p{p} fails: another owner"), next);
+            next.placers[p].progress = Progress::Ended(Some(Answer::NotRun));
+            successors.push(|| format!("the claim of p{p} fails: another owner"), next);
             return;
         }
         match state.claim {
             Some(other) if other != epoch => {
-                next.placers[p].progress = Progress::Ended(Some(Told::MayHaveRun));
-                steps.push(
+                next.placers[p].progress = Progress::Ended(Some(Answer::MayHaveRun));
+                successors.push(
                     || format!("the claim of p{p} fails: claimed under {other}"),
                     next,
                 );
@@ -256,69 +286,79 @@
             _ => {
                 next.claim = Some(epoch);
                 let mut lost = next.clone();
-                // Not started: it may be told so, although the claim stands there.
-                lost.placers[p].progress = Progress::Ended(Some(Told::NotRun));
-                steps.push(
+                // The request was not started, so "not run" is true although the claim is stored.
+                lost.placers[p].progress = Progress::Ended(Some(Answer::NotRun));
+                successors.push(
                     || format!("the claim of p{p} is written, the answer is lost"),
                     lost,
                 );
                 next.placers[p].progress = Progress::Claimed;
-                steps.push(|| format!("p{p} claims under epoch {epoch}"), next);
+                successors.push(|| format!("p{p} claims under epoch {epoch}"), next);
             }
         }
     }
 
-    /// The owner hears of the run, or that there was none, or nothing.
-    fn resolve(&self, state: &State, p: usize, w: usize, steps: &mut Steps<State>) {
+    /// Ends the request after its start command: with the result, as not run, or as unknown.
+    fn resolve(&self, state: &State, p: usize, w: usize, successors: &mut Successors<State>) {
         let epoch = state.placers[p].epoch;
-        let end = |told: Told, label: String, steps: &mut Steps<State>| {
+        let end = |answer: Answer, label: String, successors: &mut Successors<State>| {
             let mut next = state.clone();
-            next.placers[p].progress = Progress::Ended(Some(told));
-            steps.push(|| label, next);
+            next.placers[p].progress = Progress::Ended(Some(answer));
+            successors.push(|| label, next);
         };
         if state.seen[w].contains(&(epoch, true)) {
-            end(Told::Done, format!("w{w} answers p{p}"), steps);
+            end(Answer::Done, format!("w{w} answers p{p}"), successors);
         }
         end(
-            Told::MayHaveRun,
-            format!("w{w} can't be asked by p{p}"),
-            steps,
+            Answer::MayHaveRun,
+            format!("w{w} is unreachable for p{p}"),
+            successors,
         );
-        if state.slots[w] > epoch {
-            // Only a refusal of this very command shows that it was not started, and the
-            // command may be delivered again; but the slot never goes back.
+        if state.worker_epochs[w] > epoch {
+            // Only a refusal of this command shows that it was not started. The command may be
+            // delivered again, but the worker's epoch never decreases.
             if !state.seen[w].contains(&(epoch, true)) {
-                end(Told::NotRun, format!("w{w} refuses p{p}: fenced"), steps);
+                end(
+                    Answer::NotRun,
+                    format!("w{w} refuses p{p}: fenced"),
+                    successors,
+                );
             }
             return;
         }
         if state.seen[w].contains(&(epoch, true)) {
             return;
         }
-        if self.guards.void {
+        if self.guards.void_unanswered {
             let mut next = state.clone();
             next.seen[w].insert((epoch, false));
-            next.placers[p].progress = Progress::Ended(Some(Told::NotRun));
-            steps.push(|| format!("p{p} voids the start at w{w}"), next);
+            next.placers[p].progress = Progress::Ended(Some(Answer::NotRun));
+            successors.push(|| format!("p{p} voids the start at w{w}"), next);
         } else {
             end(
-                Told::NotRun,
-                format!("p{p} takes silence of w{w} for not run"),
-                steps,
+                Answer::NotRun,
+                format!("p{p} treats the missing answer of w{w} as not run"),
+                successors,
             );
         }
     }
 
-    fn tell(&self, state: &State, p: usize, told: Option<Told>, steps: &mut Steps<State>) {
-        let Some(told) = told else {
+    fn reply(
+        &self,
+        state: &State,
+        p: usize,
+        answer: Option<Answer>,
+        successors: &mut Successors<State>,
+    ) {
+        let Some(answer) = answer else {
             return;
         };
-        for a in 0..ASKS {
-            let Ask::Waiting {
+        for a in 0..SUBMISSIONS {
+            let Submission::Waiting {
                 placer,
-                lost,
-                tries,
-            } = state.asks[a]
+                answer_lost,
+                attempts,
+            } = state.submissions[a]
             else {
                 continue;
             };
@@ -326,28 +366,33 @@
                 continue;
             }
             let mut next = state.clone();
-            next.placers[p].asks &= !(1 << a);
-            next.asks[a] = match told {
-                Told::NotRun if tries < 2 => Ask::Open { lost, tries },
-                Told::NotRun if lost && self.guards.ledger => Ask::Told(Told::MayHaveRun),
-                told => Ask::Told(told),
+            next.placers[p].submissions &= !(1 << a);
+            next.submissions[a] = match answer {
+                Answer::NotRun if attempts < 2 => Submission::Open {
+                    answer_lost,
+                    attempts,
+                },
+                Answer::NotRun if answer_lost && self.guards.track_lost_answers => {
+                    Submission::Answered(Answer::MayHaveRun)
+                }
+                answer => Submission::Answered(answer),
             };
-            // What certainly did not run may be asked again.
-            if told == Told::NotRun && next.placers[p].asks == 0 {
-                next.placers[p].progress = Progress::Unheard;
+            // A request that certainly did not run may be submitted again.
+            if answer == Answer::NotRun && next.placers[p].submissions == 0 {
+                next.placers[p].progress = Progress::NotReceived;
             }
-            steps.push(|| format!("p{p} answers ask {a}: {told:?}"), next);
+            successors.push(|| format!("p{p} answers submission {a}: {answer:?}"), next);
         }
     }
 
-    fn deliver(&self, state: &State, steps: &mut Steps<State>) {
-        for &(w, epoch) in &state.mail {
+    fn deliver(&self, state: &State, successors: &mut Successors<State>) {
+        for &(w, epoch) in &state.in_flight {
             let known = state.seen[w].iter().any(|(e, _)| *e == epoch);
-            if epoch == state.slots[w] && !known {
+            if epoch == state.worker_epochs[w] && !known {
                 let mut next = state.clone();
                 next.seen[w].insert((epoch, true));
                 next.runs += 1;
-                steps.push(|| format!("w{w} runs it for epoch {epoch}"), next);
+                successors.push(|| format!("w{w} runs the request for epoch {epoch}"), next);
             }
         }
     }
@@ -356,41 +401,49 @@
 impl Spec for Claims {
     type State = State;
 
-    fn first(&self) -> State {
+    fn initial(&self) -> State {
         State {
             epoch: 0,
             claim: None,
             placers: [Placer::default(); PLACERS],
-            asks: [Ask::Open {
-                lost: false,
-                tries: 0,
-            }; ASKS],
-            slots: [0; WORKERS],
+            submissions: [Submission::Open {
+                answer_lost: false,
+                attempts: 0,
+            }; SUBMISSIONS],
+            worker_epochs: [0; WORKERS],
             seen: [BTreeSet::new(), BTreeSet::new()],
-            mail: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             runs: 0,
         }
     }
 
-    fn steps(&self, state: &State, steps: &mut Steps<State>) {
-        self.take(state, steps);
-        self.adopt(state, steps);
-        self.ask(state, steps);
+    fn successors(&self, state: &State, successors: &mut Successors<State>) {
+        self.take_over(state, successors);
+        self.adopt(state, successors);
+        self.submit(state, successors);
         for p in 0..PLACERS {
-            self.work(state, p, steps);
+            self.advance(state, p, successors);
         }
-        self.deliver(state, steps);
+        self.deliver(state, successors);
     }
 
-    fn bad(&self, state: &State) -> Option<&'static str> {
+    fn violation(&self, state: &State) -> Option<&'static str> {
         if state.runs > 1 {
-            return Some("it ran twice");
+            return Some("the request ran twice");
         }
-        let told = |wanted| state.asks.iter().all(|ask| *ask == Ask::Told(wanted));
-        if told(Told::NotRun) && state.runs > 0 {
-            return Some("every ask was told that it did not run, and it ran");
+        let all_answered = |wanted| {
+            state
+                .submissions
+                .iter()
+                .all(|submission| *submission == Submission::Answered(wanted))
+        };
+        if all_answered(Answer::NotRun) && state.runs > 0 {
+            return Some("every submission was answered \"not run\", but the request ran");
         }
-        let done = state.asks.contains(&Ask::Told(Told::Done));
-        (done && state.runs == 0).then_some("an ask was told that it ran, and it did not")
+        let done = state
+            .submissions
+            .contains(&Submission::Answered(Answer::Done));
+        (done && state.runs == 0)
+            .then_some("a submission was answered \"done\", but the request did not run")
     }
 }
--- a/crates/model/src/configuration.rs
+++ b/crates/model/src/configuration.rs
@@ -1,41 +1,41 @@
-//! Configuration: what is accepted is in force everywhere and never reverts.
+//! Configuration: an accepted configuration is in force everywhere and never reverts.
 //!
-//! Two operators race; two processes serve, one of them can restart while the table is down and
-//! another can be cut off from the table. A process learns from the table or from the other one.
+//! Two operators race. Two processes serve, and each can be paused or restarted while the table is
+//! up or down. A process learns the configuration from the table or from the other process.
 
-use crate::{Spec, Steps};
+use crate::{Spec, Successors};
 
 /// Number of processes.
 pub const PROCESSES: usize = 2;
 /// Number of operators.
 pub const OPERATORS: usize = 2;
 
-/// Safeguards; the protocol has them all.
+/// Safeguards. The protocol has all of them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Guards {
     /// The row is written by compare-and-set.
-    pub compare: bool,
-    /// A process applies only rising versions.
-    pub rising: bool,
-    /// "Accepted" is said once every live process has confirmed.
-    pub confirm: bool,
-    /// A process does not serve before it has learnt a version from somebody.
-    pub learn_first: bool,
-    /// A process that was paused learns the version from somebody before it serves again.
-    pub fresh: bool,
-    /// Only a process that may serve gives its configuration to others.
-    pub give_fresh: bool,
+    pub compare_and_set: bool,
+    /// A process applies only versions above the one that it has applied.
+    pub monotonic: bool,
+    /// "Accepted" is reported only once every running process has confirmed the version.
+    pub wait_for_confirmation: bool,
+    /// A restarted process does not serve before it has learnt a version from the table or a peer.
+    pub learn_before_serving: bool,
+    /// A process that was paused learns a version from the table or a peer before it serves again.
+    pub learn_after_pause: bool,
+    /// Only a process that serves shares its configuration with others.
+    pub share_only_when_serving: bool,
 }
 
 impl Guards {
     /// All safeguards.
     pub const ALL: Self = Self {
-        compare: true,
-        rising: true,
-        confirm: true,
-        learn_first: true,
-        fresh: true,
-        give_fresh: true,
+        compare_and_set: true,
+        monotonic: true,
+        wait_for_confirmation: true,
+        learn_before_serving: true,
+        learn_after_pause: true,
+        share_only_when_serving: true,
     };
 }
 
@@ -46,30 +46,30 @@
     pub guards: Guards,
     /// Highest version.
     pub versions: u8,
-    /// Outages of the table.
+    /// Maximum number of outages of the table.
     pub outages: u8,
-    /// Restarts and pauses of processes.
-    pub mishaps: u8,
+    /// Maximum number of restarts and pauses of processes.
+    pub faults: u8,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Process {
     applied: u8,
-    /// The highest that it ever applied in this life.
+    /// Highest version applied in this incarnation.
     highest: u8,
     serving: bool,
-    /// It takes no step, and is counted as dead; it does not know.
+    /// The process makes no progress and is regarded as crashed, without being aware of it.
     paused: bool,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Operator {
     Idle,
-    /// Has read this version and edits it.
+    /// Has read this version and is editing it.
     Editing(u8),
     /// Has written this version.
     Written(u8),
-    /// Has said that this version, made from that one, is accepted.
+    /// Was told that the first version, which was edited from the second, is accepted.
     Accepted(u8, u8),
     Refused,
 }
@@ -83,51 +83,54 @@
     operators: [Operator; OPERATORS],
     bases: [u8; OPERATORS],
     accepted: u8,
-    /// A change that was written was overwritten by one that did not know it.
+    /// Whether a change was overwritten by an operator who had not read it.
     overwritten: bool,
     outages: u8,
-    mishaps: u8,
+    faults: u8,
     reverted: bool,
 }
 
 impl Configuration {
-    fn operate(&self, state: &State, o: usize, steps: &mut Steps<State>) {
+    fn operate(&self, state: &State, o: usize, successors: &mut Successors<State>) {
         match state.operators[o] {
             Operator::Idle if state.up => {
                 let mut next = state.clone();
                 next.operators[o] = Operator::Editing(state.row);
                 next.bases[o] = state.row;
-                steps.push(|| format!("operator {o} reads version {}", state.row), next);
+                successors.push(|| format!("operator {o} reads version {}", state.row), next);
             }
             Operator::Editing(base) if state.up && state.row < self.versions => {
                 let mut next = state.clone();
-                if self.guards.compare && base != state.row {
+                if self.guards.compare_and_set && base != state.row {
                     next.operators[o] = Operator::Refused;
-                    steps.push(|| format!("operator {o} gets a conflict"), next);
+                    successors.push(|| format!("operator {o} gets a conflict"), next);
                     return;
                 }
                 next.overwritten |= base != state.row;
                 next.row += 1;
                 next.operators[o] = Operator::Written(next.row);
                 let row = next.row;
-                steps.push(|| format!("operator {o} writes version {row}"), next);
+                successors.push(|| format!("operator {o} writes version {row}"), next);
             }
             Operator::Written(version) => {
                 let live = state.processes.iter().filter(|p| !p.paused);
                 let confirmed = live.clone().all(|p| p.applied >= version);
-                if (!confirmed || !state.up) && self.guards.confirm {
+                if (!confirmed || !state.up) && self.guards.wait_for_confirmation {
                     return;
                 }
                 let mut next = state.clone();
                 next.operators[o] = Operator::Accepted(version, state.bases[o]);
                 next.accepted = next.accepted.max(version);
-                steps.push(|| format!("operator {o} is told: {version} accepted"), next);
+                successors.push(
+                    || format!("version {version} is reported to operator {o} as accepted"),
+                    next,
+                );
             }
             _ => {}
         }
     }
 
-    fn learn(&self, state: &State, p: usize, steps: &mut Steps<State>) {
+    fn learn(&self, state: &State, p: usize, successors: &mut Successors<State>) {
         let process = state.processes[p];
         if process.paused {
             return;
@@ -137,13 +140,13 @@
             sources.push(("the table".to_owned(), state.row));
         }
         for (other, peer) in state.processes.iter().enumerate() {
-            let gives = peer.serving || !self.guards.give_fresh;
-            if other != p && !peer.paused && peer.applied > 0 && gives {
+            let shares = peer.serving || !self.guards.share_only_when_serving;
+            if other != p && !peer.paused && peer.applied > 0 && shares {
                 sources.push((format!("process {other}"), peer.applied));
             }
         }
         for (source, version) in sources {
-            let newer = version > process.applied || !self.guards.rising;
+            let newer = version > process.applied || !self.guards.monotonic;
             if version == 0 || (!newer && process.serving) {
                 continue;
             }
@@ -155,43 +158,43 @@
             learner.serving = true;
             next.reverted |= learner.applied < learner.highest;
             learner.highest = learner.highest.max(learner.applied);
-            steps.push(
+            successors.push(
                 || format!("process {p} learns {version} from {source}"),
                 next,
             );
         }
     }
 
-    fn mishaps(&self, state: &State, steps: &mut Steps<State>) {
+    fn faults(&self, state: &State, successors: &mut Successors<State>) {
         if state.up && state.outages < self.outages {
             let mut next = state.clone();
             next.up = false;
             next.outages += 1;
-            steps.push(|| "the table goes down".to_owned(), next);
+            successors.push(|| "the table goes down".to_owned(), next);
         }
         if !state.up {
             let mut next = state.clone();
             next.up = true;
-            steps.push(|| "the table comes back".to_owned(), next);
+            successors.push(|| "the table comes back".to_owned(), next);
         }
         for p in 0..PROCESSES {
             if state.processes[p].paused {
                 let mut next = state.clone();
                 next.processes[p].paused = false;
-                next.processes[p].serving = !self.guards.fresh;
-                steps.push(|| format!("process {p} goes on"), next);
+                next.processes[p].serving = !self.guards.learn_after_pause;
+                successors.push(|| format!("process {p} resumes"), next);
                 continue;
             }
-            if state.mishaps == self.mishaps {
+            if state.faults == self.faults {
                 continue;
             }
             let mut next = state.clone();
-            next.mishaps += 1;
+            next.faults += 1;
             let mut paused = next.clone();
             paused.processes[p].paused = true;
-            steps.push(|| format!("process {p} is paused"), paused);
-            let serving = !self.guards.learn_first;
-            // It starts with what its program was shipped with: the first version.
+            successors.push(|| format!("process {p} is paused"), paused);
+            let serving = !self.guards.learn_before_serving;
+            // Without the safeguard it starts with the first version, which ships with the program.
             let applied = if serving { 1 } else { 0 };
             next.processes[p] = Process {
                 applied,
@@ -199,7 +202,7 @@
                 serving,
                 paused: false,
             };
-            steps.push(|| format!("process {p} restarts"), next);
+            successors.push(|| format!("process {p} restarts"), next);
         }
     }
 }
@@ -207,7 +210,7 @@
 impl Spec for Configuration {
     type State = State;
 
-    fn first(&self) -> State {
+    fn initial(&self) -> State {
         let process = Process {
             applied: 1,
             highest: 1,
@@ -223,22 +226,22 @@
             accepted: 1,
             overwritten: false,
             outages: 0,
-            mishaps: 0,
+            faults: 0,
             reverted: false,
         }
     }
 
-    fn steps(&self, state: &State, steps: &mut Steps<State>) {
+    fn successors(&self, state: &State, successors: &mut Successors<State>) {
         for o in 0..OPERATORS {
-            self.operate(state, o, steps);
+            self.operate(state, o, successors);
         }
         for p in 0..PROCESSES {
-            self.learn(state, p, steps);
+            self.learn(state, p, successors);
         }
-        self.mishaps(state, steps);
+        self.faults(state, successors);
     }
 
-    fn bad(&self, state: &State) -> Option<&'static str> {
+    fn violation(&self, state: &State) -> Option<&'static str> {
         let serving = state.processes.iter().filter(|p| p.serving && !p.paused);
         if serving.clone().any(|p| p.applied < state.accepted) {
             return Some("a process serves under an older configuration than the accepted one");
--- a/crates/model/src/gang.rs
+++ b/crates/model/src/gang.rs
@@ -1,24 +1,25 @@
-//! Gangs: all of a gang run, or what was started is stopped again.
+//! Gangs: either all members of a gang run, or those that were started are stopped again.
 //!
-//! Two racks hold room for one member each. Holds lapse at any time; messages are delayed without
-//! bound and duplicated. No member starts before every rack has held its member; and at rest, when
-//! the gang's owner has nothing left to do and nothing is under way, all members run or none.
+//! Two racks each reserve capacity for one member (a hold). Holds expire at any time. Messages are
+//! delayed without bound, duplicated and lost. No member starts before every rack has held its
+//! member. In a quiescent state, when the gang's owner has finished and no message is in flight,
+//! either all members run or none.
 
 use std::collections::BTreeSet;
 
-use crate::{Spec, Steps};
+use crate::{Spec, Successors};
 
 /// Number of racks, each with one member.
 pub const RACKS: usize = 2;
 
-/// Safeguards; the protocol has them all.
+/// Safeguards. The protocol has all of them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Guards {
-    /// Nothing is started before every rack holds its member.
+    /// No member is started before every rack holds its member.
     pub hold_first: bool,
-    /// A failed start undoes the members that were started.
+    /// After a failed start the members that were started are undone.
     pub undo: bool,
-    /// A rack turns away messages older than the last that it has heard.
+    /// A rack rejects messages whose serial is not above the last one that it received.
     pub serial: bool,
 }
 
@@ -39,7 +40,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-enum Word {
+enum Request {
     Hold,
     Commit,
     Undo,
@@ -54,7 +55,7 @@
 
 /// What the gang's owner does next.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Plan {
+enum Phase {
     Holding {
         rack: usize,
     },
@@ -64,164 +65,184 @@
     Undoing {
         rack: usize,
     },
-    /// It waits for the answer to the word that it sent to this rack.
-    Asked {
+    /// Waits for the reply to the request that it sent to this rack.
+    AwaitingReply {
         rack: usize,
-        word: Word,
+        request: Request,
         serial: u8,
     },
     Started,
-    GaveUp,
+    Aborted,
 }
 
 /// The whole system.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
-    plan: Plan,
+    phase: Phase,
     serial: u8,
     members: [Member; RACKS],
-    heard: [u8; RACKS],
-    /// Every rack has held its member.
+    /// Serial of the last message that each rack received.
+    last_serial: [u8; RACKS],
+    /// Whether each rack has ever held its member.
     held: [bool; RACKS],
-    /// Messages under way: rack, word, serial.
-    mail: BTreeSet<(usize, Word, u8)>,
+    /// Messages in flight: rack, request, serial.
+    in_flight: BTreeSet<(usize, Request, u8)>,
 }
 
 impl Gang {
-    fn send(&self, state: &State, rack: usize, word: Word, steps: &mut Steps<State>) {
+    fn send(
+        &self,
+        state: &State,
+        rack: usize,
+        request: Request,
+        successors: &mut Successors<State>,
+    ) {
         let mut next = state.clone();
         next.serial += 1;
-        next.mail.insert((rack, word, next.serial));
-        next.plan = Plan::Asked {
+        next.in_flight.insert((rack, request, next.serial));
+        next.phase = Phase::AwaitingReply {
             rack,
-            word,
+            request,
             serial: next.serial,
         };
-        steps.push(|| format!("the owner sends {word:?} to rack {rack}"), next);
+        successors.push(
+            || format!("the owner sends {request:?} to rack {rack}"),
+            next,
+        );
     }
 
-    fn owner(&self, state: &State, steps: &mut Steps<State>) {
-        match state.plan {
-            Plan::Holding { rack } => self.send(state, rack, Word::Hold, steps),
-            Plan::Committing { rack } => self.send(state, rack, Word::Commit, steps),
-            Plan::Undoing { rack } => self.send(state, rack, Word::Undo, steps),
-            Plan::Asked { rack, word, .. } => {
+    fn advance_owner(&self, state: &State, successors: &mut Successors<State>) {
+        match state.phase {
+            Phase::Holding { rack } => self.send(state, rack, Request::Hold, successors),
+            Phase::Committing { rack } => self.send(state, rack, Request::Commit, successors),
+            Phase::Undoing { rack } => self.send(state, rack, Request::Undo, successors),
+            Phase::AwaitingReply { rack, request, .. } => {
                 let mut next = state.clone();
-                next.plan = self.after_failure(rack, word);
-                steps.push(|| format!("no answer to {word:?} from rack {rack}"), next);
+                next.phase = self.after_failure(rack, request);
+                successors.push(|| format!("no reply to {request:?} from rack {rack}"), next);
             }
-            Plan::Started | Plan::GaveUp => {}
+            Phase::Started | Phase::Aborted => {}
         }
     }
 
-    /// A rack refuses, or does not answer.
-    fn after_failure(&self, rack: usize, word: Word) -> Plan {
-        match word {
-            // An undo is sent until it is answered.
-            Word::Undo => Plan::Undoing { rack },
-            _ if self.guards.undo => Plan::Undoing { rack: 0 },
-            _ => Plan::GaveUp,
+    /// Returns the phase after a rack has refused a request or not replied to it.
+    fn after_failure(&self, rack: usize, request: Request) -> Phase {
+        match request {
+            // An undo is repeated until it is acknowledged.
+            Request::Undo => Phase::Undoing { rack },
+            _ if self.guards.undo => Phase::Undoing { rack: 0 },
+            _ => Phase::Aborted,
         }
     }
 
-    fn after_success(&self, rack: usize, word: Word) -> Plan {
+    fn after_success(&self, rack: usize, request: Request) -> Phase {
         let last = rack + 1 == RACKS;
-        match word {
-            Word::Hold if !self.guards.hold_first => Plan::Committing { rack },
-            Word::Hold if last => Plan::Committing { rack: 0 },
-            Word::Hold => Plan::Holding { rack: rack + 1 },
-            Word::Commit if last => Plan::Started,
-            Word::Commit if !self.guards.hold_first => Plan::Holding { rack: rack + 1 },
-            Word::Commit => Plan::Committing { rack: rack + 1 },
-            Word::Undo if last => Plan::GaveUp,
-            Word::Undo => Plan::Undoing { rack: rack + 1 },
+        match request {
+            Request::Hold if !self.guards.hold_first => Phase::Committing { rack },
+            Request::Hold if last => Phase::Committing { rack: 0 },
+            Request::Hold => Phase::Holding { rack: rack + 1 },
+            Request::Commit if last => Phase::Started,
+            Request::Commit if !self.guards.hold_first => Phase::Holding { rack: rack + 1 },
+            Request::Commit => Phase::Committing { rack: rack + 1 },
+            Request::Undo if last => Phase::Aborted,
+            Request::Undo => Phase::Undoing { rack: rack + 1 },
         }
     }
 
-    fn deliver(&self, state: &State, steps: &mut Steps<State>) {
-        for message in &state.mail {
-            let (rack, word, serial) = *message;
+    fn deliver(&self, state: &State, successors: &mut Successors<State>) {
+        for message in &state.in_flight {
+            let (rack, request, serial) = *message;
             let mut next = state.clone();
-            next.mail.remove(message);
-            steps.push(|| format!("lost: {word:?} to rack {rack}"), next.clone());
-            if self.guards.serial && serial <= state.heard[rack] {
+            next.in_flight.remove(message);
+            successors.push(|| format!("lost: {request:?} to rack {rack}"), next.clone());
+            if self.guards.serial && serial <= state.last_serial[rack] {
                 continue;
             }
-            next.heard[rack] = serial;
+            next.last_serial[rack] = serial;
             let member = state.members[rack];
-            let (after, done) = match (word, member) {
-                (Word::Hold, Member::Free) => (Member::Held, true),
-                (Word::Hold, other) => (other, true),
-                (Word::Commit, Member::Held) => (Member::Running, true),
-                (Word::Commit, other) => (other, false),
-                (Word::Undo, _) => (Member::Free, true),
+            let (after, accepted) = match (request, member) {
+                (Request::Hold, Member::Free) => (Member::Held, true),
+                (Request::Hold, other) => (other, true),
+                (Request::Commit, Member::Held) => (Member::Running, true),
+                (Request::Commit, other) => (other, false),
+                (Request::Undo, _) => (Member::Free, true),
             };
             next.members[rack] = after;
             next.held[rack] |= after == Member::Held;
-            steps.push(
-                || format!("rack {rack} hears {word:?}, no answer"),
+            successors.push(
+                || format!("rack {rack} receives {request:?}, no reply"),
                 next.clone(),
             );
             let mut again = next.clone();
-            again.mail.insert(*message);
-            steps.push(
-                || format!("rack {rack} hears {word:?}, no answer, and will again"),
+            again.in_flight.insert(*message);
+            successors.push(
+                || format!("rack {rack} receives {request:?}, no reply, duplicate in flight"),
                 again,
             );
-            if state.plan == (Plan::Asked { rack, word, serial }) {
-                next.plan = match done {
-                    true => self.after_success(rack, word),
-                    false => self.after_failure(rack, word),
+            if state.phase
+                == (Phase::AwaitingReply {
+                    rack,
+                    request,
+                    serial,
+                })
+            {
+                next.phase = match accepted {
+                    true => self.after_success(rack, request),
+                    false => self.after_failure(rack, request),
                 };
             }
             let mut again = next.clone();
-            again.mail.insert(*message);
-            steps.push(
-                || format!("rack {rack} answers {word:?}: {done}, and will again"),
+            again.in_flight.insert(*message);
+            successors.push(
+                || format!("rack {rack} replies to {request:?}: {accepted}, duplicate in flight"),
                 again,
             );
-            steps.push(|| format!("rack {rack} answers {word:?}: {done}"), next);
+            successors.push(
+                || format!("rack {rack} replies to {request:?}: {accepted}"),
+                next,
+            );
         }
     }
 
-    fn lapse(&self, state: &State, steps: &mut Steps<State>) {
+    fn expire_holds(&self, state: &State, successors: &mut Successors<State>) {
         for rack in 0..RACKS {
             if state.members[rack] == Member::Held {
                 let mut next = state.clone();
                 next.members[rack] = Member::Free;
-                steps.push(|| format!("the hold of rack {rack} lapses"), next);
+                successors.push(|| format!("the hold of rack {rack} expires"), next);
             }
         }
     }
 }
 
-/// Messages after which the search stops.
-const SERIALS: u8 = 9;
+/// Number of messages of the owner after which the search ends.
+const MAX_MESSAGES: u8 = 9;
 
 impl Spec for Gang {
     type State = State;
 
-    fn first(&self) -> State {
+    fn initial(&self) -> State {
         State {
-            plan: Plan::Holding { rack: 0 },
+            phase: Phase::Holding { rack: 0 },
             serial: 0,
             members: [Member::Free; RACKS],
-            heard: [0; RACKS],
+            last_serial: [0; RACKS],
             held: [false; RACKS],
-            mail: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
         }
     }
 
-    fn steps(&self, state: &State, steps: &mut Steps<State>) {
-        if state.serial < SERIALS {
-            self.owner(state, steps);
+    fn successors(&self, state: &State, successors: &mut Successors<State>) {
+        if state.serial < MAX_MESSAGES {
+            self.advance_owner(state, successors);
         }
-        self.deliver(state, steps);
-        self.lapse(state, steps);
+        self.deliver(state, successors);
+        self.expire_holds(state, successors);
     }
 
-    fn bad(&self, state: &State) -> Option<&'static str> {
-        let at_rest = matches!(state.plan, Plan::Started | Plan::GaveUp) && state.mail.is_empty();
+    fn violation(&self, state: &State) -> Option<&'static str> {
+        let quiescent =
+            matches!(state.phase, Phase::Started | Phase::Aborted) && state.in_flight.is_empty();
         let running = state
             .members
             .iter()
@@ -230,7 +251,8 @@
         if running > 0 && state.held.contains(&false) {
             return Some("a member runs although the gang was never complete");
         }
-        let part = running > 0 && running < RACKS;
-        (at_rest && part).then_some("a part of the gang runs, and nobody will stop it")
+        let partial = running > 0 && running < RACKS;
+        (quiescent && partial)
+            .then_some("only some members of the gang run, and nothing will stop them")
     }
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,12 +1,12 @@
 //! Small specifications of the core protocol and the search that checks them.
 //!
-//! * [`Spec`]: a specification: first states, steps, and what must never be.
-//! * [`search`]: the shortest way to a bad state, or the number of states without one.
-//! * [`ownership`]: a key never runs in two places, whoever owns the rack.
-//! * [`claims`]: a non-idempotent request runs at most once, and "not run" is true.
-//! * [`tasks`]: two attempts at one task never run at once, whoever looks after the job.
-//! * [`configuration`]: what is accepted is in force everywhere and never reverts.
-//! * [`gang`]: all of a gang or none of it.
+//! * [`Spec`]: a specification: an initial state, a successor function and an invariant.
+//! * [`search`]: returns a shortest trace to a violation, or the number of states if there is none.
+//! * [`ownership`]: a key never runs in two places, even while the ownership of its rack changes.
+//! * [`claims`]: a non-idempotent request runs at most once, and the answer "not run" is true.
+//! * [`tasks`]: two attempts at one task never run at once, even while the owner of the job changes.
+//! * [`configuration`]: an accepted configuration is in force everywhere and never reverts.
+//! * [`gang`]: either all members of a gang run or none.
 
 pub mod claims;
 pub mod configuration;
@@ -16,5 +16,5 @@
 mod spec;
 pub mod tasks;
 
-pub use search::{Found, search};
-pub use spec::{Spec, Steps};
+pub use search::{SearchResult, search};
+pub use spec::{Spec, Successors};
--- a/crates/model/src/search.rs
+++ b/crates/model/src/search.rs
@@ -1,61 +1,62 @@
-//! The search.
+//! Breadth-first search of a specification's states.
 
 use std::cell::Cell;
 
 use pathfinding::directed::bfs::bfs;
 
-use crate::{Spec, Steps};
+use crate::{Spec, Successors};
 
-/// What a search has found.
+/// Result of a search.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Found {
-    /// No state is bad; so many were visited.
+pub enum SearchResult {
+    /// Every reachable state satisfies the invariants.
     Holds {
-        /// Number of states.
+        /// Number of states visited.
         states: usize,
     },
-    /// The shortest way to a bad state.
-    Bad {
-        /// What is untrue in it.
-        what: &'static str,
-        /// What happens, step by step.
+    /// A reachable state violates an invariant.
+    Violated {
+        /// Description of the violation.
+        violation: &'static str,
+        /// Labels of the transitions on a shortest path to the state.
         trace: Vec<String>,
     },
 }
 
-impl Found {
-    /// Whether no state is bad.
+impl SearchResult {
+    /// Whether every reachable state satisfies the invariants.
     #[must_use]
     pub const fn holds(&self) -> bool {
         matches!(self, Self::Holds { .. })
     }
 }
 
-/// Searches a specification, nearest states first, so that the first bad one has the shortest
-/// trace.
-pub fn search<S: Spec>(spec: &S) -> Found {
+/// Searches a specification breadth first, so that the first violation found has a shortest trace.
+pub fn search<S: Spec>(spec: &S) -> SearchResult {
     let states = Cell::new(0);
     let next = |state: &S::State| {
         states.set(states.get() + 1);
-        let mut steps = Steps::new(false);
-        spec.steps(state, &mut steps);
-        steps.into_states()
+        let mut successors = Successors::new(false);
+        spec.successors(state, &mut successors);
+        successors.into_states()
     };
-    let path = bfs(&spec.first(), next, |state| spec.bad(state).is_some());
+    let path = bfs(&spec.initial(), next, |state| {
+        spec.violation(state).is_some()
+    });
     let Some(path) = path else {
-        return Found::Holds {
+        return SearchResult::Holds {
             states: states.get(),
         };
     };
     let label = |pair: &[S::State]| {
-        let mut steps = Steps::new(true);
-        spec.steps(&pair[0], &mut steps);
-        steps.label(&pair[1]).unwrap_or_default().to_owned()
+        let mut successors = Successors::new(true);
+        spec.successors(&pair[0], &mut successors);
+        successors.label(&pair[1]).unwrap_or_default().to_owned()
     };
     let trace = path.windows(2).map(label).collect();
-    let what = path
+    let violation = path
         .last()
-        .and_then(|state| spec.bad(state))
+        .and_then(|state| spec.violation(state))
         .unwrap_or_default();
-    Found::Bad { what, trace }
+    SearchResult::Violated { violation, trace }
 }
--- a/crates/model/src/spec.rs
+++ b/crates/model/src/spec.rs
@@ -1,33 +1,33 @@
-//! What a specification is.
+//! The interface of a specification.
 
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// A specification: pure data and a successor function.
+/// A specification: an initial state, a successor function and an invariant.
 pub trait Spec {
     /// A state of the whole system.
     type State: Clone + Debug + Eq + Hash;
 
-    /// The state in which everything begins.
-    fn first(&self) -> Self::State;
+    /// The initial state.
+    fn initial(&self) -> Self::State;
 
-    /// Everything that can happen next.
-    fn steps(&self, state: &Self::State, steps: &mut Steps<Self::State>);
+    /// Collects every state that can follow this one.
+    fn successors(&self, state: &Self::State, successors: &mut Successors<Self::State>);
 
-    /// What is untrue in this state that must always hold, if anything.
-    fn bad(&self, state: &Self::State) -> Option<&'static str>;
+    /// Describes the invariant that this state violates, if any.
+    fn violation(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// Collects what can happen next; labels are made only when somebody reads them.
+/// Collects the successors of a state. Labels are formatted only if they are requested.
 #[derive(Debug)]
-pub struct Steps<S> {
+pub struct Successors<S> {
     labelled: bool,
     labels: Vec<String>,
     states: Vec<S>,
 }
 
-impl<S> Steps<S> {
-    /// Collects states, and labels if they are wanted.
+impl<S> Successors<S> {
+    /// Creates an empty collection, which keeps labels only if `labelled`.
     #[must_use]
     pub const fn new(labelled: bool) -> Self {
         Self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Something can happen.
+    /// Adds a successor with the label of the transition to it.
     pub fn push(&mut self, label: impl FnOnce() -> String, state: S) {
         if self.labelled {
             self.labels.push(label());
@@ -45,15 +45,15 @@
         self.states.push(state);
     }
 
-    /// The states that can come next.
+    /// Returns the collected states.
     #[must_use]
     pub fn into_states(self) -> Vec<S> {
         self.states
     }
 }
 
-impl<S: PartialEq> Steps<S> {
-    /// The label of the step to this state.
+impl<S: PartialEq> Successors<S> {
+    /// Returns the label of the first transition to this state.
     #[must_use]
     pub fn label(&self, to: &S) -> Option<&str> {
         let at = self.states.iter().position(|state| state == to)?;
--- a/crates/model/src/tasks.rs
+++ b/crates/model/src/tasks.rs
@@ -1,40 +1,40 @@
-//! Tasks: two attempts at one task never run at once, whoever looks after the job.
+//! Tasks: two attempts at one task never run at once, even while the owner of the job changes.
 //!
-//! The job's home rack changes its owner; two racks can take the task, and change their owners as
-//! well. Orders are delayed without bound and duplicated; each names the rack's epoch that it is
-//! meant for. A rack's owner knows what it holds; a new one learns it from the workers, and who
-//! owns the home rack from the table.
+//! The owner of the job's home rack changes. Two racks can run the task, and their owners change as
+//! well. Start commands are delayed without bound and duplicated; each names the epoch of the rack
+//! that it is addressed to. A rack's owner knows which attempts run there. A new one learns them
+//! from the workers, and the owner of the home rack from the table.
 
 use std::collections::BTreeSet;
 
-use crate::{Spec, Steps};
+use crate::{Spec, Successors};
 
-/// Number of racks that can take the task.
+/// Number of racks that can run the task.
 pub const RACKS: usize = 2;
 
-/// Safeguards; the protocol has them all.
+/// Safeguards. The protocol has all of them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Guards {
-    /// A rack's owner turns away orders that are older than the last message it has heard.
-    pub seniority: bool,
-    /// An order names the rack's epoch, and a later owner of the rack turns it away.
-    pub addressed: bool,
-    /// A new owner of a rack learns from the table who owns the home racks.
-    pub outrank: bool,
-    /// A new owner of the home rack asks all racks before it starts the task anew.
-    pub count_all: bool,
-    /// An order that was not answered is asked after before the task is started anew.
-    pub doubt: bool,
+    /// A rack's owner rejects commands that are older than the last message that it received.
+    pub reject_older: bool,
+    /// A command names the rack's epoch, and a later owner of the rack rejects it.
+    pub check_rack_epoch: bool,
+    /// A new owner of a rack learns the owners of the home racks from the table.
+    pub learn_home_owners: bool,
+    /// A new owner of the home rack queries all racks before it starts the task again.
+    pub query_all_racks: bool,
+    /// After an unanswered command the rack is queried before the task is started again.
+    pub verify_unanswered: bool,
 }
 
 impl Guards {
     /// All safeguards.
     pub const ALL: Self = Self {
-        seniority: true,
-        addressed: true,
-        outrank: true,
-        count_all: true,
-        doubt: true,
+        reject_older: true,
+        check_rack_epoch: true,
+        learn_home_owners: true,
+        query_all_racks: true,
+        verify_unanswered: true,
     };
 }
 
@@ -44,52 +44,52 @@
     /// Which safeguards are in place.
     pub guards: Guards,
     /// Highest epoch of the home rack.
-    pub homes: u8,
-    /// Attempts.
+    pub home_epochs: u8,
+    /// Maximum number of attempts.
     pub attempts: u8,
-    /// Changes of owner of the racks.
+    /// Maximum number of ownership changes of the racks.
     pub handovers: u8,
 }
 
-/// What the home rack's owner believes.
+/// The task as the home rack's owner knows it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Belief {
-    /// An earlier owner may have placed it; racks that were asked, as bits.
-    Unknown { asked: u8 },
-    /// It waits.
+enum TaskView {
+    /// An earlier owner may have started it. The racks that were queried are a bit mask.
+    Unknown { queried: u8 },
+    /// It waits for a start.
     Waiting,
-    /// It was ordered from a rack.
-    Ordered {
+    /// A start command was sent to a rack.
+    Commanded {
         rack: usize,
         attempt: u8,
         serial: u8,
     },
 }
 
-/// The owner of the home rack.
+/// An owner of the home rack.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-struct Desk {
+struct HomeOwner {
     epoch: u8,
     serial: u8,
-    belief: Belief,
+    view: TaskView,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Rack {
     epoch: u8,
-    /// The last message that its owner has heard: epoch and serial.
-    heard: (u8, u8),
+    /// Epoch and serial of the last message that its owner received.
+    last_message: (u8, u8),
     /// Attempts that run on its workers.
     running: BTreeSet<u8>,
-    /// Attempts that its workers have seen.
+    /// Attempts that its workers have started.
     seen: BTreeSet<u8>,
 }
 
-/// An order under way.
+/// A start command in flight.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-struct Order {
+struct Command {
     rack: usize,
-    to: u8,
+    rack_epoch: u8,
     epoch: u8,
     serial: u8,
     attempt: u8,
@@ -98,29 +98,29 @@
 /// The whole system.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
-    home: u8,
-    /// Owners of the home rack, the deposed ones included: they may still act.
-    desks: Vec<Desk>,
+    home_epoch: u8,
+    /// Owners of the home rack, including deposed ones, which may still act.
+    home_owners: Vec<HomeOwner>,
     racks: Vec<Rack>,
-    /// Orders under way.
-    mail: BTreeSet<Order>,
+    /// Start commands in flight.
+    in_flight: BTreeSet<Command>,
     attempts: u8,
     handovers: u8,
 }
 
 impl Tasks {
-    fn depose(&self, state: &State, steps: &mut Steps<State>) {
-        if state.home < self.homes {
+    fn change_owners(&self, state: &State, successors: &mut Successors<State>) {
+        if state.home_epoch < self.home_epochs {
             let mut next = state.clone();
-            next.home += 1;
-            let belief = Belief::Unknown { asked: 0 };
-            next.desks.push(Desk {
-                epoch: next.home,
+            next.home_epoch += 1;
+            let view = TaskView::Unknown { queried: 0 };
+            next.home_owners.push(HomeOwner {
+                epoch: next.home_epoch,
                 serial: 0,
-                belief,
+                view,
             });
-            let home = next.home;
-            steps.push(|| format!("the home rack has owner {home}"), next);
+            let home_epoch = next.home_epoch;
+            successors.push(|| format!("the home rack has owner {home_epoch}"), next);
         }
         if state.handovers == self.handovers {
             return;
@@ -130,115 +130,128 @@
             next.handovers += 1;
             let rack = &mut next.racks[r];
             rack.epoch += 1;
-            rack.heard = if self.guards.outrank {
-                (state.home, 0)
+            rack.last_message = if self.guards.learn_home_owners {
+                (state.home_epoch, 0)
             } else {
                 (0, 0)
             };
             let epoch = rack.epoch;
-            steps.push(|| format!("rack {r} is taken under epoch {epoch}"), next);
+            successors.push(
+                || format!("rack {r} is taken over under epoch {epoch}"),
+                next,
+            );
         }
     }
 
-    fn order(&self, state: &State, d: usize, steps: &mut Steps<State>) {
-        let desk = state.desks[d];
-        if desk.belief != Belief::Waiting || state.attempts == self.attempts {
+    fn send_command(&self, state: &State, h: usize, successors: &mut Successors<State>) {
+        let home_owner = state.home_owners[h];
+        if home_owner.view != TaskView::Waiting || state.attempts == self.attempts {
             return;
         }
         for rack in 0..RACKS {
             let mut next = state.clone();
-            let (attempt, serial) = (state.attempts, desk.serial + 1);
+            let (attempt, serial) = (state.attempts, home_owner.serial + 1);
             next.attempts += 1;
-            next.desks[d].serial = serial;
-            next.desks[d].belief = Belief::Ordered {
+            next.home_owners[h].serial = serial;
+            next.home_owners[h].view = TaskView::Commanded {
                 rack,
                 attempt,
                 serial,
             };
-            let to = state.racks[rack].epoch;
-            next.mail.insert(Order {
+            let rack_epoch = state.racks[rack].epoch;
+            next.in_flight.insert(Command {
                 rack,
-                to,
-                epoch: desk.epoch,
+                rack_epoch,
+                epoch: home_owner.epoch,
                 serial,
                 attempt,
             });
             let label = format!(
-                "home {} orders attempt {attempt} from rack {rack}",
-                desk.epoch
+                "home epoch {} sends attempt {attempt} to rack {rack}",
+                home_owner.epoch
             );
-            steps.push(|| label, next);
+            successors.push(|| label, next);
         }
     }
 
-    /// An owner asks a rack what it holds.
-    fn count(&self, state: &State, d: usize, steps: &mut Steps<State>) {
-        let desk = state.desks[d];
-        let serial = desk.serial + 1;
+    /// An owner queries the racks for the attempts that run there.
+    fn query_racks(&self, state: &State, h: usize, successors: &mut Successors<State>) {
+        let home_owner = state.home_owners[h];
+        let serial = home_owner.serial + 1;
         for r in 0..RACKS {
             let rack = &state.racks[r];
-            if (desk.epoch, serial) <= rack.heard {
+            if (home_owner.epoch, serial) <= rack.last_message {
                 continue;
             }
             let mut next = state.clone();
-            next.desks[d].serial = serial;
-            next.racks[r].heard = (desk.epoch, serial);
+            next.home_owners[h].serial = serial;
+            next.racks[r].last_message = (home_owner.epoch, serial);
             let holds = rack.running.iter().next().copied();
-            next.desks[d].belief = match (desk.belief, holds) {
-                (Belief::Unknown { .. }, Some(attempt)) => Belief::Ordered {
+            next.home_owners[h].view = match (home_owner.view, holds) {
+                (TaskView::Unknown { .. }, Some(attempt)) => TaskView::Commanded {
                     rack: r,
                     attempt,
                     serial,
                 },
-                (Belief::Unknown { asked }, None) => {
-                    let asked = asked | 1 << r;
-                    let all = asked.count_ones() as usize == RACKS || !self.guards.count_all;
+                (TaskView::Unknown { queried }, None) => {
+                    let queried = queried | 1 << r;
+                    let all =
+                        queried.count_ones() as usize == RACKS || !self.guards.query_all_racks;
                     if all {
-                        Belief::Waiting
+                        TaskView::Waiting
                     } else {
-                        Belief::Unknown { asked }
+                        TaskView::Unknown { queried }
                     }
                 }
-                (Belief::Ordered { rack, attempt, .. }, _) if rack == r => {
+                (TaskView::Commanded { rack, attempt, .. }, _) if rack == r => {
                     let held = state.racks[r].running.contains(&attempt);
-                    if held { desk.belief } else { Belief::Waiting }
+                    if held {
+                        home_owner.view
+                    } else {
+                        TaskView::Waiting
+                    }
                 }
-                (belief, _) => belief,
+                (view, _) => view,
             };
-            if next.desks[d].belief == desk.belief {
+            if next.home_owners[h].view == home_owner.view {
                 continue;
             }
-            steps.push(
-                || format!("home {} asks rack {r} what it holds", desk.epoch),
+            successors.push(
+                || format!("home epoch {} queries rack {r}", home_owner.epoch),
                 next,
             );
         }
-        if !self.guards.doubt
-            && let Belief::Ordered { .. } = desk.belief
+        if !self.guards.verify_unanswered
+            && let TaskView::Commanded { .. } = home_owner.view
         {
             let mut next = state.clone();
-            next.desks[d].belief = Belief::Waiting;
-            steps.push(
-                || format!("home {} takes silence for not placed", desk.epoch),
+            next.home_owners[h].view = TaskView::Waiting;
+            successors.push(
+                || {
+                    format!(
+                        "home epoch {} treats the missing answer as not started",
+                        home_owner.epoch
+                    )
+                },
                 next,
             );
         }
     }
 
-    fn deliver(&self, state: &State, steps: &mut Steps<State>) {
-        for &Order {
+    fn deliver(&self, state: &State, successors: &mut Successors<State>) {
+        for &Command {
             rack: r,
-            to,
+            rack_epoch,
             epoch,
             serial,
             attempt,
-        } in &state.mail
+        } in &state.in_flight
         {
             let rack = &state.racks[r];
-            if to != rack.epoch && self.guards.addressed {
+            if rack_epoch != rack.epoch && self.guards.check_rack_epoch {
                 continue;
             }
-            if self.guards.seniority && (epoch, serial) <= rack.heard {
+            if self.guards.reject_older && (epoch, serial) <= rack.last_message {
                 continue;
             }
             if rack.seen.contains(&attempt) {
@@ -246,23 +259,23 @@
             }
             let mut next = state.clone();
             let rack = &mut next.racks[r];
-            rack.heard = rack.heard.max((epoch, serial));
+            rack.last_message = rack.last_message.max((epoch, serial));
             rack.seen.insert(attempt);
             rack.running.insert(attempt);
-            steps.push(
-                || format!("rack {r} starts attempt {attempt} for home {epoch}"),
+            successors.push(
+                || format!("rack {r} starts attempt {attempt} for home epoch {epoch}"),
                 next,
             );
         }
     }
 
-    /// A run is lost with its worker.
-    fn lose(&self, state: &State, steps: &mut Steps<State>) {
+    /// A run is lost when its worker crashes.
+    fn lose_run(&self, state: &State, successors: &mut Successors<State>) {
         for r in 0..RACKS {
             for attempt in &state.racks[r].running {
                 let mut next = state.clone();
                 next.racks[r].running.remove(attempt);
-                steps.push(|| format!("attempt {attempt} dies on rack {r}"), next);
+                successors.push(|| format!("attempt {attempt} is lost on rack {r}"), next);
             }
         }
     }
@@ -271,38 +284,38 @@
 impl Spec for Tasks {
     type State = State;
 
-    fn first(&self) -> State {
+    fn initial(&self) -> State {
         let rack = Rack {
             epoch: 0,
-            heard: (0, 0),
+            last_message: (0, 0),
             running: BTreeSet::new(),
             seen: BTreeSet::new(),
         };
         State {
-            home: 1,
-            desks: vec![Desk {
+            home_epoch: 1,
+            home_owners: vec![HomeOwner {
                 epoch: 1,
                 serial: 0,
-                belief: Belief::Waiting,
+                view: TaskView::Waiting,
             }],
             racks: vec![rack; RACKS],
-            mail: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             attempts: 0,
             handovers: 0,
         }
     }
 
-    fn steps(&self, state: &State, steps: &mut Steps<State>) {
-        self.depose(state, steps);
-        for d in 0..state.desks.len() {
-            self.order(state, d, steps);
-            self.count(state, d, steps);
+    fn successors(&self, state: &State, successors: &mut Successors<State>) {
+        self.change_owners(state, successors);
+        for h in 0..state.home_owners.len() {
+            self.send_command(state, h, successors);
+            self.query_racks(state, h, successors);
         }
-        self.deliver(state, steps);
-        self.lose(state, steps);
+        self.deliver(state, successors);
+        self.lose_run(state, successors);
     }
 
-    fn bad(&self, state: &State) -> Option<&'static str> {
+    fn violation(&self, state: &State) -> Option<&'static str> {
         let running: usize = state.racks.iter().map(|rack| rack.running.len()).sum();
         (running > 1).then_some("two attempts at the task run at once")
     }
--- a/crates/model/tests/conformance.rs
+++ b/crates/model/tests/conformance.rs
@@ -1,13 +1,13 @@
-//! Holds the specification's rules for owners against the code's own, on random histories.
+//! Compares the specification's rules for owners with those of `cell::fence` on random histories.
 
 use std::time::Duration;
 
 use cell::fence::{AUTHORITY, Authority, Roster, Takeover};
-use model::ownership::{Proof, RUN, WORKERS, authority, ready};
+use model::ownership::{Acks, RUN_TICKS, WORKERS, authority, ready};
 use proptest::prelude::*;
 
-/// Ticks of the specification in one period of authority.
-const TICKS: u8 = 2;
+/// Ticks of the specification in one [`AUTHORITY`] period.
+const AUTHORITY_TICKS: u8 = 2;
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
@@ -26,18 +26,18 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
 
-    /// Both agree at every moment whether an owner may act.
+    /// Both always agree on whether an owner may act.
     #[test]
-    fn authority_is_in_step(events in prop::collection::vec(event(), 0..40)) {
-        let tick = AUTHORITY / u32::from(TICKS);
+    fn authority_matches_the_specification(events in prop::collection::vec(event(), 0..40)) {
+        let tick = AUTHORITY / u32::from(AUTHORITY_TICKS);
         let mut code = Authority::new(roster());
-        let mut spec: Proof = [None; WORKERS];
+        let mut spec: Acks = [None; WORKERS];
         let mut now = Duration::from_secs(100);
         for event in events {
             match event {
                 Event::Acknowledge(w) => {
                     code.acknowledge(&format!("w{w}"), now);
-                    spec[w] = Some(TICKS);
+                    spec[w] = Some(AUTHORITY_TICKS);
                 }
                 Event::Tick => {
                     now += tick;
@@ -48,33 +48,33 @@
         }
     }
 
-    /// The code never lets a new owner act before the specification does, and both do in the end.
+    /// The code never lets a new owner act before the specification does, and both do eventually.
     #[test]
-    fn takeover_is_in_step(events in prop::collection::vec(event(), 0..40)) {
-        let tick = AUTHORITY / u32::from(TICKS);
+    fn takeover_is_never_earlier_than_in_the_specification(events in prop::collection::vec(event(), 0..40)) {
+        let tick = AUTHORITY / u32::from(AUTHORITY_TICKS);
         let mut code = Takeover::new(vec![roster()]);
-        let mut fenced: Proof = [None; WORKERS];
-        let mut wait = None;
+        let mut fenced: Acks = [None; WORKERS];
+        let mut takeover_delay = None;
         let mut now = Duration::from_secs(100);
         for event in events {
             match event {
                 Event::Acknowledge(w) => {
                     code.fence(&format!("w{w}"), now);
-                    fenced[w] = Some(TICKS);
-                    if fenced.iter().flatten().count() > WORKERS / 2 && wait.is_none() {
-                        wait = Some(TICKS + RUN);
+                    fenced[w] = Some(AUTHORITY_TICKS);
+                    if fenced.iter().flatten().count() > WORKERS / 2 && takeover_delay.is_none() {
+                        takeover_delay = Some(AUTHORITY_TICKS + RUN_TICKS);
                     }
                 }
                 Event::Tick => {
                     now += tick;
-                    wait = wait.map(|left: u8| left.saturating_sub(1));
+                    takeover_delay = takeover_delay.map(|left: u8| left.saturating_sub(1));
                 }
             }
-            prop_assert!(!code.ready(now) || ready(&fenced, wait));
+            prop_assert!(!code.ready(now) || ready(&fenced, takeover_delay));
             let all = fenced.iter().all(Option::is_some);
             prop_assert_eq!(all, all && code.ready(now));
         }
-        let fenced_enough = wait.is_some();
-        prop_assert_eq!(code.ready(now + Takeover::WAIT), fenced_enough);
+        let majority_fenced = takeover_delay.is_some();
+        prop_assert_eq!(code.ready(now + Takeover::WAIT), majority_fenced);
     }
 }
--- a/crates/model/tests/search.rs
+++ b/crates/model/tests/search.rs
@@ -1,22 +1,24 @@
 //! Searches every specification, with all safeguards and without each of them.
 
-use model::{Found, Spec, claims, configuration, gang, ownership, search, tasks};
+use model::{SearchResult, Spec, claims, configuration, gang, ownership, search, tasks};
 
 fn holds<S: Spec>(spec: &S) {
-    let found = search(spec);
-    assert!(found.holds(), "{found:#?}");
+    let result = search(spec);
+    assert!(result.holds(), "{result:#?}");
 }
 
 fn fails<S: Spec>(spec: &S, expected: &str) {
     match search(spec) {
-        Found::Bad { what, .. } => assert_eq!(what, expected),
-        Found::Holds { states } => panic!("holds in {states} states: the safeguard shows nothing"),
+        SearchResult::Violated { violation, .. } => assert_eq!(violation, expected),
+        SearchResult::Holds { states } => {
+            panic!("holds in {states} states: the missing safeguard has no effect")
+        }
     }
 }
 
 const TWO_PLACES: &str = "the key runs in two places";
 
-fn owners(guards: ownership::Guards) -> ownership::Ownership {
+fn ownership_with(guards: ownership::Guards) -> ownership::Ownership {
     ownership::Ownership {
         guards,
         authority: 1,
@@ -27,13 +29,13 @@
 
 #[test]
 fn a_key_never_runs_in_two_places() {
-    holds(&owners(ownership::Guards::ALL));
+    holds(&ownership_with(ownership::Guards::ALL));
 }
 
 #[test]
 fn without_fencing_a_key_runs_in_two_places() {
     fails(
-        &owners(ownership::Guards {
+        &ownership_with(ownership::Guards {
             fence: false,
             ..ownership::Guards::ALL
         }),
@@ -42,9 +44,9 @@
 }
 
 #[test]
-fn without_a_last_moment_a_key_runs_in_two_places() {
+fn without_a_time_limit_on_commands_a_key_runs_in_two_places() {
     fails(
-        &owners(ownership::Guards {
+        &ownership_with(ownership::Guards {
             not_after: false,
             ..ownership::Guards::ALL
         }),
@@ -55,7 +57,7 @@
 #[test]
 fn without_a_majority_a_key_runs_in_two_places() {
     fails(
-        &owners(ownership::Guards {
+        &ownership_with(ownership::Guards {
             majority: false,
             ..ownership::Guards::ALL
         }),
@@ -64,10 +66,10 @@
 }
 
 #[test]
-fn without_waiting_a_key_runs_in_two_places() {
+fn without_a_takeover_delay_a_key_runs_in_two_places() {
     fails(
-        &owners(ownership::Guards {
-            wait: false,
+        &ownership_with(ownership::Guards {
+            takeover_delay: false,
             ..ownership::Guards::ALL
         }),
         TWO_PLACES,
@@ -77,7 +79,7 @@
 #[test]
 fn without_confirming_restarts_a_key_runs_in_two_places() {
     fails(
-        &owners(ownership::Guards {
+        &ownership_with(ownership::Guards {
             confirm: false,
             ..ownership::Guards::ALL
         }),
@@ -86,10 +88,10 @@
 }
 
 #[test]
-fn without_naming_the_life_a_key_runs_in_two_places() {
+fn without_naming_the_incarnation_a_key_runs_in_two_places() {
     fails(
-        &owners(ownership::Guards {
-            life: false,
+        &ownership_with(ownership::Guards {
+            incarnation: false,
             ..ownership::Guards::ALL
         }),
         TWO_PLACES,
@@ -97,53 +99,53 @@
 }
 
 #[test]
-fn without_asking_what_runs_a_key_runs_in_two_places() {
+fn without_keeping_clear_of_runs_a_key_runs_in_two_places() {
     fails(
-        &owners(ownership::Guards {
-            occupied: false,
+        &ownership_with(ownership::Guards {
+            keep_clear_of_runs: false,
             ..ownership::Guards::ALL
         }),
         TWO_PLACES,
     );
 }
 
-fn claiming(guards: claims::Guards) -> claims::Claims {
+fn claims_with(guards: claims::Guards) -> claims::Claims {
     claims::Claims { guards, epochs: 2 }
 }
 
 #[test]
 fn a_claimed_request_runs_at_most_once_and_not_run_is_true() {
-    holds(&claiming(claims::Guards::ALL));
+    holds(&claims_with(claims::Guards::ALL));
 }
 
 #[test]
 fn without_claims_a_request_runs_twice() {
     fails(
-        &claiming(claims::Guards {
+        &claims_with(claims::Guards {
             claim: false,
             ..claims::Guards::ALL
         }),
-        "it ran twice",
+        "the request ran twice",
     );
 }
 
 #[test]
-fn without_memory_a_request_runs_twice() {
+fn without_deduplication_a_request_runs_twice() {
     fails(
-        &claiming(claims::Guards {
-            memory: false,
+        &claims_with(claims::Guards {
+            deduplicate: false,
             ..claims::Guards::ALL
         }),
-        "it ran twice",
+        "the request ran twice",
     );
 }
 
 #[test]
-fn without_the_ledger_not_run_is_untrue() {
-    let untrue = "every ask was told that it did not run, and it ran";
+fn without_tracking_lost_answers_not_run_is_untrue() {
+    let untrue = "every submission was answered \"not run\", but the request ran";
     fails(
-        &claiming(claims::Guards {
-            ledger: false,
+        &claims_with(claims::Guards {
+            track_lost_answers: false,
             ..claims::Guards::ALL
         }),
         untrue,
@@ -153,19 +155,20 @@
 #[test]
 fn without_voiding_a_request_runs_twice() {
     fails(
-        &claiming(claims::Guards {
-            void: false,
+        &claims_with(claims::Guards {
+            void_unanswered: false,
             ..claims::Guards::ALL
         }),
-        "it ran twice",
+        "the request ran twice",
     );
 }
 
-/// The rack's row in a claim's transaction is no safeguard: it only spares callers a "may have
-/// run". If this fails one day, the row has become one and the documents must say so.
+/// The check of the rack's row in a claim's transaction is no safeguard: it only lets more answers
+/// be "not run" instead of "may have run". If this test fails, the check has become a safeguard, and
+/// the documentation must say so.
 #[test]
-fn the_owner_check_of_claims_is_a_convenience() {
-    holds(&claiming(claims::Guards {
+fn the_owner_check_of_claims_is_not_a_safeguard() {
+    holds(&claims_with(claims::Guards {
         claim_checks_owner: false,
         ..claims::Guards::ALL
     }));
@@ -173,10 +176,10 @@
 
 const TWO_ATTEMPTS: &str = "two attempts at the task run at once";
 
-fn placing(guards: tasks::Guards) -> tasks::Tasks {
+fn tasks_with(guards: tasks::Guards) -> tasks::Tasks {
     tasks::Tasks {
         guards,
-        homes: 2,
+        home_epochs: 2,
         attempts: 3,
         handovers: 2,
     }
@@ -184,14 +187,14 @@
 
 #[test]
 fn two_attempts_at_a_task_never_run_at_once() {
-    holds(&placing(tasks::Guards::ALL));
+    holds(&tasks_with(tasks::Guards::ALL));
 }
 
 #[test]
-fn without_seniority_two_attempts_run_at_once() {
+fn without_rejecting_older_commands_two_attempts_run_at_once() {
     fails(
-        &placing(tasks::Guards {
-            seniority: false,
+        &tasks_with(tasks::Guards {
+            reject_older: false,
             ..tasks::Guards::ALL
         }),
         TWO_ATTEMPTS,
@@ -199,10 +202,10 @@
 }
 
 #[test]
-fn without_addressed_orders_two_attempts_run_at_once() {
+fn without_the_rack_epoch_in_commands_two_attempts_run_at_once() {
     fails(
-        &placing(tasks::Guards {
-            addressed: false,
+        &tasks_with(tasks::Guards {
+            check_rack_epoch: false,
             ..tasks::Guards::ALL
         }),
         TWO_ATTEMPTS,
@@ -212,8 +215,8 @@
 #[test]
 fn without_learning_home_owners_two_attempts_run_at_once() {
     fails(
-        &placing(tasks::Guards {
-            outrank: false,
+        &tasks_with(tasks::Guards {
+            learn_home_owners: false,
             ..tasks::Guards::ALL
         }),
         TWO_ATTEMPTS,
@@ -221,10 +224,10 @@
 }
 
 #[test]
-fn without_asking_all_racks_two_attempts_run_at_once() {
+fn without_querying_all_racks_two_attempts_run_at_once() {
     fails(
-        &placing(tasks::Guards {
-            count_all: false,
+        &tasks_with(tasks::Guards {
+            query_all_racks: false,
             ..tasks::Guards::ALL
         }),
         TWO_ATTEMPTS,
@@ -232,101 +235,102 @@
 }
 
 #[test]
-fn taking_silence_for_not_placed_runs_two_attempts_at_once() {
+fn treating_a_missing_answer_as_not_started_runs_two_attempts_at_once() {
     fails(
-        &placing(tasks::Guards {
-            doubt: false,
+        &tasks_with(tasks::Guards {
+            verify_unanswered: false,
             ..tasks::Guards::ALL
         }),
         TWO_ATTEMPTS,
     );
 }
 
-const OLDER: &str = "a process serves under an older configuration than the accepted one";
+const OLDER_CONFIGURATION: &str =
+    "a process serves under an older configuration than the accepted one";
 
-fn configuring(guards: configuration::Guards) -> configuration::Configuration {
+fn configuration_with(guards: configuration::Guards) -> configuration::Configuration {
     configuration::Configuration {
         guards,
         versions: 3,
         outages: 1,
-        mishaps: 2,
+        faults: 2,
     }
 }
 
 #[test]
 fn an_accepted_configuration_is_in_force_and_never_reverts() {
-    holds(&configuring(configuration::Guards::ALL));
+    holds(&configuration_with(configuration::Guards::ALL));
 }
 
 #[test]
 fn without_compare_and_set_operators_overwrite_each_other() {
     let guards = configuration::Guards {
-        compare: false,
+        compare_and_set: false,
         ..configuration::Guards::ALL
     };
     fails(
-        &configuring(guards),
+        &configuration_with(guards),
         "an operator overwrote a change without knowing it",
     );
 }
 
 #[test]
-fn without_rising_versions_a_configuration_reverts() {
+fn without_monotonic_versions_a_configuration_reverts() {
     let guards = configuration::Guards {
-        rising: false,
+        monotonic: false,
         ..configuration::Guards::ALL
     };
     fails(
-        &configuring(guards),
+        &configuration_with(guards),
         "a process went back to an older configuration",
     );
 }
 
 #[test]
-fn without_confirmation_accepted_is_said_too_early() {
+fn without_confirmation_accepted_is_reported_too_early() {
     let guards = configuration::Guards {
-        confirm: false,
+        wait_for_confirmation: false,
         ..configuration::Guards::ALL
     };
-    fails(&configuring(guards), OLDER);
+    fails(&configuration_with(guards), OLDER_CONFIGURATION);
 }
 
 #[test]
 fn serving_before_learning_is_serving_an_older_configuration() {
     let guards = configuration::Guards {
-        learn_first: false,
+        learn_before_serving: false,
         ..configuration::Guards::ALL
     };
-    fails(&configuring(guards), OLDER);
+    fails(&configuration_with(guards), OLDER_CONFIGURATION);
 }
 
 #[test]
 fn serving_right_after_a_pause_is_serving_an_older_configuration() {
     let guards = configuration::Guards {
-        fresh: false,
+        learn_after_pause: false,
         ..configuration::Guards::ALL
     };
-    fails(&configuring(guards), OLDER);
+    fails(&configuration_with(guards), OLDER_CONFIGURATION);
 }
 
 #[test]
 fn learning_from_a_paused_process_is_learning_an_older_configuration() {
     let guards = configuration::Guards {
-        give_fresh: false,
+        share_only_when_serving: false,
         ..configuration::Guards::ALL
     };
-    fails(&configuring(guards), OLDER);
+    fails(&configuration_with(guards), OLDER_CONFIGURATION);
 }
 
 #[test]
-fn all_of_a_gang_runs_or_none() {
+fn either_all_members_of_a_gang_run_or_none() {
     holds(&gang::Gang {
         guards: gang::Guards::ALL,
     });
 }
 
 #[test]
-fn without_holding_first_a_part_of_a_gang_runs() {
+fn without_holding_first_a_partial_gang_runs() {
     let guards = gang::Guards {
         hold_first: false,
         ..gang::Guards::ALL
@@ -338,25 +342,25 @@
 }
 
 #[test]
-fn without_undoing_a_part_of_a_gang_runs() {
+fn without_undoing_a_partial_gang_runs() {
     let guards = gang::Guards {
         undo: false,
         ..gang::Guards::ALL
     };
     fails(
         &gang::Gang { guards },
-        "a part of the gang runs, and nobody will stop it",
+        "only some members of the gang run, and nothing will stop them",
     );
 }
 
 #[test]
-fn without_serials_a_late_commit_runs_a_part_of_a_gang() {
+fn without_serials_a_late_commit_runs_a_partial_gang() {
     let guards = gang::Guards {
         serial: false,
         ..gang::Guards::ALL
     };
     fails(
         &gang::Gang { guards },
-        "a part of the gang runs, and nobody will stop it",
+        "only some members of the gang run, and nothing will stop them",
     );
 }
