--- a/crates/cell/src/desk/plan.rs
+++ b/crates/cell/src/desk/plan.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use config::{Cell, Pack};
+use config::{Cell, PackingRule};
 use policy::{Quota, QuotaStatus, Rule};
 use resource::{Size, id};
 use wire::{Band, Gang, Mode, Order, Shape, Task, TaskId};
@@ -95,7 +95,7 @@
             let quota = cell.team(team).map_or(Size::ZERO, |t| t.quota);
             used.get(team).map_or(0.0, |(used, _)| used.share(quota))
         };
-        let by_size = cell.policy.batch == Pack::BestFit;
+        let by_size = cell.policy.batch == PackingRule::BestFit;
         let turn = |name: &Name| {
             let work = self.jobs.get(name)?;
             let class = match (work.job.urgent, work.job.shape) {
--- a/crates/config/src/builder.rs
+++ b/crates/config/src/builder.rs
@@ -1,17 +1,17 @@
-//! Makes a configuration in Rust.
+//! Builds a configuration in Rust.
 
 use resource::Raw as Size;
 
 use crate::{Cell, Error, raw};
 
-/// Makes a configuration step by step; everything is checked at the end.
+/// Builds a configuration step by step; [`Builder::build`] validates it.
 #[derive(Clone, Debug)]
 pub struct Builder {
     cell: raw::Cell,
 }
 
 impl Builder {
-    /// A cell without racks, whose workers have 16 cores and 64 GiB.
+    /// Creates a cell without racks, whose workers have 16 cores and 64 GiB.
     #[must_use]
     pub fn new(name: &str) -> Self {
         let worker = Size {
@@ -28,7 +28,7 @@
         Self { cell }
     }
 
-    /// What every worker offers to tasks.
+    /// Sets the resources that every worker offers to tasks.
     #[must_use]
     pub fn worker(mut self, cores: f64, memory_mib: u64, accelerators: u32) -> Self {
         self.cell.worker = Size {
@@ -39,14 +39,14 @@
         self
     }
 
-    /// Workers in a full rack.
+    /// Sets the number of workers in a full rack.
     #[must_use]
     pub fn workers_per_rack(mut self, n: u32) -> Self {
         self.cell.workers_per_rack = n;
         self
     }
 
-    /// Adds a rack, and its region and data centre if they are new.
+    /// Adds a rack, and its region and data centre if they don't exist yet.
     #[must_use]
     pub fn rack(mut self, region: &str, data_centre: &str, rack: &str) -> Self {
         let regions = &mut self.cell.regions;
@@ -75,7 +75,7 @@
         self
     }
 
-    /// Adds a team that may borrow and may mark work as urgent.
+    /// Adds a team that may borrow idle resources and may mark work as urgent.
     #[must_use]
     pub fn team(mut self, name: &str, region: &str, cores: f64, memory_mib: u64) -> Self {
         self.cell.teams.push(raw::Team {
@@ -93,7 +93,7 @@
         self
     }
 
-    /// Adds a service with the usual objective.
+    /// Adds a service with the default objective.
     #[must_use]
     pub fn service(mut self, name: &str, region: &str, run_ms: u64) -> Self {
         self.cell.services.push(raw::Service {
@@ -107,23 +107,23 @@
         self
     }
 
-    /// How the cell decides.
+    /// Sets the scheduling policy.
     #[must_use]
     pub fn policy(mut self, policy: raw::Policy) -> Self {
         self.cell.policy = policy;
         self
     }
 
-    /// The configuration as operators write it, unchecked.
+    /// Returns the configuration as operators write it, not validated.
     #[must_use]
     pub fn into_raw(self) -> raw::Cell {
         self.cell
     }
 
-    /// Checks the whole configuration.
+    /// Validates the configuration.
     ///
     /// # Errors
-    /// The first thing found wrong, with its place.
+    /// The first invalid entry, with its location.
     pub fn build(self) -> Result<Cell, Error> {
         Cell::try_from(self.cell)
     }
--- a/crates/config/src/cell.rs
+++ b/crates/config/src/cell.rs
@@ -1,4 +1,4 @@
-//! A checked configuration.
+//! A validated configuration.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use crate::raw;
 
-/// A checked configuration; made by `Cell::try_from` from a [`raw::Cell`].
+/// A validated configuration; created from a [`raw::Cell`] by `Cell::try_from`.
 ///
 /// ```
 /// use config::{Builder, Cell};
@@ -28,20 +28,20 @@
     pub name: String,
     /// Racks by name.
     pub racks: BTreeMap<id::Rack, Rack>,
-    /// What every worker offers to tasks.
+    /// Resources that every worker offers to tasks.
     pub worker: Size,
-    /// Workers in a full rack.
+    /// Number of workers in a full rack.
     pub workers_per_rack: u32,
     /// Teams by name.
     pub teams: BTreeMap<id::Team, Team>,
     /// Services by name.
     pub services: BTreeMap<id::Service, Service>,
-    /// How the cell decides.
+    /// Scheduling policy.
     pub policy: Policy,
     pub(crate) raw: raw::Cell,
 }
 
-/// Where a rack stands.
+/// Location of a rack.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rack {
     /// Its region.
@@ -53,56 +53,56 @@
 /// One team of callers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Region that looks after the team's jobs.
+    /// Region whose racks own the team's jobs.
     pub region: id::Region,
-    /// What the team's tasks may take when others want their share as well.
+    /// Resources guaranteed to the team when other teams use their quotas too.
     pub quota: Size,
-    /// Whether the team may use what others leave idle.
+    /// Whether the team may use resources that other teams leave idle.
     pub borrow: bool,
     /// Whether the team may mark work as urgent.
     pub urgent: bool,
-    /// Quick requests of the team that one entry carries at once, at most.
+    /// Maximum number of quick requests of the team in flight at one entry.
     pub concurrency: u32,
 }
 
-/// One service that takes quick requests.
+/// One service that handles quick requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Region of keys that do not name one.
+    /// Region of keys that don't name one.
     pub region: id::Region,
-    /// Longest time one run may take.
-    pub run: Duration,
-    /// Rank in a rush: a higher one is served first.
+    /// Maximum duration of one run.
+    pub max_run: Duration,
+    /// Priority under overload: requests of a service with a higher rank are served first.
     pub rank: u8,
-    /// Answers slower than this count against the service level.
-    pub latency: Duration,
-    /// Share of requests that must be done within the objective.
+    /// Target latency; slower answers count against the service level.
+    pub target_latency: Duration,
+    /// Share of requests that must be answered within the target latency.
     pub objective: f64,
 }
 
-/// How the cell decides.
+/// Scheduling policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// Rule that puts batch tasks on workers.
-    pub batch: Pack,
-    /// Share of the declared size that reclaiming must leave above measured usage.
+    /// Rule that places batch tasks on workers.
+    pub batch: PackingRule,
+    /// Share of the measured peak usage that stays reserved on top of it when resources are reclaimed.
     pub margin: f64,
-    /// Whether idle declared resources of batch work may be given to other batch work.
+    /// Whether declared but unused resources of batch tasks may be reclaimed for other batch tasks.
     pub reclaim: bool,
-    /// Quick requests that one rack keeps waiting, at most.
+    /// Maximum number of quick requests queued at one rack.
     pub queue: usize,
-    /// Retries that one caller's requests may cause, as a share of its requests.
+    /// Maximum number of retries caused by a team's requests, as a share of these requests.
     pub retry_share: f64,
 }
 
-/// A rule that puts batch tasks on workers.
+/// A rule that places batch tasks on workers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Pack {
-    /// The worker that is left with the least room.
+pub enum PackingRule {
+    /// The worker with the least capacity left over.
     BestFit,
-    /// The first worker, by name, with room.
+    /// The first worker, by name, where the task fits.
     FirstFit,
-    /// The worker with the most room.
+    /// The worker with the most capacity left over.
     LeastLoaded,
 }
 
@@ -133,7 +133,7 @@
             .map(|(name, _)| name)
     }
 
-    /// What all workers offer together, if every rack is full.
+    /// Total resources of all workers, if every rack has its full number of workers.
     #[must_use]
     pub fn capacity(&self) -> Size {
         self.worker
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,4 +1,4 @@
-//! The difference between two configurations, as operators read it.
+//! The difference between two configurations, as printed for operators.
 
 use std::fmt;
 
@@ -6,14 +6,14 @@
 
 use crate::raw;
 
-/// One changed place.
+/// One changed value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// Path of the place, such as `teams.harvest.quota.cores`.
+    /// Path of the value, such as `teams.harvest.quota.cores`.
     pub path: String,
-    /// What stood there, if anything.
+    /// Old value; `None` if the path is new.
     pub old: Option<Value>,
-    /// What stands there now, if anything.
+    /// New value; `None` if the path was removed.
     pub new: Option<Value>,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Every place in which two configurations differ.
+/// Lists every value in which two configurations differ.
 ///
 /// ```
 /// use config::{Builder, diff};
@@ -50,7 +50,8 @@
     if old == new {
         return;
     }
-    let (Some(o), Some(n)) = (old.and_then(fields), new.and_then(fields)) else {
+    let (Some(old_children), Some(new_children)) = (old.and_then(children), new.and_then(children))
+    else {
         let change = Change {
             path: path.to_owned(),
             old: old.cloned(),
@@ -59,12 +60,17 @@
         changes.push(change);
         return;
     };
-    let mut names: Vec<&String> = o.iter().chain(&n).map(|(name, _)| name).collect();
+    let mut names: Vec<&String> = old_children
+        .iter()
+        .chain(&new_children)
+        .map(|(name, _)| name)
+        .collect();
     names.sort();
     names.dedup();
     for name in names {
-        let find = |side: &[(String, Value)]| {
-            side.iter()
+        let find = |children: &[(String, Value)]| {
+            children
+                .iter()
                 .find(|(key, _)| key == name)
                 .map(|(_, value)| value.clone())
         };
@@ -73,12 +79,17 @@
         } else {
             format!("{path}.{name}")
         };
-        walk(&path, find(&o).as_ref(), find(&n).as_ref(), changes);
+        walk(
+            &path,
+            find(&old_children).as_ref(),
+            find(&new_children).as_ref(),
+            changes,
+        );
     }
 }
 
-/// The children of an object, or of a list whose members have names.
-fn fields(value: &Value) -> Option<Vec<(String, Value)>> {
+/// The children of an object, or of a list whose elements have names; `None` for other values.
+fn children(value: &Value) -> Option<Vec<(String, Value)>> {
     match value {
         Value::Object(map) => Some(map.iter().map(|(k, v)| (k.clone(), v.clone())).collect()),
         Value::Array(list) => Some(list.iter().filter_map(named).collect()),
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,4 @@
-//! The check between what operators write and what the system acts on.
+//! Validation of the configuration that operators write.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,26 +6,29 @@
 use resource::Size;
 use snafu::{ResultExt, Snafu, ensure};
 
-use crate::cell::{Cell, Pack, Policy, Rack, Service, Team};
+use crate::cell::{Cell, PackingRule, Policy, Rack, Service, Team};
 use crate::raw;
 
-/// Longest name of anything.
-const MAX_NAME: usize = 64;
-/// Longest run of a quick request.
+/// Maximum length of any name, in bytes.
+const MAX_NAME_LEN: usize = 64;
+/// Maximum duration of one run of a quick request.
 ///
-/// A new owner of a rack waits this long for runs that it cannot see, so it bounds recovery.
+/// A new owner of a rack waits this long for runs of the previous owner that it can't observe, so this
+/// constant bounds the time that a change of owner takes.
 pub const MAX_RUN: Duration = Duration::from_millis(3_000);
-/// Longest queue of one rack.
+/// Maximum configurable length of the queue of one rack.
 const MAX_QUEUE: u32 = 65_536;
 
-/// Why a configuration was not accepted; the message names the place.
+/// Why a configuration was rejected; the message names the location.
 #[derive(Clone, Debug, PartialEq, Snafu)]
-#[allow(missing_docs, reason = "the messages say what each field is")]
+#[allow(missing_docs, reason = "the messages describe each field")]
 pub enum Error {
-    #[snafu(display("{place}: a name must be 1 to {MAX_NAME} of a-z, 0-9 and '-', not {name:?}"))]
+    #[snafu(display(
+        "{place}: a name must be 1 to {MAX_NAME_LEN} of a-z, 0-9 and '-', not {name:?}"
+    ))]
     Name { place: &'static str, name: String },
-    #[snafu(display("{place}: {name:?} stands there twice"))]
-    Twice { place: &'static str, name: String },
+    #[snafu(display("{place}: {name:?} is defined twice"))]
+    Duplicate { place: &'static str, name: String },
     #[snafu(display("{place} {name:?}: there is no region {region:?}"))]
     Region {
         place: &'static str,
@@ -47,7 +50,7 @@
         value: f64,
     },
     #[snafu(display("policy: batch must be best-fit, first-fit or least-loaded, not {value:?}"))]
-    Pack { value: String },
+    PackingRule { value: String },
     #[snafu(display("a cell needs at least one rack"))]
     NoRack,
 }
@@ -56,7 +59,7 @@
     type Error = Error;
 
     fn try_from(raw: raw::Cell) -> Result<Self, Error> {
-        name("cell", &raw.name)?;
+        check_name("cell", &raw.name)?;
         let racks = racks(&raw.regions)?;
         ensure!(!racks.is_empty(), NoRackSnafu);
         let regions: BTreeSet<&str> = raw.regions.iter().map(|r| r.name.as_str()).collect();
@@ -64,7 +67,7 @@
             place: "worker",
             name: String::new(),
         })?;
-        range(
+        check_range(
             "cell",
             "workers_per_rack",
             1.0,
@@ -88,26 +91,26 @@
     let mut racks = BTreeMap::new();
     let mut centres = BTreeSet::new();
     for region in regions {
-        name("region", &region.name)?;
+        check_name("region", &region.name)?;
         for centre in &region.data_centres {
-            name("data centre", &centre.name)?;
+            check_name("data centre", &centre.name)?;
             ensure!(
                 centres.insert(centre.name.clone()),
-                TwiceSnafu {
+                DuplicateSnafu {
                     place: "data centre",
                     name: &centre.name
                 }
             );
             for rack in &centre.racks {
-                name("rack", rack)?;
-                let place = Rack {
+                check_name("rack", rack)?;
+                let location = Rack {
                     region: region.name.clone(),
                     data_centre: centre.name.clone(),
                 };
-                let twice = racks.insert(rack.clone(), place).is_some();
+                let duplicate = racks.insert(rack.clone(), location).is_some();
                 ensure!(
-                    !twice,
-                    TwiceSnafu {
+                    !duplicate,
+                    DuplicateSnafu {
                         place: "rack",
                         name: rack
                     }
@@ -121,14 +124,14 @@
 fn teams(raw: &[raw::Team], regions: &BTreeSet<&str>) -> Result<BTreeMap<String, Team>, Error> {
     let mut teams = BTreeMap::new();
     for team in raw {
-        name("team", &team.name)?;
-        region("team", &team.name, &team.region, regions)?;
+        check_name("team", &team.name)?;
+        check_region("team", &team.name, &team.region, regions)?;
         let quota = Size::try_from(team.quota).context(SizeSnafu {
             place: "team",
             name: &team.name,
         })?;
         let place = format!("team {:?}", team.name);
-        range(
+        check_range(
             &place,
             "concurrency",
             1.0,
@@ -142,10 +145,10 @@
             urgent: team.urgent,
             concurrency: team.concurrency,
         };
-        let twice = teams.insert(team.name.clone(), checked).is_some();
+        let duplicate = teams.insert(team.name.clone(), checked).is_some();
         ensure!(
-            !twice,
-            TwiceSnafu {
+            !duplicate,
+            DuplicateSnafu {
                 place: "team",
                 name: &team.name
             }
@@ -160,30 +163,30 @@
 ) -> Result<BTreeMap<String, Service>, Error> {
     let mut services = BTreeMap::new();
     for service in raw {
-        name("service", &service.name)?;
-        region("service", &service.name, &service.region, regions)?;
+        check_name("service", &service.name)?;
+        check_region("service", &service.name, &service.region, regions)?;
         let place = format!("service {:?}", service.name);
-        let longest = MAX_RUN.as_millis() as f64;
-        range(&place, "run_ms", 1.0, longest, service.run_ms as f64)?;
-        range(
+        let max_run_ms = MAX_RUN.as_millis() as f64;
+        check_range(&place, "run_ms", 1.0, max_run_ms, service.run_ms as f64)?;
+        check_range(
             &place,
             "objective_ms",
             1.0,
             3_600_000.0,
             service.objective_ms as f64,
         )?;
-        range(&place, "objective", 0.5, 0.999_999, service.objective)?;
+        check_range(&place, "objective", 0.5, 0.999_999, service.objective)?;
         let checked = Service {
             region: service.region.clone(),
-            run: Duration::from_millis(service.run_ms),
+            max_run: Duration::from_millis(service.run_ms),
             rank: service.rank,
-            latency: Duration::from_millis(service.objective_ms),
+            target_latency: Duration::from_millis(service.objective_ms),
             objective: service.objective,
         };
-        let twice = services.insert(service.name.clone(), checked).is_some();
+        let duplicate = services.insert(service.name.clone(), checked).is_some();
         ensure!(
-            !twice,
-            TwiceSnafu {
+            !duplicate,
+            DuplicateSnafu {
                 place: "service",
                 name: &service.name
             }
@@ -194,20 +197,20 @@
 
 fn policy(raw: &raw::Policy) -> Result<Policy, Error> {
     let batch = match raw.batch.as_str() {
-        "best-fit" => Pack::BestFit,
-        "first-fit" => Pack::FirstFit,
-        "least-loaded" => Pack::LeastLoaded,
-        other => return PackSnafu { value: other }.fail(),
+        "best-fit" => PackingRule::BestFit,
+        "first-fit" => PackingRule::FirstFit,
+        "least-loaded" => PackingRule::LeastLoaded,
+        other => return PackingRuleSnafu { value: other }.fail(),
     };
-    range("policy", "margin", 0.0, 1.0, raw.margin)?;
-    range(
+    check_range("policy", "margin", 0.0, 1.0, raw.margin)?;
+    check_range(
         "policy",
         "queue",
         1.0,
         f64::from(MAX_QUEUE),
         f64::from(raw.queue),
     )?;
-    range("policy", "retry_share", 0.0, 1.0, raw.retry_share)?;
+    check_range("policy", "retry_share", 0.0, 1.0, raw.retry_share)?;
     Ok(Policy {
         batch,
         margin: raw.margin,
@@ -217,14 +220,14 @@
     })
 }
 
-fn name(place: &'static str, name: &str) -> Result<(), Error> {
-    let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    let good = !name.is_empty() && name.len() <= MAX_NAME && name.chars().all(plain);
-    ensure!(good, NameSnafu { place, name });
+fn check_name(place: &'static str, name: &str) -> Result<(), Error> {
+    let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    let valid = !name.is_empty() && name.len() <= MAX_NAME_LEN && name.chars().all(allowed);
+    ensure!(valid, NameSnafu { place, name });
     Ok(())
 }
 
-fn region(
+fn check_region(
     place: &'static str,
     name: &str,
     region: &str,
@@ -241,7 +244,13 @@
     Ok(())
 }
 
-fn range(place: &str, field: &'static str, low: f64, high: f64, value: f64) -> Result<(), Error> {
+fn check_range(
+    place: &str,
+    field: &'static str,
+    low: f64,
+    high: f64,
+    value: f64,
+) -> Result<(), Error> {
     ensure!(
         (low..=high).contains(&value),
         RangeSnafu {
--- a/crates/config/src/home.rs
+++ b/crates/config/src/home.rs
@@ -1,8 +1,8 @@
-//! Fixed homes: which rack a key or a team belongs to.
+//! Home racks: which rack owns the requests of a key or the jobs of a team.
 //!
-//! A home follows the configured racks, never the live ones: if it moved when a rack fell silent,
-//! two owners could run the same key at once. Homes are chosen by rendezvous hashing, so a new
-//! rack takes over only its share of them.
+//! The home rack depends on the configured racks, never on the reachable ones: if it moved when a rack became
+//! unreachable, two owners could run requests with the same key at once. Home racks are chosen by rendezvous
+//! hashing, so a new rack takes over only its share of the keys and teams.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 use crate::{Cell, Service, Team};
 
 /// Separates the region from the rest of a key.
-const REGION_MARK: char = ':';
+const REGION_SEPARATOR: char = ':';
 
-/// The home rack of a key of a service: in the region that the key names (`region:rest`), or in
-/// the service's own.
+/// The home rack of a key of a service: in the region that the key names (`region:rest`) if it has racks, or
+/// else in the service's region.
 ///
 /// ```
 /// use config::{Builder, home};
@@ -31,12 +31,12 @@
 /// ```
 #[must_use]
 pub fn key<'a>(cell: &'a Cell, service: &'a Service, key: &str) -> Option<&'a str> {
-    let named = key.split_once(REGION_MARK).map(|(region, _)| region);
+    let named = key.split_once(REGION_SEPARATOR).map(|(region, _)| region);
     let region = named.filter(|name| cell.racks_in(name).next().is_some());
     rack_of(cell, region.unwrap_or(&service.region), key)
 }
 
-/// The rack whose owner looks after all jobs of a team.
+/// The home rack of a team; its owner manages all jobs of the team.
 #[must_use]
 pub fn team<'a>(cell: &'a Cell, name: &str, team: &Team) -> Option<&'a str> {
     rack_of(cell, &team.region, name)
@@ -47,9 +47,9 @@
     rendezvous(racks.map(|(name, _)| name), key).map(String::as_str)
 }
 
-/// Divides items among members: each goes to the member with the highest hash for it that has not
-/// got its even share yet. Plain rendezvous hashing leaves some members without any when there are
-/// about as many items as members; the bound costs a few more moves when members come and go.
+/// Distributes items evenly among members: each item is assigned to the member with the highest hash for it
+/// that has less than its even share of items. Plain rendezvous hashing leaves some members without items if there
+/// are about as many items as members. The bound on the share moves a few more items when members join or leave.
 ///
 /// ```
 /// use config::home;
@@ -73,11 +73,11 @@
     let mut loads: BTreeMap<&S, usize> = BTreeMap::new();
     let mut owners = BTreeMap::new();
     for item in items {
-        let open = members
+        let below_share = members
             .iter()
             .copied()
             .filter(|m| loads.get(m).is_none_or(|n| *n < share));
-        if let Some(member) = rendezvous(open, item) {
+        if let Some(member) = rendezvous(below_share, item) {
             *loads.entry(member).or_default() += 1;
             owners.insert(item.as_str(), member);
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,9 @@
 //! The configuration of one cell.
 //!
-//! * [`Cell`]: a checked configuration, which everything else acts on.
-//! * [`raw`]: the same as operators write it, in JSON.
-//! * [`Builder`]: makes a configuration in Rust.
-//! * [`Change`]: one line of the difference between two configurations.
+//! * [`Cell`]: a validated configuration, which all other crates use.
+//! * [`raw`]: the same configuration as operators write it, in JSON.
+//! * [`Builder`]: builds a configuration in Rust.
+//! * [`Change`]: one difference between two configurations.
 //! * [`home`]: which rack a key or a team belongs to.
 
 mod builder;
@@ -14,12 +14,12 @@
 pub mod raw;
 
 pub use builder::Builder;
-pub use cell::{Cell, Pack, Policy, Rack, Service, Team};
+pub use cell::{Cell, PackingRule, Policy, Rack, Service, Team};
 pub use change::{Change, diff};
 pub use check::{Error, MAX_RUN};
 
-/// Version of an accepted configuration; a process applies only rising versions.
+/// Version of an accepted configuration; a process applies a configuration only if its version is newer.
 pub type Version = u64;
 
-/// Row of the platform's table that holds the configuration in force.
+/// Key of the row of the platform's table that holds the current configuration.
 pub const ROW: &str = "config/cell";
--- a/crates/config/src/raw.rs
+++ b/crates/config/src/raw.rs
@@ -1,4 +1,4 @@
-//! The configuration as operators write it: JSON, nothing checked yet.
+//! The configuration as operators write it: JSON, not validated yet.
 
 use resource::Raw as Size;
 use serde::{Deserialize, Serialize};
@@ -11,17 +11,17 @@
     pub name: String,
     /// Regions with their data centres and racks.
     pub regions: Vec<Region>,
-    /// What every worker offers to tasks, beside its executor.
+    /// Resources that every worker offers to tasks, not counting what its executor itself uses.
     pub worker: Size,
-    /// Workers in a full rack.
+    /// Number of workers in a full rack.
     #[serde(default = "workers_per_rack")]
     pub workers_per_rack: u32,
     /// Teams and their quotas.
     pub teams: Vec<Team>,
-    /// Services that take quick requests.
+    /// Services that handle quick requests.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// How the cell decides.
+    /// Scheduling policy.
     #[serde(default)]
     pub policy: Policy,
 }
@@ -52,56 +52,56 @@
 pub struct Team {
     /// Name of the team.
     pub name: String,
-    /// Region that looks after the team's jobs.
+    /// Region whose racks own the team's jobs.
     pub region: String,
-    /// What the team's tasks may take when others want their share as well.
+    /// Resources guaranteed to the team when other teams use their quotas too.
     pub quota: Size,
-    /// Whether the team may use what others leave idle.
+    /// Whether the team may use resources that other teams leave idle.
     #[serde(default = "yes")]
     pub borrow: bool,
     /// Whether the team may mark work as urgent.
     #[serde(default)]
     pub urgent: bool,
-    /// Quick requests of the team that one entry carries at once, at most.
+    /// Maximum number of quick requests of the team in flight at one entry.
     #[serde(default = "concurrency")]
     pub concurrency: u32,
 }
 
-/// One service that takes quick requests.
+/// One service that handles quick requests.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// Name of the service.
     pub name: String,
-    /// Region of keys that do not name one (`region:key`).
+    /// Region of keys that don't name one (`region:key`).
     pub region: String,
-    /// Longest time one run may take, in milliseconds.
+    /// Maximum duration of one run, in milliseconds.
     #[serde(default = "run_ms")]
     pub run_ms: u64,
-    /// Rank in a rush: a higher one is served first.
+    /// Priority under overload: requests of a service with a higher rank are served first.
     #[serde(default)]
     pub rank: u8,
-    /// Answers slower than this count against the service level, in milliseconds.
+    /// Target latency, in milliseconds; slower answers count against the service level.
     #[serde(default = "objective_ms")]
     pub objective_ms: u64,
-    /// Share of requests that must be done within the objective, such as 0.999.
+    /// Share of requests that must be answered within `objective_ms`, such as 0.999.
     #[serde(default = "objective")]
     pub objective: f64,
 }
 
-/// How the cell decides.
+/// Scheduling policy.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Rule that puts batch tasks on workers: `best-fit`, `least-loaded` or `first-fit`.
+    /// Rule that places batch tasks on workers: `best-fit`, `least-loaded` or `first-fit`.
     pub batch: String,
-    /// Share of the declared size that reclaiming must leave above measured usage.
+    /// Share of the measured peak usage that stays reserved on top of it when resources are reclaimed.
     pub margin: f64,
-    /// Whether idle declared resources of batch work may be given to other batch work.
+    /// Whether declared but unused resources of batch tasks may be reclaimed for other batch tasks.
     pub reclaim: bool,
-    /// Quick requests that one rack keeps waiting, at most.
+    /// Maximum number of quick requests queued at one rack.
     pub queue: u32,
-    /// Retries that one caller's requests may cause, as a share of its requests.
+    /// Maximum number of retries caused by a team's requests, as a share of these requests.
     pub retry_share: f64,
 }
 
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -306,7 +306,7 @@
             return;
         };
         if let Some(level) = applied.cell.service(service) {
-            let good = matches!(answer, Answer::Done(_)) && took <= level.latency;
+            let good = matches!(answer, Answer::Done(_)) && took <= level.target_latency;
             self.burn.count(service, team, level.objective, good);
         }
     }
@@ -330,7 +330,7 @@
 /// When it makes sense to come back: some of what is under way is done by then.
 fn comeback(service: &Service) -> Duration {
     service
-        .run
+        .max_run
         .min(Duration::from_secs(1))
         .max(Duration::from_millis(100))
 }
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -155,7 +155,7 @@
             epoch: go.epoch,
             life: go.incarnation,
             not_after: go.not_after,
-            run_ms: service.run.as_millis() as u64,
+            run_ms: service.max_run.as_millis() as u64,
             id: name.to_owned(),
             attempt: go.attempt,
             service: request.service.clone(),
@@ -170,7 +170,7 @@
         );
         let result = node
             .workers
-            .run(&go.address, run, service.run + TRAVEL)
+            .run(&go.address, run, service.max_run + TRAVEL)
             .await;
         let took = node.now().saturating_sub(began);
         let (over, next) = match result {
@@ -270,7 +270,9 @@
             }
             Ok(Voided::Stopped) => (Over::Known { failed: true }, Next::Answer(lost().into())),
             Err(_) => (
-                Over::Unknown { run: service.run },
+                Over::Unknown {
+                    run: service.max_run,
+                },
                 Next::Answer(lost().into()),
             ),
         }
--- a/crates/policy/src/choose.rs
+++ b/crates/policy/src/choose.rs
@@ -1,6 +1,6 @@
 //! Which worker, or which rack, a task is placed on.
 
-use config::Pack;
+use config::PackingRule;
 use resource::Size;
 
 /// Capacity of one place (a worker or a rack) where a task could be placed.
@@ -32,12 +32,12 @@
     },
 }
 
-impl From<Pack> for Rule {
-    fn from(pack: Pack) -> Self {
-        match pack {
-            Pack::BestFit => Self::BestFit,
-            Pack::FirstFit => Self::FirstFit,
-            Pack::LeastLoaded => Self::LeastLoaded,
+impl From<PackingRule> for Rule {
+    fn from(rule: PackingRule) -> Self {
+        match rule {
+            PackingRule::BestFit => Self::BestFit,
+            PackingRule::FirstFit => Self::FirstFit,
+            PackingRule::LeastLoaded => Self::LeastLoaded,
         }
     }
 }
