--- a/crates/cli/src/bin/lentilyoke.rs
+++ b/crates/cli/src/bin/lentilyoke.rs
@@ -1,4 +1,4 @@
-//! Operates a lentilyoke cell.
+//! Command line for operators of a lentilyoke cell.
 
 use std::io::Read as _;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clap::Parser as _;
-use cli::apply::{self, Progress};
+use cli::apply::{self, Rollout};
 use cli::burn::{self, Minute};
 use cli::{Command, ConfigCommand, ReportCommand, Settings, ShowCommand, show};
 use config::{Cell, raw};
@@ -15,8 +15,8 @@
 use snafu::{OptionExt as _, ResultExt as _, Whatever, whatever};
 use wire::Status;
 
-/// The configuration is written, and not in force everywhere yet.
-const PENDING: u8 = 3;
+/// Exit code if the configuration is written, but not in force everywhere yet.
+const EXIT_PENDING: u8 = 3;
 
 #[tokio::main]
 async fn main() -> ExitCode {
@@ -59,7 +59,10 @@
             let cell = cell.whatever_context("no configuration is in force")?;
             eprintln!("version {version}");
             let text = serde_json::to_string_pretty(&cell);
-            println!("{}", text.whatever_context("it can't be printed")?);
+            println!(
+                "{}",
+                text.whatever_context("can't serialize the configuration")?
+            );
         }
         ConfigCommand::Diff { file } => {
             let (version, old) = in_force(table).await?;
@@ -75,10 +78,12 @@
             let new = read(&file)?;
             let (_, old) = in_force(table).await?;
             print_changes(old.as_ref(), &new);
-            let written = apply::write(table, new, base, move_homes).await;
-            let version = written.with_whatever_context(|error| error.to_string())?;
-            let longest = Duration::from_secs(wait_s);
-            return Ok(tell(apply::await_force(table, version, longest).await));
+            let result = apply::write(table, new, base, move_homes).await;
+            let version = result.with_whatever_context(|error| error.to_string())?;
+            let timeout = Duration::from_secs(wait_s);
+            return Ok(print_rollout(
+                apply::wait_until_in_force(table, version, timeout).await,
+            ));
         }
     }
     Ok(ExitCode::SUCCESS)
@@ -91,34 +96,41 @@
         read.whatever_context("can't read standard input")?;
     }
     for file in files {
-        let more = std::fs::read_to_string(file);
-        text += &more.with_whatever_context(|e| format!("can't read {}: {e}", file.display()))?;
+        let contents = std::fs::read_to_string(file);
+        text +=
+            &contents.with_whatever_context(|e| format!("can't read {}: {e}", file.display()))?;
         text.push('\n');
     }
-    let told = cli::explain::explain(id, text.lines());
-    print!("{}", told.with_whatever_context(|error| error.to_string())?);
+    let explanation = cli::explain::explain(id, text.lines());
+    print!(
+        "{}",
+        explanation.with_whatever_context(|error| error.to_string())?
+    );
     Ok(())
 }
 
-fn tell(progress: Progress) -> ExitCode {
-    match progress {
-        Progress::Accepted { version, processes } => {
+fn print_rollout(rollout: Rollout) -> ExitCode {
+    match rollout {
+        Rollout::Accepted { version, processes } => {
             println!("accepted: version {version} is in force in all {processes} processes");
             ExitCode::SUCCESS
         }
-        Progress::Pending { version, missing } => {
+        Rollout::Pending {
+            version,
+            unconfirmed,
+        } => {
             println!(
                 "pending: version {version} is not in force in {}",
-                missing.join(", ")
+                unconfirmed.join(", ")
             );
-            ExitCode::from(PENDING)
+            ExitCode::from(EXIT_PENDING)
         }
     }
 }
 
 async fn in_force(table: &Client) -> Result<(u64, Option<raw::Cell>), Whatever> {
     let found = apply::in_force(table).await;
-    found.with_whatever_context(|error| format!("the configuration was not read: {error}"))
+    found.with_whatever_context(|error| format!("can't read the configuration in force: {error}"))
 }
 
 fn print_changes(old: Option<&raw::Cell>, new: &raw::Cell) {
@@ -136,7 +148,7 @@
     let read = if file == Path::new("-") {
         std::io::stdin().read_to_string(&mut text).map(drop)
     } else {
-        std::fs::read_to_string(file).map(|all| text = all)
+        std::fs::read_to_string(file).map(|contents| text = contents)
     };
     read.with_whatever_context(|e| format!("can't read {}: {e}", file.display()))?;
     serde_json::from_str(&text).with_whatever_context(|e| format!("{}: {e}", file.display()))
@@ -144,7 +156,8 @@
 
 async fn show(table: &Client, command: &ShowCommand) -> Result<(), Whatever> {
     let sessions = show::sessions(table).await;
-    let sessions = sessions.with_whatever_context(|e| format!("no sessions were read: {e}"))?;
+    let sessions =
+        sessions.with_whatever_context(|e| format!("can't read the placers' sessions: {e}"))?;
     let mut statuses: Vec<Status> = Vec::new();
     if !matches!(command, ShowCommand::Placers) {
         for session in sessions.values() {
@@ -169,10 +182,11 @@
 
 async fn drain(table: &Client, placer: &str) -> Result<(), Whatever> {
     let sessions = show::sessions(table).await;
-    let sessions = sessions.with_whatever_context(|e| format!("no sessions were read: {e}"))?;
+    let sessions =
+        sessions.with_whatever_context(|e| format!("can't read the placers' sessions: {e}"))?;
     let session = sessions
         .get(placer)
-        .with_whatever_context(|| format!("no placer {placer:?}"))?;
+        .with_whatever_context(|| format!("there is no placer {placer:?}"))?;
     if !show::drain(&session.address).await {
         whatever!("{placer} does not answer");
     }
@@ -189,8 +203,8 @@
             .call(Method::GET, &url, Vec::new(), Duration::from_secs(2))
             .await;
         match reply.and_then(|reply| reply.json::<Vec<Minute>>()) {
-            Ok(more) => minutes.extend(more),
-            Err(error) => eprintln!("left out {entry}: {error}"),
+            Ok(reported) => minutes.extend(reported),
+            Err(error) => eprintln!("skipped entry {entry}: {error}"),
         }
     }
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
@@ -199,7 +213,7 @@
     if let Some(to) = svg {
         burn::draw(&minutes, to)
             .map_err(|e| format!("can't draw: {e}"))
-            .whatever_context("svg")?;
+            .whatever_context("can't draw the SVG chart")?;
         println!("drawn to {}", to.display());
     }
     Ok(())
--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -1,7 +1,7 @@
-//! The report on service-level burn.
+//! Burn rates of the services' error budgets.
 //!
-//! A burn rate of 1 uses up the error budget exactly by the end of its period; the fast window
-//! shows what happens now, the slow one whether it matters.
+//! A burn rate of 1 uses up the error budget exactly by the end of its period. The fast window shows
+//! the current rate, the slow one whether the rate has lasted long enough to matter.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,33 +9,33 @@
 use plotters::prelude::*;
 use serde::Deserialize;
 
-/// One minute of one service and team, as an entry tells it.
+/// One minute of one service and team, as reported by an entry.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 pub struct Minute {
-    /// Minutes since 1970.
+    /// Minutes since the Unix epoch.
     pub minute: u64,
     /// The service.
     pub service: String,
     /// The team.
     pub team: String,
-    /// Requests that came.
+    /// Number of requests.
     pub all: u64,
-    /// Those that were done within the objective.
+    /// Number of requests that were done within the objective.
     pub good: u64,
-    /// The objective, such as 0.999.
+    /// The objective as a share of the requests, such as 0.999.
     pub objective: f64,
 }
 
-/// Minutes of the fast window.
-pub const FAST: u64 = 5;
-/// Minutes of the slow window.
-pub const SLOW: u64 = 60;
-/// A fast burn rate that wants somebody to look at once.
-pub const PAGE: f64 = 14.4;
-/// A slow burn rate that wants somebody to look within the day.
-pub const TICKET: f64 = 6.0;
+/// Length of the fast window, in minutes.
+pub const FAST_WINDOW_MINUTES: u64 = 5;
+/// Length of the slow window, in minutes.
+pub const SLOW_WINDOW_MINUTES: u64 = 60;
+/// Fast burn rate that needs attention at once.
+pub const PAGE_BURN_RATE: f64 = 14.4;
+/// Slow burn rate that needs attention within the day.
+pub const TICKET_BURN_RATE: f64 = 6.0;
 
-/// How one service and team stand.
+/// Burn rates of one service and team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     /// The service.
@@ -44,12 +44,12 @@
     pub team: String,
     /// The objective.
     pub objective: f64,
-    /// Requests in all minutes that are known.
+    /// Number of requests in all reported minutes.
     pub all: u64,
-    /// Those that were not done within the objective.
+    /// Number of requests that were not done within the objective.
     pub bad: u64,
-    /// Share of the error budget of these requests that is left; below 0 if it is used up.
-    pub left: f64,
+    /// Share of the error budget of these requests that remains; negative if it is overspent.
+    pub budget_left: f64,
     /// Burn rate in the fast window.
     pub fast: f64,
     /// Burn rate in the slow window.
@@ -57,12 +57,12 @@
 }
 
 impl Row {
-    /// What an operator is to do.
+    /// Returns what an operator should do.
     #[must_use]
     pub fn advice(&self) -> &'static str {
-        if self.fast >= PAGE && self.slow >= TICKET {
+        if self.fast >= PAGE_BURN_RATE && self.slow >= TICKET_BURN_RATE {
             "look now"
-        } else if self.slow >= TICKET {
+        } else if self.slow >= TICKET_BURN_RATE {
             "look today"
         } else if self.slow > 1.0 {
             "watch"
@@ -72,7 +72,7 @@
     }
 }
 
-/// Reckons burn rates from the minutes of all entries, as of minute `now`.
+/// Computes burn rates from the minutes reported by all entries, as of minute `now`.
 ///
 /// ```
 /// use cli::burn::{Minute, rows};
@@ -108,9 +108,9 @@
             objective,
             all,
             bad,
-            left: 1.0 - self::rate((all, bad), objective),
-            fast: rate(FAST),
-            slow: rate(SLOW),
+            budget_left: 1.0 - self::rate((all, bad), objective),
+            fast: rate(FAST_WINDOW_MINUTES),
+            slow: rate(SLOW_WINDOW_MINUTES),
         }
     };
     groups.into_iter().map(row).collect()
@@ -128,7 +128,7 @@
     bad as f64 / all as f64 / (1.0 - objective)
 }
 
-/// A table of burn rates.
+/// Formats burn rates as a table.
 #[must_use]
 pub fn table(rows: &[Row]) -> String {
     let mut text = format!(
@@ -143,7 +143,7 @@
             row.objective,
             row.all,
             row.bad,
-            row.left * 100.0,
+            row.budget_left * 100.0,
             row.fast,
             row.slow,
             row.advice(),
@@ -152,7 +152,7 @@
     text
 }
 
-/// Draws the fast burn rate of every service and team, minute by minute.
+/// Draws the fast burn rate of every service and team for each minute as an SVG chart.
 ///
 /// # Errors
 /// If the file can't be written.
@@ -166,21 +166,21 @@
         .max(first + 1);
     let mut lines: BTreeMap<String, Vec<(u64, f64)>> = BTreeMap::new();
     for now in first..=last {
-        for row in rows(&until(minutes, now), now) {
+        for row in rows(&up_to(minutes, now), now) {
             let name = format!("{} / {}", row.service, row.team);
             lines.entry(name).or_default().push((now - first, row.fast));
         }
     }
-    let top = lines
+    let max_rate = lines
         .values()
         .flatten()
         .map(|(_, rate)| *rate)
-        .fold(PAGE, f64::max)
+        .fold(PAGE_BURN_RATE, f64::max)
         * 1.1;
-    chart(&lines, last - first, top, to).map_err(|error| error.to_string())
+    chart(&lines, last - first, max_rate, to).map_err(|error| error.to_string())
 }
 
-fn until(minutes: &[Minute], now: u64) -> Vec<Minute> {
+fn up_to(minutes: &[Minute], now: u64) -> Vec<Minute> {
     minutes
         .iter()
         .filter(|m| m.minute <= now)
@@ -188,16 +188,16 @@
         .collect()
 }
 
-/// Size of the picture, in pixels.
-const PICTURE: (u32, u32) = (960, 480);
+/// Width and height of the chart, in pixels.
+const CHART_SIZE: (u32, u32) = (960, 480);
 
 fn chart(
     lines: &BTreeMap<String, Vec<(u64, f64)>>,
     minutes: u64,
-    top: f64,
+    max_rate: f64,
     to: &Path,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let area = SVGBackend::new(to, PICTURE).into_drawing_area();
+    let area = SVGBackend::new(to, CHART_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(
@@ -207,15 +207,15 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(48)
-        .build_cartesian_2d(0..minutes, 0.0..top)?;
+        .build_cartesian_2d(0..minutes, 0.0..max_rate)?;
     chart
         .configure_mesh()
         .x_desc("minute")
         .y_desc("burn rate")
         .draw()?;
-    let page = [(0, PAGE), (minutes, PAGE)];
+    let page_threshold = [(0, PAGE_BURN_RATE), (minutes, PAGE_BURN_RATE)];
     chart
-        .draw_series(LineSeries::new(page, RED.mix(0.4)))?
+        .draw_series(LineSeries::new(page_threshold, RED.mix(0.4)))?
         .label("look now")
         .legend(|(x, y)| PathElement::new([(x, y), (x + 16, y)], RED.mix(0.4)));
     for (nth, (name, points)) in lines.iter().enumerate() {
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! The course of one job, from the log lines of any number of processes.
+//! The history of one job, from the log lines of any number of processes.
 
 use std::fmt::Write as _;
 
@@ -6,30 +6,30 @@
 use serde_json::{Map, Value};
 use snafu::Snafu;
 
-/// Why nothing can be told.
+/// Reason why a job can't be explained.
 #[derive(Debug, PartialEq, Snafu)]
 pub enum Error {
-    /// No line can be read.
-    #[snafu(display("none of {lines} lines is a JSON line of the system"))]
-    NotLines {
-        /// Lines that were read.
+    /// No input line is a JSON log line.
+    #[snafu(display("none of the {lines} input lines is a lentilyoke JSON log line"))]
+    NoLogLines {
+        /// Number of input lines.
         lines: usize,
     },
-    /// No line names it.
+    /// No line belongs to the job.
     #[snafu(display(
-        "no line names {id:?}; {lines} lines were read, {unread} of them are not JSON"
+        "no log line names job {id:?}; {lines} lines were read, {unparsed} of them are not JSON"
     ))]
-    NotThere {
-        /// What was asked for.
+    JobNotFound {
+        /// Id of the job.
         id: String,
-        /// Lines that were read.
+        /// Number of input lines.
         lines: usize,
-        /// Lines that are not JSON.
-        unread: usize,
+        /// Number of input lines that are not JSON log lines.
+        unparsed: usize,
     },
 }
 
-/// A log line, as far as it is used.
+/// The parts of a log line that are used.
 #[derive(Debug, Deserialize)]
 struct Line {
     #[serde(default)]
@@ -41,155 +41,168 @@
     attributes: Map<String, Value>,
 }
 
-/// Tells what happened to a job, in the order of time, from lines of any number of processes. A line may have a prefix
-/// before its JSON (the name of a process, say), which is told with it.
+/// Describes what happened to a job, sorted by time, from log lines of any number of processes. A line may have a prefix
+/// before its JSON, such as the name of a process, whose last word is printed with it.
 ///
 /// # Errors
-/// If no line is one of the system's, or none names the job.
+/// If no line is a JSON log line, or none belongs to the job.
 ///
 /// ```
 /// let lines = ["h1 {\"time\":\"2026-01-01T00:00:01Z\",\"level\":\"INFO\",\"message\":\"submit\",
 ///     \"attributes\":{\"job\":\"ab\",\"outcome\":\"Accepted\",\"ms\":\"7\"}}".replace('\n', " ")];
-/// let told = cli::explain::explain("ab", lines.iter().map(String::as_str)).unwrap();
-/// assert!(told.contains("handed in: Accepted after 7 ms"));
+/// let report = cli::explain::explain("ab", lines.iter().map(String::as_str)).unwrap();
+/// assert!(report.contains("submitted: Accepted after 7 ms"));
 /// ```
 pub fn explain<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Result<String, Error> {
     let mut total = 0;
-    let mut unread = 0;
-    let mut found: Vec<(String, Line)> = Vec::new();
+    let mut unparsed = 0;
+    let mut matching: Vec<(String, Line)> = Vec::new();
     for text in lines.filter(|text| !text.trim().is_empty()) {
         total += 1;
         let at = text.find('{').unwrap_or(text.len());
         let Ok(line) = serde_json::from_str::<Line>(&text[at..]) else {
-            unread += 1;
+            unparsed += 1;
             continue;
         };
         if line.attributes.get("job").and_then(Value::as_str) == Some(id) {
-            found.push((text[..at].trim().to_owned(), line));
+            matching.push((text[..at].trim().to_owned(), line));
         }
     }
-    if total > 0 && total == unread {
-        return Err(Error::NotLines { lines: total });
+    if total > 0 && total == unparsed {
+        return Err(Error::NoLogLines { lines: total });
     }
-    if found.is_empty() {
-        return Err(Error::NotThere {
+    if matching.is_empty() {
+        return Err(Error::JobNotFound {
             id: id.to_owned(),
             lines: total,
-            unread,
+            unparsed,
         });
     }
-    found.sort_by(|a, b| a.1.time.cmp(&b.1.time));
-    let mut told = String::new();
-    for (prefix, line) in &found {
+    matching.sort_by(|a, b| a.1.time.cmp(&b.1.time));
+    let mut report = String::new();
+    for (prefix, line) in &matching {
         let process = prefix.split_whitespace().last().unwrap_or("-");
         let _ = writeln!(
-            told,
+            report,
             "{} {process}: {}",
-            short_time(&line.time),
-            words(line)
+            time_of_day(&line.time),
+            describe(line)
         );
     }
-    let has = |message: &str| found.iter().any(|(_, line)| line.message == message);
+    let has = |message: &str| matching.iter().any(|(_, line)| line.message == message);
     if has("step") && !has("end") {
-        told.push_str("Its tasks are not told one by one: it is not in the sample.\n");
+        report.push_str("Individual tasks are not shown: the job is not in the log sample.\n");
     }
     let _ = writeln!(
-        told,
-        "{} lines; {unread} of {total} lines read are not JSON",
-        found.len()
+        report,
+        "{} lines of the job; {unparsed} of {total} input lines are not JSON",
+        matching.len()
     );
-    Ok(told)
+    Ok(report)
 }
 
-/// The time of day, without date and beyond milliseconds.
-fn short_time(time: &str) -> &str {
+/// Returns the time of day of a time stamp, in milliseconds and without the date.
+fn time_of_day(time: &str) -> &str {
     time.get(11..23).unwrap_or(time)
 }
 
-/// A line in plain words.
-fn words(line: &Line) -> String {
-    let of = |name: &str| {
+/// Describes a log line in a sentence.
+fn describe(line: &Line) -> String {
+    let attribute = |name: &str| {
         line.attributes.get(name).map_or_else(String::new, |value| {
             value
                 .as_str()
                 .map_or_else(|| value.to_string(), str::to_owned)
         })
     };
-    let task = || format!("task {}.{} run {}", of("step"), of("task"), of("run"));
+    let task = || {
+        format!(
+            "task {}.{} run {}",
+            attribute("step"),
+            attribute("task"),
+            attribute("run")
+        )
+    };
     match line.message.as_str() {
         "submit" => format!(
-            "handed in: {} after {} ms (owner's epoch {}, news of it {} ms old)",
-            of("outcome"),
-            of("ms"),
-            of("epoch"),
-            of("beat_age")
+            "submitted: {} after {} ms (owner's epoch {}, its latest heartbeat {} ms old)",
+            attribute("outcome"),
+            attribute("ms"),
+            attribute("epoch"),
+            attribute("beat_age")
         ),
         "start" => format!(
-            "{} ordered on {}: {} after {} ms (epoch {})",
+            "{} start command to {}: {} after {} ms (epoch {})",
             task(),
-            of("worker"),
-            of("outcome"),
-            of("ms"),
-            of("epoch")
+            attribute("worker"),
+            attribute("outcome"),
+            attribute("ms"),
+            attribute("epoch")
         ),
         "stop" => format!(
-            "{} stopped on {}: {} ({})",
+            "{} stop command to {}: {} (reason: {})",
+            task(),
+            attribute("worker"),
+            attribute("outcome"),
+            attribute("why")
+        ),
+        "end" => format!(
+            "{} ended on {}: {}",
             task(),
-            of("worker"),
-            of("outcome"),
-            of("why")
+            attribute("worker"),
+            attribute("how")
         ),
-        "end" => format!("{} ended on {}: {}", task(), of("worker"), of("how")),
         "run lost" => format!(
-            "{} lost by {} without an end: {}, answered for at least {} ms since the order, {} runs there",
+            "{} lost on {} without a reported end: {}; the worker was up for at least {} ms after the start command and had {} runs",
             task(),
-            of("worker"),
-            of("loss"),
-            of("survived"),
-            of("runs")
+            attribute("worker"),
+            attribute("loss"),
+            attribute("survived"),
+            attribute("runs")
         ),
         "pace" => format!(
-            "{} paced to {} percent on {}",
+            "{} pace command: {} percent on {}",
             task(),
-            of("percent"),
-            of("worker")
+            attribute("percent"),
+            attribute("worker")
         ),
         "step" => format!(
-            "step {}: {} tasks, its turn came {} ms after the job was accepted; advisor asked first after {} ms and answered \
-             after {} ms ({} questions), started from {} to {} ms ({} orders), done after {} ms (a task: {} ms)",
-            of("step"),
-            of("tasks"),
-            of("age"),
-            of("asked"),
-            of("advised"),
-            of("questions"),
-            of("first_start"),
-            of("last_start"),
-            of("starts"),
-            of("done"),
-            of("estimate")
+            "step {}: {} tasks, opened {} ms after the job was accepted; advisor first queried after {} ms and first answered \
+             after {} ms ({} queries), started from {} to {} ms ({} start commands), done after {} ms (estimate per \
+             task: {} ms)",
+            attribute("step"),
+            attribute("tasks"),
+            attribute("age"),
+            attribute("asked"),
+            attribute("advised"),
+            attribute("questions"),
+            attribute("first_start"),
+            attribute("last_start"),
+            attribute("starts"),
+            attribute("done"),
+            attribute("estimate")
         ),
         "job" => format!(
-            "{} {} ms after it was accepted, of an objective of {} ms; stored {} ms later",
-            of("state"),
-            of("took"),
-            of("objective"),
-            of("stored")
+            "{} {} ms after the job was accepted (objective: {} ms); final state stored {} ms later",
+            attribute("state"),
+            attribute("took"),
+            attribute("objective"),
+            attribute("stored")
         ),
         "advice" => format!(
-            "step {}: the advisor was asked about {} workers and allowed {}",
-            of("step"),
-            of("asked"),
-            of("allowed")
+            "step {}: the advisor was queried for {} workers and allowed {}",
+            attribute("step"),
+            attribute("asked"),
+            attribute("allowed")
         ),
         other => {
-            let rest: Vec<String> = line
+            let attributes: Vec<String> = line
                 .attributes
                 .keys()
                 .filter(|name| *name != "job")
-                .map(|name| format!("{name} {}", of(name)))
+                .map(|name| format!("{name} {}", attribute(name)))
                 .collect();
-            format!("{} {other}: {}", line.level, rest.join(", "))
+            format!("{} {other}: {}", line.level, attributes.join(", "))
         }
     }
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,10 +1,10 @@
-//! The operators' command line.
+//! Command line for operators.
 //!
-//! * [`Settings`]: its commands and flags.
-//! * [`apply`]: accepts a configuration, and says so only once it is in force everywhere.
-//! * [`burn`]: the report on service-level burn.
-//! * [`explain`]: the course of a job, from log lines.
-//! * [`show`]: racks, workers and quotas.
+//! * [`Settings`]: commands and options.
+//! * [`apply`]: writes a configuration; it is accepted once it is in force everywhere.
+//! * [`burn`]: burn rates of the services' error budgets.
+//! * [`explain`]: the history of a job, from log lines.
+//! * [`show`]: placers, racks, workers and quotas.
 
 pub mod apply;
 pub mod burn;
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! Commands and flags.
+//! Commands and options of the command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,12 +17,12 @@
         global = true
     )]
     pub platform: SocketAddr,
-    /// What to do.
+    /// The command.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// The commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Checks, compares and applies configurations.
@@ -33,17 +33,17 @@
     Show(ShowCommand),
     /// Hands over all racks of a placer and stops it.
     Drain {
-        /// Its name, as `show placers` gives it.
+        /// Name of the placer, as printed by `show placers`.
         placer: String,
     },
     /// Reports.
     #[command(subcommand)]
     Report(ReportCommand),
-    /// Tells the course of a job from the log lines of any number of processes.
+    /// Shows the history of a job from the log lines of any number of processes.
     Explain {
         /// The job's id.
         id: String,
-        /// Files of log lines; standard input if none is named.
+        /// Log files; standard input if none is given.
         files: Vec<PathBuf>,
     },
 }
@@ -56,24 +56,24 @@
         /// The file; `-` reads standard input.
         file: PathBuf,
     },
-    /// Prints what is in force.
+    /// Prints the configuration in force.
     Show,
-    /// Shows how a file differs from what is in force.
+    /// Shows how a file differs from the configuration in force.
     Diff {
         /// The file; `-` reads standard input.
         file: PathBuf,
     },
-    /// Puts a file into force.
+    /// Writes a file as the new configuration and waits until it is in force.
     Apply {
         /// The file; `-` reads standard input.
         file: PathBuf,
-        /// The version that the file was made from; the one in force if it is left out.
+        /// Version that the file was edited from; default: the version in force.
         #[arg(long)]
         base: Option<u64>,
-        /// How long to wait until it is in force everywhere, in seconds.
+        /// Maximum time to wait until it is in force everywhere, in seconds.
         #[arg(long, default_value_t = 15)]
         wait_s: u64,
-        /// Allows the set of racks to change, which moves the homes of some keys and teams.
+        /// Allows the set of racks to change, which moves the home racks of some keys and teams.
         #[arg(long)]
         move_homes: bool,
     },
@@ -86,21 +86,21 @@
     Placers,
     /// Racks with their owners.
     Racks,
-    /// Workers with what is taken on them.
+    /// Workers with their allocated resources.
     Hosts,
-    /// Teams with their quotas and what they use.
+    /// Teams with their quotas and usage.
     Quotas,
 }
 
 /// Reports.
 #[derive(Debug, Subcommand)]
 pub enum ReportCommand {
-    /// How fast each service uses up its error budget.
+    /// Shows how fast each service uses up its error budget.
     Burn {
         /// Addresses of entries, separated by commas.
         #[arg(long, value_delimiter = ',', required = true)]
         entries: Vec<String>,
-        /// Where to draw the burn rates, as SVG.
+        /// Writes an SVG chart of the burn rates to this file.
         #[arg(long)]
         svg: Option<PathBuf>,
     },
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,4 +1,4 @@
-//! Shows racks, workers and quotas.
+//! Formats placers, racks, workers and quotas as tables.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use wire::Status;
 use wire::rpc::PlacerClient as _;
 
-/// Longest wait for one placer.
-const LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of a request to one placer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sessions of all placers, by name.
+/// Returns the sessions of all placers, by name.
 ///
 /// # Errors
 /// If the table does not answer.
@@ -27,12 +27,12 @@
     Ok(scan.rows.into_iter().filter_map(session).collect())
 }
 
-/// State of the placer at an address; `None` if it does not answer.
+/// Returns the status of the placer at an address; `None` if it does not answer.
 pub async fn status(address: &str) -> Option<Status> {
     client(address)?.status().await.ok()
 }
 
-/// Asks a placer to hand over its racks and stop; `false` if it does not answer.
+/// Requests that a placer hands over its racks and stops; `false` if it does not answer.
 pub async fn drain(address: &str) -> bool {
     match client(address) {
         Some(client) => client.drain().await.unwrap_or(false),
@@ -42,12 +42,12 @@
 
 fn client(address: &str) -> Option<jsonrpsee::http_client::HttpClient> {
     HttpClientBuilder::default()
-        .request_timeout(LIMIT)
+        .request_timeout(REQUEST_TIMEOUT)
         .build(format!("http://{address}"))
         .ok()
 }
 
-/// A table of placers.
+/// Formats placers as a table.
 #[must_use]
 pub fn placers(sessions: &BTreeMap<id::Placer, Session>) -> String {
     let mut text = format!(
@@ -69,7 +69,7 @@
     text
 }
 
-/// A table of racks.
+/// Formats racks as a table.
 #[must_use]
 pub fn racks(statuses: &[Status]) -> String {
     let mut text = format!(
@@ -91,7 +91,7 @@
     text
 }
 
-/// A table of workers.
+/// Formats workers as a table.
 #[must_use]
 pub fn hosts(statuses: &[Status]) -> String {
     let mut text = format!(
@@ -112,7 +112,7 @@
     text
 }
 
-/// A table of teams.
+/// Formats teams with their quotas as a table.
 #[must_use]
 pub fn quotas(cell: &raw::Cell, statuses: &[Status]) -> String {
     let mut text = format!(
