--- a/crates/bench/src/bin/lentilyoke-bench.rs
+++ b/crates/bench/src/bin/lentilyoke-bench.rs
@@ -1,16 +1,16 @@
-//! Plays a workload against running entries and checks that every answer was true.
+//! Runs a workload against the entries of a cell and verifies every answer.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use bench::verify::{self, Journal};
-use bench::{Options, Workload, play};
+use bench::{Options, Workload, run};
 use clap::Parser;
 use hyper::Method;
 use platform::http;
 use snafu::{ResultExt as _, Whatever, whatever};
 
-/// Plays a workload; prints what callers got, and whether it was true.
+/// Runs a workload; prints the answers that callers got, and whether every answer was true.
 #[derive(Debug, Parser)]
 #[command(name = "lentilyoke-bench", version)]
 struct Settings {
@@ -20,16 +20,16 @@
     /// Addresses of entries, separated by commas.
     #[arg(long, value_delimiter = ',', required = true)]
     entries: Vec<String>,
-    /// Addresses of workers whose journals are read in the end, separated by commas.
+    /// Addresses of workers whose journals are read at the end, separated by commas.
     #[arg(long, value_delimiter = ',')]
     workers: Vec<String>,
-    /// How long requests arrive, in seconds.
+    /// Period in which requests arrive, in seconds.
     #[arg(long, default_value_t = 15)]
     seconds: u64,
-    /// Makes arrivals the same each time.
+    /// Seed of arrivals, keys and run times.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Multiplies all rates.
+    /// Factor that is applied to the rates of all request streams.
     #[arg(long, default_value_t = 1.0)]
     scale: f64,
 }
@@ -43,11 +43,11 @@
         .with_whatever_context(|e| format!("{}: {e}", settings.workload.display()))?;
     let options = Options {
         entries: settings.entries,
-        time: Duration::from_secs(settings.seconds),
+        duration: Duration::from_secs(settings.seconds),
         seed: settings.seed,
         scale: settings.scale,
     };
-    let (tally, asked) = play(&workload, options).await;
+    let (tally, requests) = run(&workload, options).await;
     print!("{}", tally.table());
     if settings.workers.is_empty() {
         return Ok(());
@@ -57,9 +57,9 @@
     let starts: usize = journals.iter().map(|j| j.starts.len()).sum();
     println!(
         "{} requests asked; workers ran {runs} and started {starts} tasks",
-        asked.len()
+        requests.len()
     );
-    let findings = verify::check(&asked, &journals);
+    let findings = verify::check(&requests, &journals);
     if !findings.is_clean() {
         whatever!("some answers were not true: {findings:?}");
     }
@@ -75,11 +75,12 @@
         let reply = client
             .call(Method::GET, &url, Vec::new(), Duration::from_secs(5))
             .await;
-        let reply = reply.with_whatever_context(|_| format!("no journal from {worker}"))?;
+        let reply =
+            reply.with_whatever_context(|_| format!("can't read the journal of {worker}"))?;
         journals.push(
             reply
                 .json()
-                .with_whatever_context(|_| format!("no journal: {worker}"))?,
+                .with_whatever_context(|_| format!("can't parse the journal of {worker}"))?,
         );
     }
     Ok(journals)
--- a/crates/bench/src/bin/lentilyoke-trial.rs
+++ b/crates/bench/src/bin/lentilyoke-trial.rs
@@ -1,6 +1,6 @@
-//! Compares rules with each other on the same input: packing, and finding bad workers.
+//! Compares rules for packing, and rules for detecting broken workers, on the same input.
 //!
-//! Pure decisions on made-up sizes and outcomes, with fixed seeds: it prints the same each time.
+//! The task sizes and outcomes are synthetic and the seeds are fixed, so the output is reproducible.
 
 use clap::{Parser, ValueEnum};
 use policy::detect::{Consecutive, Cusum, Rule as Detector, ratio};
@@ -14,41 +14,41 @@
 #[derive(Debug, Parser)]
 #[command(name = "lentilyoke-trial", version)]
 struct Settings {
-    /// What to compare.
-    what: What,
+    /// Rules to compare.
+    what: Comparison,
     /// Number of seeds.
     #[arg(long, default_value_t = 20)]
     seeds: u64,
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
-enum What {
-    /// Work carried until the first refusal, and hosts needed.
+enum Comparison {
+    /// Utilization at the first refusal and with a backlog, and number of hosts needed.
     Packing,
-    /// Failures until a broken worker is found, and sound workers that are taken for broken.
+    /// Tasks until a broken worker is detected, and false alarms on healthy workers.
     Detection,
 }
 
 fn main() {
     let settings = Settings::parse();
     match settings.what {
-        What::Packing => packing(settings.seeds),
-        What::Detection => detection(settings.seeds),
+        Comparison::Packing => packing(settings.seeds),
+        Comparison::Detection => detection(settings.seeds),
     }
 }
 
-const HOST: Size = Size::new(16_000, 65_536, 2);
-const HOSTS: usize = 50;
+const HOST_SIZE: Size = Size::new(16_000, 65_536, 2);
+const HOST_COUNT: usize = 50;
 
-/// Sizes of a season's reports: mostly small, some large, a few with accelerators.
+/// Generates task sizes: mostly small, some large, a few with accelerators.
 fn tasks(random: &mut ChaCha8Rng, n: usize) -> Vec<Size> {
     let mut task = |_| {
         let cores = [500, 1_000, 1_500, 2_000, 4_000, 6_000, 8_000];
         let weights = [10, 25, 25, 20, 12, 5, 3];
-        let mut pick = random.random_range(0..100);
+        let mut percentile = random.random_range(0..100);
         let mut at = 0;
-        while pick >= weights[at] {
-            pick -= weights[at];
+        while percentile >= weights[at] {
+            percentile -= weights[at];
             at += 1;
         }
         let memory_per_core = [1_024, 2_048, 4_096, 6_144, 8_192][random.random_range(0..5)];
@@ -61,7 +61,7 @@
 }
 
 fn packing(seeds: u64) {
-    println!("packing: {HOSTS} hosts; mean of {seeds} seeds");
+    println!("packing: {HOST_COUNT} hosts; mean of {seeds} seeds");
     println!(
         "{:<26}{:>16}{:>18}{:>20}",
         "rule", "until refusal", "with a backlog", "hosts over bound"
@@ -75,8 +75,8 @@
         for seed in 0..seeds {
             let tasks = tasks(&mut ChaCha8Rng::seed_from_u64(seed), 2_000);
             carried += until_refusal(name, &tasks);
-            filled += with_backlog(name, &order(&tasks[..BACKLOG], sorted));
-            over += hosts_over_bound(name, &order(&tasks[..BACKLOG], sorted));
+            filled += with_backlog(name, &sort_backlog(&tasks[..BACKLOG_TASKS], sorted));
+            over += hosts_over_bound(name, &sort_backlog(&tasks[..BACKLOG_TASKS], sorted));
         }
         let n = seeds as f64;
         let name = if sorted {
@@ -93,22 +93,22 @@
     }
 }
 
-/// Tasks that wait together.
-const BACKLOG: usize = 600;
+/// Number of tasks in a backlog.
+const BACKLOG_TASKS: usize = 600;
 
-/// The tasks of a backlog in the order in which they are placed.
-fn order(tasks: &[Size], largest_first: bool) -> Vec<Size> {
+/// Returns the tasks of a backlog in the order in which they are placed.
+fn sort_backlog(tasks: &[Size], largest_first: bool) -> Vec<Size> {
     let mut tasks = tasks.to_vec();
     if largest_first {
-        tasks.sort_by(|a, b| b.share(HOST).total_cmp(&a.share(HOST)));
+        tasks.sort_by(|a, b| b.share(HOST_SIZE).total_cmp(&a.share(HOST_SIZE)));
     }
     tasks
 }
 
-/// Share of the scarcest resource in use when nothing of a backlog finds room any more.
+/// Utilization of the scarcest resource when no task of a backlog fits any more.
 fn with_backlog(name: &str, tasks: &[Size]) -> f64 {
     let mut index = Index::default();
-    (0..HOSTS).for_each(|_| index.push(empty()));
+    (0..HOST_COUNT).for_each(|_| index.push(empty()));
     let mut used = Size::ZERO;
     for (nth, task) in tasks.iter().enumerate() {
         if let Some(at) = index.place(rule(name, nth), *task) {
@@ -116,7 +116,7 @@
             used = used.plus(*task);
         }
     }
-    used.share(HOST.times(HOSTS as u64))
+    used.share(HOST_SIZE.times(HOST_COUNT as u64))
 }
 
 fn rule(name: &str, nth: usize) -> Rule {
@@ -132,16 +132,16 @@
 
 fn empty() -> Room {
     Room {
-        free: HOST,
-        whole: HOST,
+        free: HOST_SIZE,
+        whole: HOST_SIZE,
         siblings: 0,
     }
 }
 
-/// Share of the scarcest resource in use when the first task finds no room.
+/// Utilization of the scarcest resource when the first task does not fit.
 fn until_refusal(name: &str, tasks: &[Size]) -> f64 {
     let mut index = Index::default();
-    (0..HOSTS).for_each(|_| index.push(empty()));
+    (0..HOST_COUNT).for_each(|_| index.push(empty()));
     let mut used = Size::ZERO;
     for (nth, task) in tasks.iter().enumerate() {
         match index.place(rule(name, nth), *task) {
@@ -150,11 +150,11 @@
         }
         used = used.plus(*task);
     }
-    used.share(HOST.times(HOSTS as u64))
+    used.share(HOST_SIZE.times(HOST_COUNT as u64))
 }
 
-/// Hosts that all tasks need, one more being opened when none has room, over the lower bound that
-/// the sum of their sizes gives.
+/// Ratio of the hosts that all tasks need, if a host is added whenever none has capacity, to the
+/// lower bound given by the sum of their sizes.
 fn hosts_over_bound(name: &str, tasks: &[Size]) -> f64 {
     let mut index = Index::default();
     for (nth, task) in tasks.iter().enumerate() {
@@ -165,12 +165,12 @@
         index.take(at, *task);
     }
     let total: Size = tasks.iter().copied().sum();
-    index.len() as f64 / total.share(HOST).ceil()
+    index.len() as f64 / total.share(HOST_SIZE).ceil()
 }
 
-/// Finite moving average: the sum of the last log-likelihood ratios against a threshold, which
-/// bounds the delay to the window (after "Finite Moving Average Stopping Time for Transient Change
-/// Detection in GNSS Signal Integrity"). It is here to be compared with.
+/// Finite moving average: compares the sum of the last log-likelihood ratios with a threshold. The
+/// window bounds the detection delay (after "Finite Moving Average Stopping Time for Transient Change
+/// Detection in GNSS Signal Integrity"). Only this comparison uses it.
 #[derive(Clone, Debug)]
 struct MovingAverage {
     threshold: f64,
@@ -200,21 +200,22 @@
     }
 }
 
-/// A rule's name, and how to make one.
+/// Name and constructor of a detector.
 type Candidate = (&'static str, fn() -> Box<dyn Detector>);
 
-/// Outcomes of a worker before and after it breaks.
-const BEFORE: usize = 2_000;
-const AFTER: usize = 200;
+/// Number of outcomes of a worker before it breaks.
+const HEALTHY_OUTCOMES: usize = 2_000;
+/// Maximum number of outcomes after it has broken.
+const BROKEN_OUTCOMES: usize = 200;
 
 fn detection(seeds: u64) {
     let seeds = seeds * 100;
-    println!("detection: {seeds} workers; {BEFORE} sound outcomes, then broken");
+    println!("detection: {seeds} workers; {HEALTHY_OUTCOMES} sound outcomes, then broken");
     println!(
         "{:<26}{:>8}{:>14}{:>12}{:>12}{:>16}",
         "rule", "broken", "false alarms", "mean tasks", "p99 tasks", "missed in 10"
     );
-    for (sound, broken) in [(0.02, 0.9), (0.05, 0.6), (0.02, 1.0)] {
+    for (healthy, broken) in [(0.02, 0.9), (0.05, 0.6), (0.02, 1.0)] {
         let rules: [Candidate; 9] = [
             ("3 in a row", || Box::new(Consecutive::new(3))),
             ("4 in a row", || Box::new(Consecutive::new(4))),
@@ -232,29 +233,31 @@
                 Box::new(MovingAverage::new(8, 9.0))
             }),
         ];
-        println!("fails {sound} when sound, {broken} when broken");
-        for (name, make) in rules {
+        println!("fails {healthy} when sound, {broken} when broken");
+        for (name, new_rule) in rules {
             let mut delays: Vec<usize> = Vec::new();
-            let mut alarms = 0;
+            let mut false_alarms = 0;
             for seed in 0..seeds {
                 let mut random = ChaCha8Rng::seed_from_u64(seed);
-                let mut rule = make();
-                for _ in 0..BEFORE {
-                    if rule.failed(random.random::<f64>() < sound) {
-                        alarms += 1;
+                let mut rule = new_rule();
+                for _ in 0..HEALTHY_OUTCOMES {
+                    if rule.failed(random.random::<f64>() < healthy) {
+                        false_alarms += 1;
                         rule.reset();
                     }
                 }
-                let found = (1..=AFTER).find(|_| rule.failed(random.random::<f64>() < broken));
-                delays.push(found.unwrap_or(AFTER + 1));
+                let detected =
+                    (1..=BROKEN_OUTCOMES).find(|_| rule.failed(random.random::<f64>() < broken));
+                delays.push(detected.unwrap_or(BROKEN_OUTCOMES + 1));
             }
             delays.sort_unstable();
             let n = delays.len();
             let mean = delays.iter().sum::<usize>() as f64 / n as f64;
             let missed = delays.iter().filter(|d| **d > 10).count() as f64 / n as f64;
-            let per = f64::from(alarms) / (seeds as f64 * BEFORE as f64) * 1e6;
+            let false_alarms_ppm =
+                f64::from(false_alarms) / (seeds as f64 * HEALTHY_OUTCOMES as f64) * 1e6;
             println!(
-                "{name:<26}{broken:>8}{per:>10.1} ppm{mean:>12.2}{:>12}{:>15.2}%",
+                "{name:<26}{broken:>8}{false_alarms_ppm:>10.1} ppm{mean:>12.2}{:>12}{:>15.2}%",
                 delays[n * 99 / 100],
                 missed * 100.0
             );
--- a/crates/bench/src/client.rs
+++ b/crates/bench/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! HTTP client of a simulated caller.
 
 use std::time::Duration;
 
@@ -10,29 +10,29 @@
 use hyper_util::rt::TokioExecutor;
 use wire::Class;
 
-/// What a caller concludes.
+/// What a caller can conclude from a reply.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// A whole answer of the system.
+    /// A complete answer of the system.
     Class(Class),
-    /// Not even a connection: nothing was asked.
-    NotAsked,
-    /// No whole answer: nothing can be concluded.
+    /// No connection, so the request was not sent.
+    NotSent,
+    /// No complete answer, so nothing can be concluded.
     NoAnswer,
 }
 
-/// What a caller got.
+/// Reply to a call.
 #[derive(Clone, Debug)]
-pub struct Got {
-    /// What it concludes.
+pub struct Reply {
+    /// What the caller can conclude.
     pub outcome: Outcome,
-    /// HTTP status; 0 if there was no answer.
+    /// HTTP status; 0 without an answer.
     pub status: u16,
     /// The body.
     pub body: Bytes,
 }
 
-/// Makes calls to one entry.
+/// HTTP client for one entry.
 #[derive(Clone, Debug)]
 pub struct Client {
     base: String,
@@ -40,7 +40,7 @@
 }
 
 impl Client {
-    /// A caller of the entry at this `ip:port`.
+    /// Creates a client for the entry at this `ip:port`.
     #[must_use]
     pub fn new(entry: &str) -> Self {
         let mut connector = HttpConnector::new();
@@ -53,15 +53,15 @@
         }
     }
 
-    /// Makes a call and waits for the whole answer, at most `limit`.
+    /// Makes a call and waits for the complete answer, for `timeout` at most.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         headers: &[(&'static str, String)],
         body: Bytes,
-        limit: Duration,
-    ) -> Got {
+        timeout: Duration,
+    ) -> Reply {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("{}{path}", self.base));
@@ -69,32 +69,32 @@
             request = request.header(*name, value);
         }
         let Ok(request) = request.body(Full::from(body)) else {
-            return Got::nothing(Outcome::NotAsked);
+            return Reply::without_answer(Outcome::NotSent);
         };
         let exchange = async {
-            let reply = match self.pool.request(request).await {
-                Ok(reply) => reply,
-                Err(error) if error.is_connect() => return Got::nothing(Outcome::NotAsked),
-                Err(_) => return Got::nothing(Outcome::NoAnswer),
+            let response = match self.pool.request(request).await {
+                Ok(response) => response,
+                Err(error) if error.is_connect() => return Reply::without_answer(Outcome::NotSent),
+                Err(_) => return Reply::without_answer(Outcome::NoAnswer),
             };
-            let status = reply.status();
-            let outcome = conclude(status, reply.headers());
-            match reply.into_body().collect().await {
-                Ok(body) => Got {
+            let status = response.status();
+            let outcome = classify(status, response.headers());
+            match response.into_body().collect().await {
+                Ok(body) => Reply {
                     outcome,
                     status: status.as_u16(),
                     body: body.to_bytes(),
                 },
-                Err(_) => Got::nothing(Outcome::NoAnswer),
+                Err(_) => Reply::without_answer(Outcome::NoAnswer),
             }
         };
-        let ended = tokio::time::timeout(limit, exchange).await;
-        ended.unwrap_or_else(|_| Got::nothing(Outcome::NoAnswer))
+        let reply = tokio::time::timeout(timeout, exchange).await;
+        reply.unwrap_or_else(|_| Reply::without_answer(Outcome::NoAnswer))
     }
 }
 
-impl Got {
-    const fn nothing(outcome: Outcome) -> Self {
+impl Reply {
+    const fn without_answer(outcome: Outcome) -> Self {
         Self {
             outcome,
             status: 0,
@@ -103,8 +103,8 @@
     }
 }
 
-fn conclude(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let word = headers
+fn classify(status: StatusCode, headers: &HeaderMap) -> Outcome {
+    let label = headers
         .get("lentilyoke-answer")
         .and_then(|value| value.to_str().ok());
     let classes = [
@@ -113,7 +113,9 @@
         Class::MayHaveRun,
         Class::Refused,
     ];
-    let class = classes.into_iter().find(|class| Some(class.word()) == word);
+    let class = classes
+        .into_iter()
+        .find(|class| Some(class.word()) == label);
     match class {
         Some(class) if (class == Class::Done) == status.is_success() => Outcome::Class(class),
         _ => Outcome::NoAnswer,
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,9 +1,9 @@
-//! Plays workloads and checks that every answer was true.
+//! Load tool: runs workloads against a cell and verifies every answer.
 //!
-//! * [`Workload`]: what callers ask, read from a file.
-//! * [`play`]: asks it, in open loop.
-//! * [`Tally`]: what callers got, by stream.
-//! * [`verify`]: holds the answers against the workers' journals.
+//! * [`Workload`]: streams of requests and jobs, read from a file.
+//! * [`run`]: sends them in open loop.
+//! * [`Tally`]: counts and latencies of the answers, by stream.
+//! * [`verify`]: compares the answers with the workers' journals.
 
 mod client;
 mod load;
@@ -11,7 +11,7 @@
 pub mod verify;
 mod workload;
 
-pub use client::{Client, Got, Outcome};
-pub use load::{Asked, Options, play};
-pub use tally::{Line, Tally};
+pub use client::{Client, Outcome, Reply};
+pub use load::{Options, RequestRecord, run};
+pub use tally::{StreamStats, Tally};
 pub use workload::{Burst, JobStream, RequestStream, Workload};
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,5 +1,5 @@
-//! Asks what a workload says, in open loop: a slow answer does not delay the next request, so that
-//! waiting is not hidden.
+//! Open-loop load generator: a slow answer does not delay the next request, so that queueing delays
+//! show in the measured latencies.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -13,84 +13,89 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use wire::Class;
 
-use crate::{Client, Got, JobStream, Outcome, RequestStream, Tally, Workload};
+use crate::{Client, JobStream, Outcome, Reply, RequestStream, Tally, Workload};
 
-/// How a workload is played.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Entries, `ip:port`; requests go to them in turn.
+    /// Addresses of the entries, `ip:port`.
     pub entries: Vec<String>,
-    /// How long requests arrive.
-    pub time: Duration,
-    /// Makes arrivals, keys and run times the same each time.
+    /// Period in which requests arrive.
+    pub duration: Duration,
+    /// Seed of arrivals, keys and run times.
     pub seed: u64,
-    /// Multiplies all rates.
+    /// Factor that is applied to the rates of all request streams.
     pub scale: f64,
 }
 
-/// One request with what the caller concluded from the answers to it.
+/// A request with the outcomes of its answers.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestRecord {
     /// Team and id.
     pub id: String,
-    /// Whether running twice does no harm.
+    /// Whether running it more than once does no harm.
     pub idempotent: bool,
-    /// Whether it was asked more than once.
+    /// Whether it was sent twice.
     pub repeated: bool,
-    /// What was concluded from each answer.
+    /// Outcome of each submission.
     pub outcomes: Vec<Outcome>,
-    /// Whether an answer "done" was not to this request.
-    pub foreign: bool,
+    /// Whether an answer "done" belonged to another request.
+    pub mismatched: bool,
 }
 
-/// Grace beyond the deadline before a caller gives up.
-const GRACE: Duration = Duration::from_secs(2);
-/// Longest wait for a job.
-const JOB_LIMIT: Duration = Duration::from_secs(60);
+/// Time beyond the deadline of a request for which a caller waits for the answer.
+const DEADLINE_GRACE: Duration = Duration::from_secs(2);
+/// Maximum wait for the end of a job.
+const JOB_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Clone)]
-struct Player {
+struct LoadGenerator {
     clients: Arc<Vec<Client>>,
     tally: Arc<Mutex<Tally>>,
-    asked: Arc<Mutex<Vec<Asked>>>,
+    records: Arc<Mutex<Vec<RequestRecord>>>,
     start: Instant,
     options: Options,
     latency: Duration,
 }
 
-/// Plays a workload; tells what callers got.
-pub async fn play(workload: &Workload, options: Options) -> (Tally, Vec<Asked>) {
-    let player = Player {
+/// Runs a workload; returns the counts by stream and the records of all requests.
+pub async fn run(workload: &Workload, options: Options) -> (Tally, Vec<RequestRecord>) {
+    let generator = LoadGenerator {
         clients: Arc::new(options.entries.iter().map(|e| Client::new(e)).collect()),
         tally: Arc::default(),
-        asked: Arc::default(),
+        records: Arc::default(),
         start: Instant::now(),
         options,
         latency: Duration::from_millis(workload.client_ms),
     };
     let mut streams = JoinSet::new();
     for (nth, stream) in (0u64..).zip(&workload.requests) {
-        let (player, stream) = (player.clone(), stream.clone());
-        streams.spawn(async move { player.requests(stream, nth).await });
+        let (generator, stream) = (generator.clone(), stream.clone());
+        streams.spawn(async move { generator.run_request_stream(stream, nth).await });
     }
     for stream in &workload.jobs {
-        let (player, stream) = (player.clone(), stream.clone());
-        streams.spawn(async move { player.jobs(stream).await });
+        let (generator, stream) = (generator.clone(), stream.clone());
+        streams.spawn(async move { generator.run_job_stream(stream).await });
     }
     while streams.join_next().await.is_some() {}
-    let tally = player
+    let tally = generator
         .tally
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .clone();
-    let asked = std::mem::take(&mut *player.asked.lock().unwrap_or_else(PoisonError::into_inner));
-    (tally, asked)
+    let records = std::mem::take(
+        &mut *generator
+            .records
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner),
+    );
+    (tally, records)
 }
 
-impl Player {
-    async fn requests(self, stream: RequestStream, nth: u64) {
+impl LoadGenerator {
+    async fn run_request_stream(self, stream: RequestStream, nth: u64) {
         let mut random = ChaCha8Rng::seed_from_u64(self.options.seed ^ (nth << 32));
-        let end = self.start + self.options.time;
+        let end = self.start + self.options.duration;
         let mut due = self.start;
         let mut open = JoinSet::new();
         for number in 0u64.. {
@@ -102,62 +107,62 @@
                 break;
             }
             let key = random.random_range(0..stream.keys);
-            let work = random.random_range(stream.work_ms.0..=stream.work_ms.1);
+            let work_ms = random.random_range(stream.work_ms.0..=stream.work_ms.1);
             let repeated = random.random::<f64>() < stream.repeat;
             let entry = random.random_range(0..self.clients.len());
             sleep_until(due).await;
-            let (player, stream) = (self.clone(), stream.clone());
+            let (generator, stream) = (self.clone(), stream.clone());
             open.spawn(async move {
-                let id = format!("{}-{}-{number}", stream.name, player.options.seed);
-                let request = Single {
+                let id = format!("{}-{}-{number}", stream.name, generator.options.seed);
+                let request = PendingRequest {
                     id,
                     key,
-                    work,
+                    work_ms,
                     repeated,
                     entry,
                     due,
                 };
-                player.request(&stream, request).await;
+                generator.run_request(&stream, request).await;
             });
             while open.try_join_next().is_some() {}
         }
         while open.join_next().await.is_some() {}
     }
 
-    async fn request(&self, stream: &RequestStream, request: Single) {
+    async fn run_request(&self, stream: &RequestStream, request: PendingRequest) {
         let other = (request.entry + 1) % self.clients.len();
         let (first, second) = if request.repeated {
-            let again = self.ask(stream, &request, other);
-            let (first, second) = tokio::join!(self.ask(stream, &request, request.entry), again);
+            let repeat = self.send(stream, &request, other);
+            let (first, second) = tokio::join!(self.send(stream, &request, request.entry), repeat);
             (first, Some(second))
         } else {
-            (self.ask(stream, &request, request.entry).await, None)
+            (self.send(stream, &request, request.entry).await, None)
         };
-        let took = request.due.elapsed();
-        let got: Vec<&Got> = std::iter::once(&first).chain(&second).collect();
+        let elapsed = request.due.elapsed();
+        let replies: Vec<&Reply> = std::iter::once(&first).chain(&second).collect();
         let name = format!("{}/{}", stream.team, request.id);
-        let foreign = got.iter().any(|got| {
-            got.outcome == Outcome::Class(Class::Done)
-                && !String::from_utf8_lossy(&got.body).starts_with(&format!("{name} "))
+        let mismatched = replies.iter().any(|reply| {
+            reply.outcome == Outcome::Class(Class::Done)
+                && !String::from_utf8_lossy(&reply.body).starts_with(&format!("{name} "))
         });
-        let outcomes = got.iter().map(|got| got.outcome).collect();
+        let outcomes = replies.iter().map(|reply| reply.outcome).collect();
         let mut tally = self.tally.lock().unwrap_or_else(PoisonError::into_inner);
-        tally.count(&stream.name, first.outcome, took);
+        tally.record(&stream.name, first.outcome, elapsed);
         drop(tally);
-        let asked = Asked {
+        let record = RequestRecord {
             id: name,
             idempotent: stream.idempotent,
             repeated: request.repeated,
             outcomes,
-            foreign,
+            mismatched,
         };
-        self.asked
+        self.records
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push(asked);
+            .push(record);
     }
 
-    async fn ask(&self, stream: &RequestStream, request: &Single, entry: usize) -> Got {
+    async fn send(&self, stream: &RequestStream, request: &PendingRequest, entry: usize) -> Reply {
         let headers = [
             ("lentilyoke-team", stream.team.clone()),
             ("lentilyoke-service", stream.service.clone()),
@@ -168,47 +173,50 @@
             ("lentilyoke-idempotent", stream.idempotent.to_string()),
             ("lentilyoke-deadline-ms", stream.deadline_ms.to_string()),
         ];
-        let body = Bytes::from(format!("work_ms={}", request.work));
+        let body = Bytes::from(format!("work_ms={}", request.work_ms));
         let path = format!("/v1/requests/{}", request.id);
-        let limit = Duration::from_millis(stream.deadline_ms) + GRACE;
+        let timeout = Duration::from_millis(stream.deadline_ms) + DEADLINE_GRACE;
         sleep(self.latency).await;
-        let mut got = Got {
-            outcome: Outcome::NotAsked,
+        let mut reply = Reply {
+            outcome: Outcome::NotSent,
             status: 0,
             body: Bytes::new(),
         };
-        // As a balancer does: an entry that takes no connection is passed over.
+        // Like a load balancer, skips entries that accept no connection.
         for nth in 0..self.clients.len() {
             let client = &self.clients[(entry + nth) % self.clients.len()];
-            got = client
-                .call(Method::POST, &path, &headers, body.clone(), limit)
+            reply = client
+                .call(Method::POST, &path, &headers, body.clone(), timeout)
                 .await;
-            if got.outcome != Outcome::NotAsked {
+            if reply.outcome != Outcome::NotSent {
                 break;
             }
         }
         sleep(self.latency).await;
-        got
+        reply
     }
 
-    async fn jobs(self, stream: JobStream) {
+    async fn run_job_stream(self, stream: JobStream) {
         let mut open = JoinSet::new();
         for number in 0..stream.count {
             let at = stream.at_s + stream.every_s * f64::from(number);
             let due = self.start + Duration::from_secs_f64(at);
-            let (player, stream) = (self.clone(), stream.clone());
+            let (generator, stream) = (self.clone(), stream.clone());
             open.spawn(async move {
                 sleep_until(due).await;
-                let outcome = player.job(&stream, number).await;
-                let mut tally = player.tally.lock().unwrap_or_else(PoisonError::into_inner);
-                tally.count(&stream.name, outcome, due.elapsed());
+                let outcome = generator.run_job(&stream, number).await;
+                let mut tally = generator
+                    .tally
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
+                tally.record(&stream.name, outcome, due.elapsed());
             });
         }
         while open.join_next().await.is_some() {}
     }
 
-    /// Submits a job and waits until it is over; a service, until it is up.
-    async fn job(&self, stream: &JobStream, number: u32) -> Outcome {
+    /// Submits a job and waits until it is over or, for a service, until all its tasks are running.
+    async fn run_job(&self, stream: &JobStream, number: u32) -> Outcome {
         let path = format!(
             "/v1/jobs/{}/{}-{}-{number}",
             stream.team, stream.name, self.options.seed
@@ -220,27 +228,32 @@
             "urgent": stream.urgent,
             "run_ms": stream.run_ms,
         });
-        let put = self.patiently(Method::PUT, &path, body.to_string()).await;
-        if put.outcome != Outcome::Class(Class::Done) {
-            return put.outcome;
+        let submitted = self
+            .call_with_retries(Method::PUT, &path, body.to_string())
+            .await;
+        if submitted.outcome != Outcome::Class(Class::Done) {
+            return submitted.outcome;
         }
-        let deadline = Instant::now() + JOB_LIMIT;
+        let deadline = Instant::now() + JOB_TIMEOUT;
         let mut withdrawn = false;
         while Instant::now() < deadline {
-            let got = self.patiently(Method::GET, &path, String::new()).await;
-            let state: Result<wire::State, _> = serde_json::from_slice(&got.body);
+            let reply = self
+                .call_with_retries(Method::GET, &path, String::new())
+                .await;
+            let state: Result<wire::State, _> = serde_json::from_slice(&reply.body);
             let Ok(state) = state else {
-                return got.outcome;
+                return reply.outcome;
             };
             if state.phase == wire::Phase::Failed {
                 return Outcome::NoAnswer;
             }
-            let up = stream.shape == wire::Shape::Service && state.running == stream.tasks;
+            let running = stream.shape == wire::Shape::Service && state.running == stream.tasks;
             if stream.withdraw && state.running > 0 && !withdrawn {
                 withdrawn = true;
-                self.patiently(Method::DELETE, &path, String::new()).await;
+                self.call_with_retries(Method::DELETE, &path, String::new())
+                    .await;
             }
-            if state.phase.is_over() || up {
+            if state.phase.is_over() || running {
                 return Outcome::Class(Class::Done);
             }
             sleep(Duration::from_millis(50)).await;
@@ -248,22 +261,23 @@
         Outcome::NoAnswer
     }
 
-    /// Calls about jobs may be made again, through another entry.
-    async fn patiently(&self, method: Method, path: &str, body: String) -> Got {
+    /// Makes a call about a job, which is idempotent, through the entries in turn until it is done or
+    /// refused, 20 times at most.
+    async fn call_with_retries(&self, method: Method, path: &str, body: String) -> Reply {
         let mut last = None;
         for nth in 0..20 {
             let client = &self.clients[nth % self.clients.len()];
             let body = Bytes::from(body.clone());
-            let got = client
-                .call(method.clone(), path, &[], body, JOB_LIMIT)
+            let reply = client
+                .call(method.clone(), path, &[], body, JOB_TIMEOUT)
                 .await;
-            match got.outcome {
-                Outcome::Class(Class::Done | Class::Refused) => return got,
-                _ => last = Some(got),
+            match reply.outcome {
+                Outcome::Class(Class::Done | Class::Refused) => return reply,
+                _ => last = Some(reply),
             }
             sleep(Duration::from_millis(500)).await;
         }
-        last.unwrap_or(Got {
+        last.unwrap_or(Reply {
             outcome: Outcome::NoAnswer,
             status: 0,
             body: Bytes::new(),
@@ -272,18 +286,18 @@
 }
 
 /// One request of a stream.
-struct Single {
+struct PendingRequest {
     id: String,
     key: u32,
-    work: u64,
+    work_ms: u64,
     repeated: bool,
     entry: usize,
     due: Instant,
 }
 
 fn rate(stream: &RequestStream, since: f64) -> f64 {
-    let rush = stream
+    let burst = stream
         .burst
         .filter(|b| (b.at_s..b.at_s + b.for_s).contains(&since));
-    stream.rate * rush.map_or(1.0, |b| b.times)
+    stream.rate * burst.map_or(1.0, |b| b.times)
 }
--- a/crates/bench/src/tally.rs
+++ b/crates/bench/src/tally.rs
@@ -1,4 +1,4 @@
-//! What callers got.
+//! Counts and latencies of the answers that callers got.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,31 +8,34 @@
 
 use crate::Outcome;
 
-/// Counts and waiting times of one stream.
+/// Counts and latencies of one stream.
 #[derive(Clone, Debug)]
-pub struct Line {
-    /// Answers by what was concluded.
+pub struct StreamStats {
+    /// Number of answers by outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
-    /// Time from when a request was due to its answer "done", in microseconds.
+    /// Times from the scheduled arrival of a request to its answer "done", in microseconds.
     pub done: Histogram<u64>,
-    /// Time to any other answer, in microseconds.
+    /// Times to any other answer, in microseconds.
     pub other: Histogram<u64>,
 }
 
-/// Counts and waiting times of all streams.
+/// Counts and latencies of all streams.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// By name of the stream.
-    pub lines: BTreeMap<String, Line>,
+    /// Statistics by name of the stream.
+    pub streams: BTreeMap<String, StreamStats>,
 }
 
-/// Digits that the histograms keep.
-const DIGITS: u8 = 3;
+/// Precision of the histograms, in significant decimal digits.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-impl Default for Line {
+impl Default for StreamStats {
     fn default() -> Self {
-        #[allow(clippy::unwrap_used, reason = "three digits are always accepted")]
-        let empty = Histogram::new(DIGITS).unwrap();
+        #[allow(
+            clippy::unwrap_used,
+            reason = "a precision of three digits is always accepted"
+        )]
+        let empty = Histogram::new(SIGNIFICANT_DIGITS).unwrap();
         Self {
             outcomes: BTreeMap::new(),
             done: empty.clone(),
@@ -42,19 +45,19 @@
 }
 
 impl Tally {
-    /// Takes note of an answer that came this long after it was due.
-    pub fn count(&mut self, stream: &str, outcome: Outcome, took: Duration) {
-        let line = self.lines.entry(stream.to_owned()).or_default();
-        *line.outcomes.entry(word(outcome)).or_default() += 1;
+    /// Records an answer and its latency since the scheduled arrival of the request.
+    pub fn record(&mut self, stream: &str, outcome: Outcome, elapsed: Duration) {
+        let stats = self.streams.entry(stream.to_owned()).or_default();
+        *stats.outcomes.entry(label(outcome)).or_default() += 1;
         let times = match outcome {
-            Outcome::Class(Class::Done) => &mut line.done,
-            _ => &mut line.other,
+            Outcome::Class(Class::Done) => &mut stats.done,
+            _ => &mut stats.other,
         };
-        // Resizes itself, so it takes every duration there is.
-        _ = times.record(took.as_micros() as u64);
+        // Can't fail: the histogram resizes itself to any duration.
+        _ = times.record(elapsed.as_micros() as u64);
     }
 
-    /// A table of all streams.
+    /// Formats all streams as a table.
     #[must_use]
     pub fn table(&self) -> String {
         let mut text = format!(
@@ -70,8 +73,8 @@
             "p99.9 ms",
             "refusal p99"
         );
-        for (name, line) in &self.lines {
-            let count = |word| line.outcomes.get(word).copied().unwrap_or(0);
+        for (name, stats) in &self.streams {
+            let count = |label| stats.outcomes.get(label).copied().unwrap_or(0);
             let ms = |times: &Histogram<u64>, q| times.value_at_quantile(q) as f64 / 1_000.0;
             text += &format!(
                 "{name:<26}{:>8}{:>8}{:>9}{:>8}{:>9}{:>9.1}{:>9.1}{:>9.1}{:>11.1}\n",
@@ -80,19 +83,19 @@
                 count("may-have-run"),
                 count("refused"),
                 count("no-answer"),
-                ms(&line.done, 0.5),
-                ms(&line.done, 0.99),
-                ms(&line.done, 0.999),
-                ms(&line.other, 0.99),
+                ms(&stats.done, 0.5),
+                ms(&stats.done, 0.99),
+                ms(&stats.done, 0.999),
+                ms(&stats.other, 0.99),
             );
         }
         text
     }
 }
 
-const fn word(outcome: Outcome) -> &'static str {
+const fn label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Class(class) => class.word(),
-        Outcome::NotAsked | Outcome::NoAnswer => "no-answer",
+        Outcome::NotSent | Outcome::NoAnswer => "no-answer",
     }
 }
--- a/crates/bench/src/verify.rs
+++ b/crates/bench/src/verify.rs
@@ -1,92 +1,92 @@
-//! Holds the answers that callers got against what the workers really did.
+//! Compares the answers that callers got with the journals of the workers.
 
 use std::collections::HashMap;
 
 use serde::Deserialize;
 use wire::Class;
 
-use crate::{Asked, Outcome};
+use crate::{Outcome, RequestRecord};
 
-/// One quick request that a worker ran.
+/// Run of a quick request on a worker.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Span {
     /// Team and id.
     pub id: String,
     /// Service and key.
     pub key: String,
-    /// When it began, in milliseconds of the wall clock.
+    /// Start in wall-clock milliseconds.
     pub from: u64,
-    /// When it ended.
+    /// End in wall-clock milliseconds; `None` if it has not ended.
     pub until: Option<u64>,
 }
 
-/// What a worker did.
+/// Record of the work of one worker.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Journal {
     /// Quick requests that it ran.
     pub runs: Vec<Span>,
     /// Task attempts that it started.
     pub starts: Vec<String>,
-    /// How often what it held was more than it has.
+    /// How often its work exceeded its capacity.
     pub over: u32,
 }
 
-/// What was found untrue; all zero if everything was true.
+/// Number of violations of each kind; all zero if every answer was true.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Findings {
-    /// Told "not run", but it ran.
-    pub ran_after_all: u64,
-    /// Non-idempotent, and ran more than once.
+    /// Requests that were answered "not run", but ran.
+    pub ran_despite_not_run: u64,
+    /// Non-idempotent requests that ran more than once.
     pub ran_twice: u64,
-    /// Told "done", but it never ran.
+    /// Requests that were answered "done", but never ran.
     pub never_ran: u64,
-    /// Two runs for one key at one time.
-    pub key_twice: u64,
-    /// The answer was to another request.
-    pub foreign: u64,
-    /// A worker held more than it has.
-    pub over: u64,
-    /// A task attempt was started twice.
-    pub attempt_twice: u64,
+    /// Pairs of runs of one key that overlapped in time.
+    pub key_overlaps: u64,
+    /// Requests that got the answer to another request.
+    pub mismatched: u64,
+    /// How often the work of a worker exceeded its capacity.
+    pub over_capacity: u64,
+    /// Task attempts that were started more than once.
+    pub started_twice: u64,
 }
 
 impl Findings {
-    /// Whether everything was true.
+    /// Whether there is no violation.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// Compares answers with journals.
+/// Compares the answers to requests with the workers' journals.
 #[must_use]
-pub fn check(asked: &[Asked], journals: &[Journal]) -> Findings {
+pub fn check(requests: &[RequestRecord], journals: &[Journal]) -> Findings {
     let mut findings = Findings::default();
     let spans: Vec<&Span> = journals.iter().flat_map(|j| &j.runs).collect();
     let mut runs: HashMap<&str, u64> = HashMap::new();
     for span in &spans {
         *runs.entry(&span.id).or_default() += 1;
     }
-    for request in asked {
+    for request in requests {
         let n = runs.get(request.id.as_str()).copied().unwrap_or(0);
         let got = |class| request.outcomes.contains(&Outcome::Class(class));
         let only = |class| request.outcomes.iter().all(|o| *o == Outcome::Class(class));
-        findings.ran_after_all += u64::from(only(Class::NotRun) && n > 0);
+        findings.ran_despite_not_run += u64::from(only(Class::NotRun) && n > 0);
         findings.ran_twice += u64::from(!request.idempotent && n > 1);
         findings.never_ran += u64::from(got(Class::Done) && n == 0);
-        findings.foreign += u64::from(request.foreign);
+        findings.mismatched += u64::from(request.mismatched);
     }
-    findings.key_twice = overlaps(&spans);
-    findings.over = journals.iter().map(|j| u64::from(j.over)).sum();
+    findings.key_overlaps = overlaps(&spans);
+    findings.over_capacity = journals.iter().map(|j| u64::from(j.over)).sum();
     let mut starts: HashMap<&str, u64> = HashMap::new();
     for start in journals.iter().flat_map(|j| &j.starts) {
         *starts.entry(start).or_default() += 1;
     }
-    findings.attempt_twice = starts.values().filter(|n| **n > 1).count() as u64;
+    findings.started_twice = starts.values().filter(|n| **n > 1).count() as u64;
     findings
 }
 
-/// Pairs of runs that worked on one key at one time, anywhere.
+/// Counts the pairs of consecutive runs of one key, on any workers, that overlap in time.
 fn overlaps(spans: &[&Span]) -> u64 {
     let mut by_key: HashMap<&str, Vec<(u64, u64)>> = HashMap::new();
     for span in spans {
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -1,97 +1,97 @@
-//! What callers ask.
+//! Workload files.
 
 use resource::Raw;
 use serde::{Deserialize, Serialize};
 use wire::Shape;
 
-/// A workload, as written in a file.
+/// A workload, as described in a file.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
-    /// Its name.
+    /// Name of the workload.
     pub name: String,
     /// One-way latency between callers and entries, in milliseconds.
     pub client_ms: u64,
-    /// Quick requests.
+    /// Streams of quick requests.
     #[serde(default)]
     pub requests: Vec<RequestStream>,
-    /// Jobs.
+    /// Streams of jobs.
     #[serde(default)]
     pub jobs: Vec<JobStream>,
 }
 
-/// A stream of quick requests that arrive at random, whether or not earlier ones were answered.
+/// A stream of quick requests with random arrivals that do not depend on earlier answers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestStream {
-    /// Its name.
+    /// Name of the stream.
     pub name: String,
-    /// The team that asks.
+    /// Team of the callers.
     pub team: String,
-    /// The service that is asked.
+    /// Service that handles the requests.
     pub service: String,
-    /// Put before each key; a region and a colon make the key's home.
+    /// Prefix of each key. A region followed by a colon sets the home region of the keys.
     #[serde(default)]
     pub prefix: String,
     /// Number of keys.
     pub keys: u32,
-    /// Whether running twice does no harm.
+    /// Whether running a request more than once does no harm.
     pub idempotent: bool,
     /// Mean arrivals per second.
     pub rate: f64,
-    /// Time to the deadline, in milliseconds.
+    /// Time from arrival to the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Shortest and longest run, in milliseconds.
+    /// Minimum and maximum run time, in milliseconds.
     pub work_ms: (u64, u64),
-    /// Times of more arrivals.
+    /// Period with a higher rate.
     #[serde(default)]
     pub burst: Option<Burst>,
-    /// Share of requests that are asked again, with the same id, through another entry.
+    /// Share of requests that are also sent through another entry with the same id.
     #[serde(default)]
     pub repeat: f64,
 }
 
-/// Times of more arrivals.
+/// A period with a higher rate.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// When it begins, in seconds from the start.
+    /// Start, in seconds from the start of the workload.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration, in seconds.
     pub for_s: f64,
-    /// How many times the mean.
+    /// Factor that is applied to the mean rate.
     pub times: f64,
 }
 
-/// A stream of jobs, one after another at equal distances.
+/// A stream of jobs at equal intervals.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobStream {
-    /// Its name; jobs are named after it.
+    /// Name of the stream, which the ids of its jobs begin with.
     pub name: String,
-    /// The team that asks.
+    /// Team of the jobs.
     pub team: String,
-    /// What kind of work.
+    /// Kind of job.
     pub shape: Shape,
     /// Number of jobs.
     pub count: u32,
-    /// When the first is submitted, in seconds from the start.
+    /// Submission of the first job, in seconds from the start of the workload.
     #[serde(default)]
     pub at_s: f64,
-    /// Time from one to the next, in seconds.
+    /// Interval between jobs, in seconds.
     #[serde(default)]
     pub every_s: f64,
-    /// Tasks of each job.
+    /// Number of tasks of each job.
     pub tasks: u32,
     /// Size of each task.
     pub size: Raw,
-    /// Whether they are urgent.
+    /// Whether the jobs are urgent.
     #[serde(default)]
     pub urgent: bool,
     /// Declared and real run time of a task, in milliseconds.
     #[serde(default)]
     pub run_ms: u64,
-    /// Whether they are withdrawn before the end.
+    /// Whether the jobs are withdrawn before their end.
     #[serde(default)]
     pub withdraw: bool,
 }
