--- a/crates/host/src/advisor_proxies.rs
+++ b/crates/host/src/advisor_proxies.rs
@@ -44,13 +44,13 @@
 pub struct ExpectedAt(pub Ms);
 
 impl AdvisorProxy {
-    /// Rank of this host for a query of the duration `takes`. `round_trip` is the time in which the platform answers the host.
+    /// Rank of this host for a query of this expected duration. `round_trip` is the time in which the platform answers the host.
     /// Until the host has answered, its delay is taken as twice that: the way between owner and host counts as much again.
     #[must_use]
-    pub fn score(&self, now: Ms, round_trip: Ms, takes: Ms) -> Score {
+    pub fn score(&self, now: Ms, round_trip: Ms, expected_duration: Ms) -> Score {
         let delay = self.delay.unwrap_or(round_trip.min(MAX_DELAY) * 2);
         let free_at = self.busy_until.max(now);
-        if takes > delay * LONG_QUERY_DELAYS && takes > MAX_SHORT_QUERY {
+        if expected_duration > delay * LONG_QUERY_DELAYS && expected_duration > MAX_SHORT_QUERY {
             return Score {
                 ready_at: free_at,
                 delay: Reverse(delay),
@@ -62,9 +62,9 @@
         }
     }
 
-    /// Assigns a query of the duration `takes` to this host.
-    pub fn assign(&mut self, now: Ms, takes: Ms) -> ExpectedAt {
-        self.busy_until = self.busy_until.max(now) + takes;
+    /// Assigns a query of this expected duration to this host.
+    pub fn assign(&mut self, now: Ms, expected_duration: Ms) -> ExpectedAt {
+        self.busy_until = self.busy_until.max(now) + expected_duration;
         ExpectedAt(self.busy_until)
     }
 
--- a/crates/host/src/catalog_sync.rs
+++ b/crates/host/src/catalog_sync.rs
@@ -34,7 +34,7 @@
 const SECOND_SOURCE_DELAY: Duration = Duration::from_millis(1_000);
 /// How long the polls for changes of the pool map wait. Their answers show a host that doesn't follow the configuration in the
 /// store that the store is available. Hosts that take jobs of callers see this from their inserts too.
-const POOL_MAP_POLL: Duration = Duration::from_millis(2_000);
+const POOL_MAP_POLL_WAIT: Duration = Duration::from_millis(2_000);
 /// Delay of the next such poll while the store is unavailable. Owners poll more often and report when it is available again.
 const POOL_MAP_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Delay after an owner's configuration that could not be parsed; it would hardly differ at the next try.
@@ -172,7 +172,7 @@
         let parts = [COMMON.to_owned()];
         let store = self.store.as_ref();
         let timing = PollTiming::default()
-            .wait(POOL_MAP_POLL)
+            .wait(POOL_MAP_POLL_WAIT)
             .retry(POOL_MAP_RETRY_DELAY);
         follow(store, POOL_MAP, &parts, None, timing, |change| {
             let rows = match change {
--- a/crates/host/src/election.rs
+++ b/crates/host/src/election.rs
@@ -1,9 +1,9 @@
 //! The election of the owner of each pool.
 //!
-//! A host without a link to a pool's owner finds the owner by its row in the store. If the owner can't be reached and other hosts
-//! don't hear it either ([`crate::verdict`]), the host replaces it by a compare-and-set on that row. The row also names the
-//! owner's successors: hosts with a large share of a processor and without a pool of their own, near the store since an owner
-//! writes there often. No host needs to know all other hosts.
+//! A host without a link to a pool's owner finds the owner by its row in the store. If the owner can't be reached and other
+//! hosts don't receive its heartbeats either ([`crate::verdict`]), the host replaces it by a compare-and-set on that row. The
+//! row also names the owner's successors: hosts with a large share of a processor and without a pool of their own, near the
+//! store since an owner writes there often. No host needs to know all other hosts.
 
 mod participant;
 mod takeover_reason;
@@ -154,7 +154,7 @@
     timeout(delay.total(), rows.changed()).await.is_err()
 }
 
-/// Reads the claim of a pool; `None` if it can't be read.
+/// Reads the claim of a pool, which consists of its owner and roster; `None` if it can't be read.
 async fn read_claim(host: &Host, pool: u32) -> Option<(Claim, ClaimVersion)> {
     let part = pool_part(pool);
     let (owner, roster) = tokio::join!(
--- a/crates/host/src/election/participant.rs
+++ b/crates/host/src/election/participant.rs
@@ -20,7 +20,7 @@
 
 /// The row of a new owner may be known before the owner serves the pool, for which it has this long.
 const OWNER_START_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time in which other hosts have to answer whether they hear the owner.
+/// Time in which other hosts have to answer whether they receive the owner's heartbeats.
 const WITNESS_TIMEOUT: Duration = Duration::from_millis(400);
 /// The same after answers that were not sufficient: on a saturated connection they arrive late.
 const WITNESS_TIMEOUT_UNSURE: Duration = Duration::from_millis(1_000);
@@ -28,7 +28,7 @@
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(60);
 /// A draining host checks at this interval whether another host owns the pool.
 const DRAINING_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Delay before connecting again to an owner that others hear: only this host may be cut off from it.
+/// Delay before connecting again to an owner that other hosts reach: only this host may be cut off from it.
 const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
 /// What a host knows about recent owners of one pool, which are identified by their epochs.
@@ -42,15 +42,15 @@
     restarted: Option<u64>,
     /// The owner that doesn't serve the pool yet, and since when.
     starting: Option<(u64, Instant)>,
-    /// The owner that may be lost or not.
+    /// The owner of which this host can't tell yet whether it is lost.
     unsure: Option<UnsureOwner>,
 }
 
-/// An owner that may be lost or not.
+/// An owner of which this host can't tell yet whether it is lost.
 #[derive(Clone, Copy, Debug)]
 struct UnsureOwner {
     epoch: u64,
-    /// When this was first unclear.
+    /// Time of the first [`Verdict::Unsure`] about it.
     since: Instant,
     /// Version of its row when it was first read since then.
     version: Option<u64>,
@@ -151,7 +151,7 @@
         self.unsure = None;
     }
 
-    /// The record of this owner if it may be lost or not.
+    /// The record of this owner if there was a [`Verdict::Unsure`] about it.
     fn unsure_about(&self, row: &OwnerRow) -> Option<UnsureOwner> {
         self.unsure.filter(|unsure| unsure.epoch == row.epoch)
     }
@@ -222,9 +222,9 @@
         .successors
         .iter()
         .filter(|it| it.host != host.settings.id);
-    let witnesses = others.map(|it| peers::ask_if_owner_heard(it.address, pool, limit));
+    let witnesses = others.map(|it| peers::ask_if_owner_reachable(it.address, pool, limit));
     let mut witnesses = pin!(futures::future::join_all(witnesses));
-    let mut itself = pin!(peers::ask_if_owner_heard(owner.address, pool, limit));
+    let mut itself = pin!(peers::ask_if_owner_reachable(owner.address, pool, limit));
     tokio::select! {
         answers = &mut witnesses => {
             let evidence = Evidence {
--- a/crates/host/src/follow.rs
+++ b/crates/host/src/follow.rs
@@ -30,8 +30,8 @@
 /// Timing of the polls of a follower. Each poll counts as a call to the store.
 #[derive(Clone, Copy, Debug)]
 pub struct PollTiming {
-    /// How long a poll waits for changes. If a connection is dead, this is noticed only when no answer arrives soon after, so
-    /// this bounds how long a change may go unseen.
+    /// How long a poll waits for changes. A dead connection is noticed only when no answer arrives soon after this time, so it
+    /// bounds how long a change may go unseen.
     pub wait: Duration,
     /// Pause after an answer with changes, which bounds the rate of polls of a table that changes all the time.
     pub pause: Duration,
@@ -107,12 +107,12 @@
             apply(Change::Snapshot(page));
             listed = true;
         }
-        let asked = clock::now();
+        let sent_at = clock::now();
         match store.feed(table, newest, wait).await {
             Ok(mut feed) => {
                 newest = newest.max(feed.version);
                 let full = feed.rows.len() >= FULL_PAGE_ROWS;
-                feed.at = known_at(asked, wait, &feed);
+                feed.at = known_at(sent_at, wait, &feed);
                 // After an answer that took long, an immediate poll confirms sooner that nothing has changed since.
                 let late = clock::now().saturating_sub(feed.at) > LATE_ANSWER;
                 wait = if late { Duration::ZERO } else { timing.wait };
@@ -133,15 +133,15 @@
     }
 }
 
-/// Latest time at which the answer to a poll made at `asked` is certain to have been up to date. An answer without changes was
-/// given at the end of the wait, any other at an unknown time since `asked`.
-fn known_at(asked: Ms, wait: Duration, feed: &Feed) -> Ms {
+/// Latest time at which the answer to a poll made at `sent_at` is certain to have been up to date. An answer without changes was
+/// given at the end of the wait, any other at an unknown time since `sent_at`.
+fn known_at(sent_at: Ms, wait: Duration, feed: &Feed) -> Ms {
     let waited = if feed.rows.is_empty() {
         wait.as_millis() as Ms
     } else {
         0
     };
-    (asked + waited).min(clock::now())
+    (sent_at + waited).min(clock::now())
 }
 
 /// Reads all rows of parts of a table, none of them older than the transaction `min_version`. The result carries the version and
@@ -179,13 +179,16 @@
         {
             reads.push(async move {
                 tokio::time::sleep(delay).await;
-                let asked = clock::now();
+                let sent_at = clock::now();
                 let page = store.page(table, part, &from).await;
                 (
                     part,
                     from,
                     delay,
-                    page.map(|page| Page { at: asked, ..page }),
+                    page.map(|page| Page {
+                        at: sent_at,
+                        ..page
+                    }),
                 )
             });
         }
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -30,7 +30,8 @@
 /// Answers that took longer are left out of the latency statistics: a poll for changes takes as long as nothing changes, which
 /// says nothing about the speed of the store.
 const MAX_LATENCY_SAMPLE_MS: u64 = 10_000;
-/// Lower bound of the delay before a call to the store is repeated. A healthy store answers within 50 ms from any region.
+/// Lower bound of the delay before a call to the store is repeated. A healthy store answers within 50 ms from any region, so an
+/// answer that is later than this is probably lost.
 const MIN_STORE_RETRY_DELAY: Duration = Duration::from_millis(160);
 /// Upper bound of the same delay. Callers wait three seconds, so a third call would come too late.
 const MAX_STORE_RETRY_DELAY: Duration = Duration::from_millis(900);
--- a/crates/host/src/interfaces.rs
+++ b/crates/host/src/interfaces.rs
@@ -142,7 +142,7 @@
     async fn feed(&self, table: &str, after: u64, wait: Duration) -> Result<Feed, StoreError>;
 }
 
-/// Why a hold call failed.
+/// Why a poll of a worker failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PollFailure {
     /// The worker has seen an owner with a higher epoch.
@@ -168,7 +168,7 @@
     async fn pace(&self, address: &str, epoch: u64, pace: &Pace) -> bool;
 
     /// Long poll of a worker: renews its lease (until `lease` on the worker's clock, if given), lets it discard the ends of runs
-    /// up to the number `noted`, and returns its runs; waits up to `wait` for the end of a run.
+    /// up to the number `acknowledged`, and returns its runs; waits up to `wait` for the end of a run.
     ///
     /// # Errors
     /// Why there is no listing.
@@ -178,7 +178,7 @@
         worker: &WorkerId,
         epoch: u64,
         lease: Option<Ms>,
-        noted: u64,
+        acknowledged: u64,
         wait: Duration,
     ) -> Result<WorkerReport, PollFailure>;
 }
@@ -189,13 +189,12 @@
 /// The advisor, which decides which workers may run a step.
 #[async_trait]
 pub trait Advisor: Send + Sync {
-    /// Returns those of the workers that may run a step; `None` if the advisor didn't answer. `takes` is the expected duration
-    /// of the query.
+    /// Returns those of the workers that may run a step; `None` if the advisor didn't answer.
     async fn query(
         &self,
         stage: &StageKey,
         workers: &[WorkerId],
-        takes: Duration,
+        expected_duration: Duration,
     ) -> Option<Tickets>;
 }
 
--- a/crates/host/src/link.rs
+++ b/crates/host/src/link.rs
@@ -61,7 +61,7 @@
         reply
     }
 
-    /// Calls the owner for something whose reply may take long to transfer; `None` if the connection ends before it is there.
+    /// Calls the owner for something whose reply may take long to transfer; `None` if the connection ends before it arrives.
     ///
     /// There is no timeout: the reply to a call that timed out would go on arriving and delay the next one.
     pub async fn fetch(&self, call: Call) -> Option<Reply> {
--- a/crates/host/src/owner/advice.rs
+++ b/crates/host/src/owner/advice.rs
@@ -38,7 +38,8 @@
             let best = hosts
                 .iter_mut()
                 .filter(|(_, host)| {
-                    host.is_advisor_proxy && now.saturating_sub(host.last_heard) < MAX_SILENCE
+                    host.is_advisor_proxy
+                        && now.saturating_sub(host.heartbeat_received_at) < MAX_SILENCE
                 })
                 .map(|(name, host)| {
                     let score =
--- a/crates/host/src/owner/connected_hosts.rs
+++ b/crates/host/src/owner/connected_hosts.rs
@@ -27,7 +27,7 @@
 /// A more suitable host gets a pool only if the store has served it for this long.
 const MIN_STORE_AVAILABILITY: Ms = 800;
 /// An owner with sufficient resources hands the pool over to a more suitable host only after this long, since hosts come and go
-/// at the first start.
+/// while a deployment starts.
 const MIN_OWNERSHIP: Ms = 5_000;
 /// The same for an owner with insufficient resources: long enough for other hosts to connect.
 const MIN_OWNERSHIP_INSUFFICIENT: Ms = 600;
@@ -60,7 +60,7 @@
     /// Messages to it.
     pub(super) sender: mpsc::Sender<FromOwner>,
     /// When its last heartbeat was received.
-    pub(super) last_heard: Ms,
+    pub(super) heartbeat_received_at: Ms,
     /// When that heartbeat was sent, on the clock of that host; 0 if there was none.
     heartbeat_sent_at: Ms,
     /// Since when the store has served it, according to its heartbeats; `None` if the store doesn't.
@@ -85,7 +85,7 @@
             .store_available_since
             .map(|since| now.saturating_sub(since));
         available_for.is_some_and(|time| time >= min_time)
-            && now.saturating_sub(self.last_heard) < MAX_SILENCE
+            && now.saturating_sub(self.heartbeat_received_at) < MAX_SILENCE
     }
 
     /// What is known about its access to the store.
@@ -303,7 +303,8 @@
                             .try_send(FromOwner::Heartbeat(self.heartbeat_to(host, &heartbeat))),
                     );
                     advisor_proxies += usize::from(
-                        host.is_advisor_proxy && now.saturating_sub(host.last_heard) < MAX_SILENCE,
+                        host.is_advisor_proxy
+                            && now.saturating_sub(host.heartbeat_received_at) < MAX_SILENCE,
                     );
                 }
             }
@@ -388,7 +389,7 @@
                 processors,
                 link_mbps,
                 sender,
-                last_heard: clock::now(),
+                heartbeat_received_at: clock::now(),
                 heartbeat_sent_at: 0,
                 store_available_since: None,
                 store_answered_at: 0,
@@ -433,11 +434,13 @@
                 if let Some(host) = lock(&self.hosts).get_mut(name)
                     && host.connection == connection
                 {
-                    host.last_heard = clock::now();
-                    host.store_available_since = store_available
-                        .then(|| host.store_available_since.unwrap_or(host.last_heard));
-                    host.store_answered_at =
-                        store_answer_age.map_or(0, |age| host.last_heard.saturating_sub(age));
+                    host.heartbeat_received_at = clock::now();
+                    host.store_available_since = store_available.then(|| {
+                        host.store_available_since
+                            .unwrap_or(host.heartbeat_received_at)
+                    });
+                    host.store_answered_at = store_answer_age
+                        .map_or(0, |age| host.heartbeat_received_at.saturating_sub(age));
                     host.store_rtt = store_rtt;
                     host.owned_pools = owned_pools;
                     host.heartbeat_sent_at = sent;
--- a/crates/host/src/packed.rs
+++ b/crates/host/src/packed.rs
@@ -30,7 +30,7 @@
         /// The codec's error.
         source: std::io::Error,
     },
-    /// The configuration can't be encoded as JSON, or the unpacked data is not one.
+    /// The configuration can't be encoded as JSON, or the unpacked data can't be parsed as a configuration.
     #[snafu(display("configuration can't be encoded or parsed as JSON: {source}"))]
     Json {
         /// The parser's error.
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -26,8 +26,8 @@
 pub(crate) const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Timeout for establishing a connection; the round trip between regions takes 40 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Frames that may wait to be written to one host; more mean that it doesn't read.
-const QUEUE_FRAMES: usize = 4_096;
+/// Maximum number of frames that wait to be written to one host; if more accumulate, the host doesn't read.
+const MAX_QUEUED_FRAMES: usize = 4_096;
 
 /// Why a link to the owner ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -95,7 +95,7 @@
     };
     let (read, half) = stream.into_split();
     let mut receiver = Receiver::<FromOwner>::new(read);
-    let (to, from) = mpsc::channel(QUEUE_FRAMES);
+    let (to, from) = mpsc::channel(MAX_QUEUED_FRAMES);
     let link = Arc::new(Link::new(to));
     link.send(ToOwner::Hello {
         host: host.settings.id.clone(),
@@ -191,7 +191,7 @@
 }
 
 /// Asks another host whether it receives heartbeats of a pool's owner or is the owner; waits at most `limit` for the answer.
-pub(crate) async fn ask_if_owner_heard(
+pub(crate) async fn ask_if_owner_reachable(
     address: SocketAddr,
     pool: u32,
     limit: Duration,
@@ -253,11 +253,11 @@
     }
 }
 
-/// Serves a connection of another host: its link to this owner, or a question about the owner of a pool.
+/// Serves a connection of another host: its link to this owner, or a query about the owner of a pool.
 async fn serve(host: Arc<Host>, stream: TcpStream) {
     let (read, half) = stream.into_split();
     let mut receiver = Receiver::<ToOwner>::new(read);
-    let (to, from) = mpsc::channel::<FromOwner>(QUEUE_FRAMES);
+    let (to, from) = mpsc::channel::<FromOwner>(MAX_QUEUED_FRAMES);
     let reads = async {
         let first = receiver.next_within(HEARTBEAT_TIMEOUT).await;
         let (name, address, resources, owner) = match first {
--- a/crates/host/src/pool_state.rs
+++ b/crates/host/src/pool_state.rs
@@ -13,8 +13,8 @@
 use crate::route::Load;
 use crate::wire::Heartbeat;
 
-/// A heartbeat counts as recent for four intervals; after that the owner may have failed.
-const RECENT_HEARTBEAT_AGE: Ms = 1_000;
+/// A heartbeat counts as recent for this long, which is four heartbeat intervals; after that the owner may have failed.
+const MAX_HEARTBEAT_AGE: Ms = 1_000;
 /// What a heartbeat says about the store counts for this long.
 const MAX_STORE_STATUS_AGE: Ms = 1_500;
 
@@ -148,7 +148,7 @@
     pub(crate) fn sum_over_pools(
         &self,
         max_age: Ms,
-        part: impl Fn(&Heartbeat) -> Option<u64>,
+        value: impl Fn(&Heartbeat) -> Option<u64>,
     ) -> Option<u64> {
         let now = clock::now();
         let pools = self.pool_map.load().pool_count() as usize;
@@ -157,7 +157,7 @@
             let state = pool_states.get(pool)?;
             let recent = now.saturating_sub(state.last_heartbeat.received_at) < max_age;
             recent
-                .then(|| part(&state.last_heartbeat.heartbeat))
+                .then(|| value(&state.last_heartbeat.heartbeat))
                 .flatten()
         });
         values.sum()
@@ -169,8 +169,7 @@
         let pool_states = lock(&self.pool_states);
         let loads = pool_states.iter().enumerate().map(|(pool, state)| {
             let load = Load {
-                is_recent: now.saturating_sub(state.last_heartbeat.received_at)
-                    < RECENT_HEARTBEAT_AGE
+                is_recent: now.saturating_sub(state.last_heartbeat.received_at) < MAX_HEARTBEAT_AGE
                     && state.last_heartbeat.heartbeat.pending.is_some(),
                 load: state.last_heartbeat.heartbeat.load,
                 labels: state.last_heartbeat.heartbeat.labels.clone(),
@@ -188,7 +187,7 @@
         let now = clock::now();
         let pool_states = lock(&self.pool_states);
         let found = pool_states.iter().find(|state| {
-            now.saturating_sub(state.last_heartbeat.received_at) < RECENT_HEARTBEAT_AGE
+            now.saturating_sub(state.last_heartbeat.received_at) < MAX_HEARTBEAT_AGE
                 && condition(&state.last_heartbeat.heartbeat)
                 && state.link.is_some()
         });
--- a/crates/host/src/requests.rs
+++ b/crates/host/src/requests.rs
@@ -102,8 +102,8 @@
     /// Inserts a job's row from this host and, if the store refuses or doesn't answer this host in its usual time, through an
     /// owner as well. The flag in the result is `true` if the owner inserted it.
     ///
-    /// The store may be available to the owner although it is not to this host. Both write the same row, so the first that finds
-    /// it there decides; the job is refused only if both are.
+    /// The store may be available to the owner although it is not to this host. Both inserts write the same row, so the first
+    /// that confirms the row decides; the job is refused only if both inserts were refused.
     async fn insert_both_ways(&self, pool: u32, job: &Job, until: Instant) -> (Inserted, bool) {
         let retry_delay = self.store_retry_delay();
         if !self.has(Mechanism::JointInserts) && self.store_available() {
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Reads the present version of a row; `None` if there is no such row, an error if the store doesn't say.
+    /// Reads the present version of a row; `None` if there is no such row, an error if the store gives no answer.
     ///
     /// Plain reads may be stale: a job that was just accepted would look unknown, and a completed one still running.
     /// Transactions are not, so this commits one that writes nothing and requires the row to be absent; a conflict returns the
--- a/crates/host/src/session.rs
+++ b/crates/host/src/session.rs
@@ -205,7 +205,7 @@
         });
     let first = request.send(owner, id, sent_at, wait);
     lock(&owner.repeat_budget).earn();
-    let again = || {
+    let repeat = || {
         if !lock(&owner.repeat_budget).spend() {
             return None;
         }
@@ -227,7 +227,7 @@
     };
     let due = wait + ANSWER_TIMEOUT;
     let outcome = polls
-        .call(first, again, wait + overdue, due, process)
+        .call(first, repeat, wait + overdue, due, process)
         .await?;
     lock(&owner.answer_loss).note(outcome == Outcome::Lost);
     let answered = || {
--- a/crates/host/src/store_outage.rs
+++ b/crates/host/src/store_outage.rs
@@ -36,12 +36,12 @@
 }
 
 impl StoreOutage {
-    /// Records the failure of a call made at `asked`, in an outage that began before if `outage` is given. `refused` is set if the
-    /// call certainly had no effect.
-    pub fn note(outage: Option<Self>, asked: Ms, now: Ms, refused: bool) -> Self {
-        let refused = refused && now.saturating_sub(asked) <= MAX_REFUSAL_LATENCY;
+    /// Records the failure of a call sent at `sent_at`, in an outage that began before if `outage` is given. `refused` is set if
+    /// the call certainly had no effect.
+    pub fn note(outage: Option<Self>, sent_at: Ms, now: Ms, refused: bool) -> Self {
+        let refused = refused && now.saturating_sub(sent_at) <= MAX_REFUSAL_LATENCY;
         let outage = outage.unwrap_or(Self {
-            since: asked,
+            since: sent_at,
             only_refusals: true,
         });
         Self {
--- a/crates/host/src/suitability.rs
+++ b/crates/host/src/suitability.rs
@@ -12,7 +12,7 @@
 /// Network bandwidth that an owner needs for each worker of its pool, in Mbit/s.
 const LINK_MBPS_PER_WORKER: f64 = 0.04;
 /// Longest extra takeover delay of a host that has too little for a pool.
-const INSUFFICIENCY_DELAY: Duration = Duration::from_millis(1_500);
+const MAX_INSUFFICIENCY_DELAY: Duration = Duration::from_millis(1_500);
 
 /// The properties of a host that matter for owning a pool.
 #[derive(Clone, Copy, Debug)]
@@ -79,6 +79,6 @@
     /// Extra takeover delay of a host that has too little for the pool.
     #[must_use]
     pub fn insufficiency_delay(&self, workers: u32) -> Duration {
-        INSUFFICIENCY_DELAY.mul_f64(1.0 - self.sufficiency(workers))
+        MAX_INSUFFICIENCY_DELAY.mul_f64(1.0 - self.sufficiency(workers))
     }
 }
--- a/crates/host/src/takeover_delay.rs
+++ b/crates/host/src/takeover_delay.rs
@@ -1,9 +1,9 @@
 //! How long a host waits before it tries to take over a pool.
 //!
 //! When all hosts lose power at once and are back a second later, the host that the owner's row names is among them, in a new
-//! incarnation, and so are its successors. All hosts want the pool, and one of them should get it without delay. This order
-//! isn't needed for safety: the version of the row lets only one write succeed, and the epoch fences all other hosts. It only
-//! spares the others a futile write.
+//! incarnation, and so are its successors. All hosts want the pool, and one of them should get it at once. The delays
+//! aren't needed for safety: the version of the row lets only one write succeed, and the epoch fences all other hosts. They only
+//! spare the others a futile write.
 
 use std::time::Duration;
 
--- a/crates/host/tests/heartbeat.rs
+++ b/crates/host/tests/heartbeat.rs
@@ -14,7 +14,7 @@
 
 /// Guards against a delayed heartbeat that makes an old configuration look current.
 #[test]
-fn a_heartbeat_refers_to_the_time_when_the_owner_heard_the_host() {
+fn a_heartbeat_confirms_the_configuration_as_of_the_echoed_time() {
     assert_eq!(heartbeat(7, 10_000, 400).confirmed_at(7), Some(9_600));
     assert_eq!(heartbeat(7, 200, 400).confirmed_at(7), Some(0));
 }
--- a/crates/host/tests/lag.rs
+++ b/crates/host/tests/lag.rs
@@ -12,7 +12,7 @@
     now
 }
 
-/// Guards against an owner that keeps its pool for five seconds though it schedules only once a second: short checks that
+/// Guards against an owner that keeps its pool for five seconds though it schedules only once a second: short jobs that
 /// callers submitted meanwhile were late, in a deployment with ninety other hosts.
 #[test]
 fn a_host_that_becomes_slow_is_detected_within_two_seconds() {
--- a/crates/host/tests/route.rs
+++ b/crates/host/tests/route.rs
@@ -25,16 +25,16 @@
     }
 }
 
-fn loads(taken: &[f64]) -> FxHashMap<u32, Load> {
-    let load = |(pool, &taken): (usize, &f64)| {
+fn loads(values: &[f64]) -> FxHashMap<u32, Load> {
+    let load = |(pool, &value): (usize, &f64)| {
         let load = Load {
             is_recent: true,
-            load: taken,
+            load: value,
             labels: vec!["a".to_owned()],
         };
         (pool as u32, load)
     };
-    taken.iter().enumerate().map(load).collect()
+    values.iter().enumerate().map(load).collect()
 }
 
 /// Largest distance of the most loaded of six pools from their mean load. One job in ten is thirty times as large as the others,
@@ -83,6 +83,7 @@
     assert!(by_load < by_id * 0.75, "{by_load} against {by_id}");
 }
 
+/// Guards against a job outside of its two candidate pools: a host that looks for it by its id queries only those owners.
 #[test]
 fn a_job_is_found_again_among_two_candidates() {
     let map = pool_map(&[500, 480, 510, 100]);
--- a/crates/host/tests/store_outage.rs
+++ b/crates/host/tests/store_outage.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// Guards against a pool that can't store anything for 0.9 s although another host could own it: a third of the short checks that
+/// Guards against a pool that can't store anything for 0.9 s although another host could own it: a third of the short jobs that
 /// were due in that time were late.
 #[test]
 fn a_refused_owner_hands_the_pool_over_at_once() {
