--- a/crates/bench/src/bin/lentilyoke-trial.rs
+++ b/crates/bench/src/bin/lentilyoke-trial.rs
@@ -246,7 +246,8 @@
                         rule.reset();
                     }
                 }
-                let detected = (1..=BROKEN_OUTCOMES).find(|_| rule.record(random.random::<f64>() < broken));
+                let detected =
+                    (1..=BROKEN_OUTCOMES).find(|_| rule.record(random.random::<f64>() < broken));
                 delays.push(detected.unwrap_or(BROKEN_OUTCOMES + 1));
             }
             delays.sort_unstable();
