--- a/crates/pool/src/advice.rs
+++ b/crates/pool/src/advice.rs
@@ -30,13 +30,13 @@
 const OVERSHOOT: f64 = 1.35;
 
 /// Workers beyond those needed may add up to this share of a query's fixed time.
-const FREE_TIME_SHARE: f64 = 0.25;
+const EXTRA_TIME_SHARE: f64 = 0.25;
 
 /// Number of workers that a query may name in any case: together they add little to its fixed time.
 #[must_use]
 pub fn min_query_size(policy: &AdvisorPolicy) -> usize {
     if policy.per_worker_ms > 0.0 {
-        (policy.base_ms * FREE_TIME_SHARE / policy.per_worker_ms) as usize
+        (policy.base_ms * EXTRA_TIME_SHARE / policy.per_worker_ms) as usize
     } else {
         usize::MAX
     }
@@ -77,15 +77,15 @@
 }
 
 /// Chooses the workers of a query: first those that were allowed before and have free capacity, then those on which as many
-/// tasks fit as each should take; pseudo-randomly among equals. Several steps are queried at the same time: if all of them
-/// named the workers with the most free capacity, they would get the same workers, and all but the first step would find the
-/// capacity taken.
+/// tasks fit as each should take; pseudo-randomly among equals. Queries about several steps are in flight at the same time: if
+/// all of them named the workers with the most free capacity, the steps would get tickets for the same workers, and all but the
+/// first would find the capacity taken.
 ///
 /// ```
 /// use pool::advice::{Candidate, Requirements, choose_workers};
 ///
 /// let all: Vec<Candidate> = (0..40)
-///     .map(|at| Candidate { worker: format!("w{at}").into(), fits: 2, allowed_before: false })
+///     .map(|index| Candidate { worker: format!("w{index}").into(), fits: 2, allowed_before: false })
 ///     .collect();
 /// let required = Requirements { tasks: 4, approval_rate: 0.5, max_workers: 30, min_workers: 0, seed: 1 };
 /// assert_eq!(choose_workers(&required, &all).len(), 6);
--- a/crates/pool/src/answer.rs
+++ b/crates/pool/src/answer.rs
@@ -21,7 +21,7 @@
     Unreadable,
     /// The worker reported itself unhealthy and did nothing.
     Unwell,
-    /// The worker could not be reached, or another process answered at its address; nothing was done.
+    /// No connection could be made, or another process answered at the worker's address; nothing was done.
     Away,
     /// No answer in time: the task may be running or may still start.
     Lost,
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -16,8 +16,8 @@
 use crate::state::State;
 use crate::task::{Ms, Run, Task, TaskKey, WorkerId};
 
-/// A run counts as a possible cause of a crash only if the worker answered no poll that was sent later than this after the start
-/// command.
+/// A run counts as a possible cause of a crash only if the worker answered no poll that was sent this long or longer after the
+/// start command.
 const CRASH_WINDOW: Ms = 2_000;
 /// A task that has run for this long is stable: all its crash records are dropped.
 pub(crate) const STABLE_AFTER: Ms = 10_000;
@@ -67,7 +67,7 @@
 }
 
 impl Task {
-    /// Restores the crash records stored by the previous owner.
+    /// Restores the crash records stored by the former owner.
     pub(crate) fn restore_crashes(&mut self, runs: &[u32]) {
         self.crashed = runs
             .iter()
@@ -121,7 +121,7 @@
     }
 
     /// Drops the record of a run that has outlived [`CRASH_WINDOW`], and all earlier records but one; returns whether there were
-    /// any. One stays because a worker on which tasks have stalled doesn't crash either.
+    /// any. One stays because a worker on which tasks have stalled doesn't crash either, so one survival doesn't clear the task.
     fn clear_survived(&mut self, number: u32) -> bool {
         let before = self.crashed.len();
         self.clear_crash(number);
@@ -130,7 +130,7 @@
     }
 
     /// Records a start of a suspect as a crash until the worker is known to have survived it. The same applies to a task that a
-    /// previous owner may have started, because it may have been lost with a worker that crashed. Returns whether a record was
+    /// former owner may have started, because it may have been lost with a worker that crashed. Returns whether a record was
     /// made.
     pub(crate) fn assume_crash(&mut self, number: u32, inherited: bool) -> bool {
         if let Some(announced) = self.announced.take() {
--- a/crates/pool/src/ends.rs
+++ b/crates/pool/src/ends.rs
@@ -199,7 +199,7 @@
             return;
         };
         let opened = stage.opened.unwrap_or(now);
-        let since = |at: Option<Ms>| at.map(|at| at.saturating_sub(opened));
+        let since = |time: Option<Ms>| time.map(|time| time.saturating_sub(opened));
         let times = &stage.timeline;
         let times = StepTimes {
             stage: key.clone(),
--- a/crates/pool/src/evacuate.rs
+++ b/crates/pool/src/evacuate.rs
@@ -1,9 +1,9 @@
 //! Evacuation of workers that are about to leave.
 //!
 //! A worker that leaves ends all its runs. Long-running tasks are stopped as soon as another worker has capacity for them,
-//! since they could never end in time. Tasks with checkpoints are stopped just before the worker leaves, so that only the
-//! time of the stop is lost. Other tasks go on: the worker often stays longer than it announced, and a stop would certainly
-//! lose their work.
+//! and at the latest just before the worker leaves, since they could never end in time. Tasks with checkpoints are stopped
+//! just before the worker leaves, so that only the time of the stop is lost. Other tasks go on: the worker often stays longer
+//! than it announced, and a stop would certainly lose their work.
 
 use std::sync::Arc;
 
--- a/crates/pool/src/inherit.rs
+++ b/crates/pool/src/inherit.rs
@@ -1,5 +1,5 @@
-//! Restrictions on a new owner: tasks that its predecessor may have started on workers that haven't reported yet, and jobs that
-//! it could not read yet.
+//! Restrictions on a new owner: tasks that the former owner may have started on workers that haven't reported yet, and jobs that
+//! the new owner could not read yet.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use crate::worker::UnavailableWorker;
 
 impl Pool {
-    /// Sets the workers of the previous owner that must report before inherited jobs may start new tasks. The wait ends when all
-    /// commands and leases of the previous owner have certainly expired. For workers that were already unavailable to the
-    /// previous owner, `unavailable` holds the runs they may have, and only those tasks wait.
+    /// Sets the workers of the former owner that must report before inherited jobs may start new tasks. The wait ends when all
+    /// commands and leases of the former owner have certainly expired. For workers that were already unavailable to the
+    /// former owner, `unavailable` holds the runs they may have, and only those tasks wait.
     ///
-    /// Otherwise, a task that still runs on a worker that only the new owner can't reach would run a second time.
+    /// Without this wait, a task that still runs on a worker that only the new owner can't reach would run a second time.
     pub fn inherit(
         &mut self,
         now: Ms,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Holds back the tasks of a job that may run on workers that neither the previous owner could reach nor this owner has
+    /// Holds back the tasks of a job that may run on workers that neither the former owner could reach nor this owner has
     /// reached yet.
     pub(crate) fn assume_unreported_runs(&mut self, now: Ms, job: &JobId) {
         let mut runs = Vec::new();
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Sets whether jobs accepted before this owner took over may be missing, because a part of the store doesn't answer. As long
-    /// as they may be, runs and ends of unknown jobs are left alone.
+    /// Sets whether jobs accepted before this owner took over may be missing, because a part of the store doesn't answer. Until
+    /// all are known, runs and ends of unknown jobs are left alone, however long that takes.
     pub fn set_jobs_incomplete(&mut self, now: Ms, incomplete: bool) {
         self.jobs_incomplete = incomplete;
         if incomplete {
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Time after which no command of the previous owner can take effect: it has lost its majority, and its last commands have
+    /// Time after which no command of the former owner can take effect: it has lost its majority, and its last commands have
     /// expired. `None` until this owner has a majority.
     pub(crate) fn former_commands_end(&self) -> Option<Ms> {
         let since = self.quorum_since?;
         Some(since + self.options.quorum_validity + self.options.command_ttl)
     }
 
-    /// Ends the wait for unreported workers once all commands and leases of the previous owner have expired. The time is bounded
+    /// Ends the wait for unreported workers once all commands and leases of the former owner have expired. The time is bounded
     /// only from when this owner first had a majority.
     pub(crate) fn settle_inheritance(&mut self, now: Ms) {
         if self.quorum_since.is_none() && self.has_quorum(now) {
@@ -128,7 +128,7 @@
         })
     }
 
-    /// Workers of the previous owner that haven't reported to this one; inherited jobs wait for them.
+    /// Workers of the former owner that haven't reported to this one; inherited jobs wait for them.
     #[must_use]
     pub fn unconfirmed_workers(&self) -> &BTreeSet<WorkerId> {
         &self.unconfirmed_workers
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -159,9 +159,13 @@
         if tasks > Self::MAX_TASKS {
             return Err(InvalidJob::TooManyTasks);
         }
-        for (at, step) in self.steps.iter().enumerate() {
-            if step.after.iter().any(|&before| usize::from(before) >= at) {
-                return Err(InvalidJob::InvalidDependency(at));
+        for (index, step) in self.steps.iter().enumerate() {
+            if step
+                .after
+                .iter()
+                .any(|&before| usize::from(before) >= index)
+            {
+                return Err(InvalidJob::InvalidDependency(index));
             }
         }
         Ok(())
@@ -171,12 +175,12 @@
     #[must_use]
     pub fn chain_from(&self, step: usize) -> Ms {
         let mut longest = vec![0; self.steps.len()];
-        for at in (0..self.steps.len()).rev() {
-            let next = (at + 1..self.steps.len())
-                .filter(|&later| self.steps[later].after.contains(&(at as u16)))
+        for index in (0..self.steps.len()).rev() {
+            let next = (index + 1..self.steps.len())
+                .filter(|&later| self.steps[later].after.contains(&(index as u16)))
                 .map(|later| longest[later])
                 .max();
-            longest[at] = self.steps[at].estimate + next.unwrap_or(0);
+            longest[index] = self.steps[index].estimate + next.unwrap_or(0);
         }
         longest.get(step).copied().unwrap_or(0)
     }
--- a/crates/pool/src/live.rs
+++ b/crates/pool/src/live.rs
@@ -48,7 +48,7 @@
     pub opened: Option<Ms>,
     /// Answers of the advisor.
     pub advised: AdvisorState,
-    /// When the step was queried and started.
+    /// When the advisor was queried about the step and when its tasks were started.
     pub timeline: Timeline,
 }
 
@@ -85,20 +85,20 @@
     }
 
     fn progress(&self) -> StepProgress {
-        let rows = || self.tasks.iter().enumerate().filter(|(_, task)| !task.done);
+        let unfinished = || self.tasks.iter().enumerate().filter(|(_, task)| !task.done);
         StepProgress {
             done: StepProgress::pack(self.tasks.iter().map(|task| task.done)),
-            failed: rows()
+            failed: unfinished()
                 .filter(|(_, task)| !task.failed.is_empty())
-                .map(|(at, task)| (at as u32, task.failed.clone()))
+                .map(|(index, task)| (index as u32, task.failed.clone()))
                 .collect(),
-            crashed: rows()
+            crashed: unfinished()
                 .filter(|(_, task)| !task.crashed.is_empty())
-                .map(|(at, task)| (at as u32, task.crashed_runs()))
+                .map(|(index, task)| (index as u32, task.crashed_runs()))
                 .collect(),
-            checkpoints: rows()
+            checkpoints: unfinished()
                 .filter(|(_, task)| !task.checkpoint.is_empty())
-                .map(|(at, task)| (at as u32, task.checkpoint.clone()))
+                .map(|(index, task)| (index as u32, task.checkpoint.clone()))
                 .collect(),
             highest_run: self
                 .tasks
@@ -153,8 +153,11 @@
             .steps
             .iter()
             .enumerate()
-            .map(|(at, step)| {
-                Stage::restore(step, progress.and_then(|progress| progress.steps.get(at)))
+            .map(|(index, step)| {
+                Stage::restore(
+                    step,
+                    progress.and_then(|progress| progress.steps.get(index)),
+                )
             })
             .collect();
         Self { stages, due }
@@ -163,15 +166,15 @@
     /// Opens the steps whose dependencies are complete, and returns their indices.
     pub(crate) fn open(&mut self, job: &Job, now: Ms) -> Vec<usize> {
         let mut opened = Vec::new();
-        for at in 0..self.stages.len() {
-            let ready = self.stages[at].opened.is_none()
-                && job.steps[at]
+        for index in 0..self.stages.len() {
+            let ready = self.stages[index].opened.is_none()
+                && job.steps[index]
                     .after
                     .iter()
                     .all(|&before| self.stages[usize::from(before)].complete());
             if ready {
-                self.stages[at].opened = Some(now);
-                opened.push(at);
+                self.stages[index].opened = Some(now);
+                opened.push(index);
             }
         }
         opened
@@ -366,7 +369,7 @@
                         occurrence: number,
                         step: step as u16,
                     };
-                    let keyed = move |(at, task)| (key.task(at as u32), task);
+                    let keyed = move |(index, task)| (key.task(index as u32), task);
                     stage.tasks.iter().enumerate().map(keyed)
                 })
         })
--- a/crates/pool/src/load.rs
+++ b/crates/pool/src/load.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Millicores that the tasks of a step that have neither a run nor ended would take.
+    /// Millicores that the waiting tasks of a step would take: those that are neither done nor have a run.
     fn waiting_millicores(&self, key: &StageKey) -> u64 {
         let (Some(stage), Some(size)) = (self.stage(key), self.size(key)) else {
             return 0;
--- a/crates/pool/src/monitor.rs
+++ b/crates/pool/src/monitor.rs
@@ -118,7 +118,7 @@
         let mut stalled = Vec::new();
         let mut paces = Vec::new();
         for worker in self.workers.values() {
-            // After 1.5 s without a report, nothing is known of the present state of the worker's runs.
+            // After 1.5 s without a report, nothing is known of the current state of the worker's runs.
             if now.saturating_sub(worker.last_poll) > 1_500 {
                 continue;
             }
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -174,7 +174,7 @@
             .iter()
             .enumerate()
             .filter(|(_, task)| task.is_startable(now))
-            .map(|(at, _)| at as u32)
+            .map(|(index, _)| index as u32)
             .collect();
         // Suspects last: a worker that gets a suspect which has to run alone takes no other task.
         let suspicion = |index: &u32| stage.tasks[*index as usize].suspicion();
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -110,9 +110,9 @@
     pub(crate) transferred_jobs: FxHashSet<JobId>,
     /// When the jobs were last scanned for unservable ones.
     pub(crate) scanned_at: Ms,
-    /// Timelines of completed steps, to be logged.
+    /// Summaries of completed steps, to be logged.
     pub(crate) steps_done: Vec<StepTimes>,
-    /// Timelines of jobs whose final states were stored, to be logged.
+    /// Summaries of jobs whose final states were stored, to be logged.
     pub(crate) jobs_done: Vec<JobTimes>,
     /// Tasks suspected of crashing workers; may contain some whose suspicion has been cleared.
     pub(crate) suspects: BTreeSet<TaskKey>,
@@ -169,7 +169,7 @@
         }
         let accepted_for_us = job.epoch == self.options.epoch && job.epoch > 0;
         let mut live = LiveJob::new(job, progress, now, unix);
-        // The former owner may have known, and started, a job that this owner learns of only now.
+        // The former owner may have received, and started, a job that this owner learns of only now.
         let former_may_act = self.former_commands_end().is_none_or(|end| now < end);
         live.inherited = !accepted_for_us
             && (inherited || former_may_act && !self.unconfirmed_workers.is_empty());
@@ -178,7 +178,7 @@
         self.advance(&id, now, unix);
         self.assume_unreported_runs(now, &id);
         self.adopt_observed_runs(now, &id);
-        // A former owner may have stored the last end without the state that follows from it.
+        // The former owner may have stored the last end without the state that follows from it.
         self.complete_or_advance(now, unix, &id);
         if self.early_cancels.remove(&id) {
             self.cancel(unix, &id);
@@ -326,8 +326,9 @@
         ids
     }
 
-    /// Workers that are unreachable or about to leave, with the runs that may be there. Nothing is started on them
-    /// until a roster that names them is stored: a run started in between would be missing from the stored list.
+    /// Workers that are unreachable or about to leave, with the runs that may be there. After this call, nothing is
+    /// started on them until a roster that names them is stored: a run started while the list is being stored would be
+    /// missing from it.
     #[must_use]
     pub fn unavailable_workers(&mut self, now: Ms) -> Vec<UnavailableWorker> {
         for worker in self.workers.values_mut() {
@@ -353,8 +354,8 @@
         unavailable
     }
 
-    /// Records the workers of the stored roster, sorted by id. Returns whether a worker may be given tasks that might
-    /// not before.
+    /// Records the workers of the stored roster, sorted by id. Returns whether a worker was added, which may now be given
+    /// tasks.
     pub fn set_stored_roster(&mut self, ids: &[WorkerId]) -> bool {
         let mut any_added = false;
         for (id, worker) in &mut self.workers {
--- a/crates/pool/src/query.rs
+++ b/crates/pool/src/query.rs
@@ -17,7 +17,7 @@
 
 /// Queries ahead of need may take only one in this many of the queries that may be in flight at once.
 const AHEAD_DIVISOR: usize = 2;
-/// A step that has waited this long for a query may be queried out of rank order.
+/// A query about a step that has waited this long for one may be sent out of rank order.
 const OVERDUE_AFTER: Ms = 1_000;
 /// One in this many queries may be sent out of rank order.
 const OVERDUE_DIVISOR: usize = 4;
@@ -189,8 +189,8 @@
         })
     }
 
-    /// Workers that may be named in a query: those that are allowed for the step, that the advisor has not denied, and for
-    /// which there is no valid ticket.
+    /// Workers that a query may name: those that are eligible for the step and accept starts, that the advisor has not denied,
+    /// and for which there is no valid ticket.
     fn candidates(
         &self,
         now: Ms,
--- a/crates/pool/src/rank.rs
+++ b/crates/pool/src/rank.rs
@@ -1,7 +1,7 @@
 //! The order in which waiting work is served.
 //!
-//! It matters when demand exceeds capacity. A job has its full value until its objective, little value up to three
-//! times the objective, and none after that. So work that can still have value goes before work that can't, whatever
+//! The order matters when demand exceeds capacity. A job has its full value until its objective, little value up to
+//! three times the objective, and none after that. So work that can still have value goes before work that can't, whatever
 //! its queue; then the queue's priority decides; then whether the work can still meet its objective; then the smaller
 //! remaining work, which has the most value for the capacity it takes. Work without value goes last and is never
 //! dropped.
@@ -13,7 +13,8 @@
 
 /// A job has no value if it takes longer than this many times its objective.
 pub const MAX_OBJECTIVE_RATIO: u64 = 3;
-/// Weight of the newest observation in exponential moving averages: about the last ten observations count.
+/// Weight of the newest observation in exponential moving averages: about the last ten observations count. Task durations
+/// have a fifth of this weight.
 const EMA_WEIGHT: f64 = 0.1;
 
 /// Rank of waiting work; the smallest goes first.
--- a/crates/pool/src/reconcile.rs
+++ b/crates/pool/src/reconcile.rs
@@ -8,14 +8,14 @@
 use crate::task::{JobId, Ms, Phase, Run, TaskKey, WorkerId};
 use crate::worker::{OrphanedRun, UnknownEnds};
 
-/// A run of an unknown job is stopped after this time. The row of a job may reach this owner after the report of its run: usually
-/// by a few milliseconds, but by seconds while the store has problems.
+/// A run of an unknown job is stopped after this time, and the end of such a run is skipped. The row of a job may reach this
+/// owner after the report of its run: usually by a few milliseconds, but by seconds while the store has problems.
 const UNKNOWN_JOB_TIMEOUT: Ms = 3_000;
 /// A run that should be in progress but is reported neither as running nor as ended for this long counts as lost. Ends are
 /// reported completely and in order, so this happens only if the worker contradicts itself.
 const MISSING_RUN_TIMEOUT: Ms = 4_000;
 /// Margin for network delay, timers and rounding when the lease of a worker is converted to this process's clock.
-const LEASE_SLACK: Ms = 400;
+const LEASE_MARGIN: Ms = 400;
 
 impl Pool {
     /// Applies a worker's answer to a poll.
@@ -46,7 +46,7 @@
         if report.clock > worker.clock.0 {
             worker.clock = (report.clock, now);
         }
-        // If this owner hasn't requested a lease yet, the previous owner may just have requested one of the maximum length.
+        // If this owner hasn't requested a lease yet, the former owner may just have requested one of the maximum length.
         let lease_left = if report.lease > 0 {
             report.lease.saturating_sub(report.clock)
         } else {
@@ -55,7 +55,7 @@
         // The worker's clock may be 2% slow.
         worker.lease_expires_at = worker
             .lease_expires_at
-            .max(now + lease_left + lease_left / 33 + LEASE_SLACK);
+            .max(now + lease_left + lease_left / 33 + LEASE_MARGIN);
         self.unconfirmed_workers.remove(id);
         self.apply_ends(now, unix, id, report);
         for job in self.jobs_awaiting_worker.remove(id).unwrap_or_default() {
@@ -113,7 +113,7 @@
     /// Handles a job that has become known after workers may already have reported runs and ends of it. It adopts these runs, and
     /// starts nothing before the ends have been reported again.
     ///
-    /// The previous owner may have started the job just before it was fenced, while the row of the job reached this owner after
+    /// The former owner may have started the job just before it was fenced, while the row of the job reached this owner after
     /// the workers' reports. Without this, the job would be started a second time next to the first.
     pub(crate) fn adopt_observed_runs(&mut self, now: Ms, job: &JobId) {
         let mut runs = Vec::new();
@@ -172,13 +172,13 @@
         }
         worker.lease_expires_at = worker
             .lease_expires_at
-            .max(now + max_lease + max_lease / 33 + LEASE_SLACK);
+            .max(now + max_lease + max_lease / 33 + LEASE_MARGIN);
         Some(clock + max_lease)
     }
 
-    /// Records that a poll got no answer. Nothing is started on the worker until it answers one: the outcome of the command would
-    /// be unknown, and if this owner were lost as well, the next one would have to wait for the worker before it could start any
-    /// inherited job.
+    /// Records that a poll got no answer. Nothing is started on the worker until it answers one: the outcome of a start command
+    /// would be unknown, and if this owner were lost as well, the next one would have to wait for the worker before it could
+    /// start any inherited job.
     pub fn mark_unresponsive(&mut self, id: &WorkerId) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.unresponsive = true;
@@ -346,7 +346,8 @@
             }
             return;
         }
-        // A later start proves that the previous owner knew the earlier run, which is known only from its roster, to be over.
+        // An inherited run is known only from the former owner's roster. A reported run with a higher number proves that the former
+        // owner took the inherited one for over.
         let outdated = task
             .run
             .as_ref()
--- a/crates/pool/src/repeat.rs
+++ b/crates/pool/src/repeat.rs
@@ -1,10 +1,10 @@
 //! Timing and budget of repeated calls.
 //!
 //! A call without an answer is repeated under two kinds of load that look alike. If workers leave a share of the calls
-//! unanswered, a single one holds up a step of ten tasks; a copy has no effect where the command was carried out, so it is sent
-//! as soon as the answer is overdue by the worker's usual response time. If a link is saturated or a host is overloaded, answers
-//! come late and copies make that worse. Therefore the response time of a repeated call is counted too, the interval between
-//! copies grows, and copies have a budget, which is a share of all calls.
+//! unanswered, a single unanswered call holds up a step of ten tasks; a copy has no effect where the command was carried out,
+//! so it is sent as soon as the answer is overdue by the worker's usual response time. If a link is saturated or a host is
+//! overloaded, answers come late and copies make that worse. Therefore the response time of a repeated call is counted too, the
+//! interval between copies grows, and copies have a budget, which is a share of all calls.
 
 use crate::task::Ms;
 
@@ -65,15 +65,16 @@
     }
 }
 
-/// Time until the next copy of a command, given the worker's usual response time and how often the command was sent.
+/// Time until the next copy of a command, given the worker's usual response time (0 if unknown) and how often the command was
+/// sent.
 #[must_use]
-pub(crate) fn delay(usual: Ms, copies: u32) -> Ms {
-    let first = if usual == 0 {
+pub(crate) fn delay(response_time: Ms, times_sent: u32) -> Ms {
+    let first = if response_time == 0 {
         DEFAULT_DELAY
     } else {
-        (usual * OVERDUE_FACTOR).clamp(MIN_DELAY, MAX_FIRST_DELAY)
+        (response_time * OVERDUE_FACTOR).clamp(MIN_DELAY, MAX_FIRST_DELAY)
     };
-    first * BACKOFF_FACTOR.pow(copies.saturating_sub(1).min(4))
+    first * BACKOFF_FACTOR.pow(times_sent.saturating_sub(1).min(4))
 }
 
 /// Moving average of the response time; the new value `took` has a weight of one quarter.
--- a/crates/pool/src/replies.rs
+++ b/crates/pool/src/replies.rs
@@ -13,7 +13,7 @@
 /// Time without new starts on a worker that refused a task for lack of capacity although it should have had enough; it reports
 /// its runs again within this time.
 const REFUSAL_PAUSE: Ms = 250;
-/// Delay before a step is queried again after a failed query.
+/// Delay after a failed query before the advisor is queried about the step again.
 const QUERY_RETRY_DELAY: Ms = 150;
 
 impl Pool {
--- a/crates/pool/src/service_capacity.rs
+++ b/crates/pool/src/service_capacity.rs
@@ -59,11 +59,11 @@
         let (total, used) = (dimensions(self.total), dimensions(self.used));
         let (free, capacity) = (dimensions(free), dimensions(capacity));
         let (mut sum, mut weighted) = (0.0, 0.0);
-        for at in 0..total.len() {
-            if total[at] > 0.0 && capacity[at] > 0.0 {
-                let weight = ratio(used[at], total[at]) + IDLE_WEIGHT;
+        for dimension in 0..total.len() {
+            if total[dimension] > 0.0 && capacity[dimension] > 0.0 {
+                let weight = ratio(used[dimension], total[dimension]) + IDLE_WEIGHT;
                 sum += weight;
-                weighted += weight * free[at] / capacity[at];
+                weighted += weight * free[dimension] / capacity[dimension];
             }
         }
         ratio(weighted, sum)
--- a/crates/pool/src/task.rs
+++ b/crates/pool/src/task.rs
@@ -50,9 +50,9 @@
 pub(crate) enum Phase {
     /// The start command was sent and is not answered yet.
     Starting,
-    /// The answer was lost: the task may be running, or may still start until the command expires.
+    /// No answer has arrived in time: the task may be running, or may still start until the command expires.
     Unconfirmed,
-    /// It runs.
+    /// The worker has confirmed that the run is in progress.
     Running,
     /// A stop command was sent; the capacity stays reserved until the worker reports the end of the run.
     Stopping,
@@ -87,7 +87,7 @@
     pub load: u32,
     /// Share of full speed at which the run is paced, in percent.
     pub pace: u32,
-    /// Whether the run is known only from the roster of the previous owner.
+    /// Whether the run is known only from the roster of the former owner.
     pub inherited: bool,
     /// Whether the worker was known to be running when it received the start command: it answered, it reported the run, or its
     /// connection was lost only after the command was sent.
--- a/crates/pool/src/timeline.rs
+++ b/crates/pool/src/timeline.rs
@@ -3,7 +3,7 @@
 use crate::state::State;
 use crate::task::{JobId, Ms, StageKey};
 
-/// When a step was queried and started, on this process's clock.
+/// When the advisor was queried about a step and when its tasks were started, on this process's clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Timeline {
     /// When the advisor was first queried.
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -53,7 +53,7 @@
     pub run: u32,
     /// Reserved resources, if the job is known.
     pub size: Option<Size>,
-    /// When the run was first reported.
+    /// When the run was first reported, or when all jobs became known to this owner if that was later.
     pub since: Ms,
     /// When a stop command was last sent.
     pub stop_sent: Ms,
@@ -149,10 +149,10 @@
         repeat::delay(self.response_time, 1)
     }
 
-    /// Whether the worker has answered a poll that was sent at `asked` or later.
+    /// Whether the worker has answered a poll that was sent at `sent_at` or later.
     #[must_use]
-    pub fn answered_since(&self, asked: Ms) -> bool {
-        self.last_poll >= asked
+    pub fn answered_since(&self, sent_at: Ms) -> bool {
+        self.last_poll >= sent_at
     }
 
     /// Estimate of the worker's clock at `now`; 0 if it was never reported.
