--- a/crates/pool/tests/advice.rs
+++ b/crates/pool/tests/advice.rs
@@ -124,8 +124,8 @@
 #[test]
 fn queries_ahead_of_need_leave_time_to_others() {
     let (mut pool, _) = full_pool();
-    for at in 0..8 {
-        let id = format!("00000000000000b{at}");
+    for index in 0..8 {
+        let id = format!("00000000000000b{index}");
         adopt(&mut pool, 1_010, job_with_slow_advice(&id, 1_000));
     }
     assert_eq!(pool.schedule(1_020, UNIX).len(), 2);
@@ -191,8 +191,8 @@
         ..Options::default()
     });
     register_workers(&mut pool, 8);
-    for at in 0..too_large {
-        let mut large = job_with_slow_advice(&format!("{at:016x}"), 1_000);
+    for index in 0..too_large {
+        let mut large = job_with_slow_advice(&format!("{index:016x}"), 1_000);
         large.steps[0].long_running = true;
         large.steps[0].size = resource::Size::new(1_000_000, 1, 0);
         large.policy.priority = 1;
@@ -205,8 +205,8 @@
     let mut in_flight = Vec::new();
     for now in (1_010..4_010).step_by(100) {
         report_all(&mut pool, now, &[]);
-        for at in 0..4 {
-            let mut short = job_with_slow_advice(&format!("{now:015x}{at}"), 100);
+        for index in 0..4 {
+            let mut short = job_with_slow_advice(&format!("{now:015x}{index}"), 100);
             short.accepted = UNIX + now;
             adopt(&mut pool, now, short);
         }
@@ -238,8 +238,8 @@
         ..Options::default()
     });
     register_workers(&mut pool, 60);
-    for at in 0..3 {
-        let mut advised = job(&format!("00000000000000d{at}"), &[(4, 2_000, 500)]);
+    for index in 0..3 {
+        let mut advised = job(&format!("00000000000000d{index}"), &[(4, 2_000, 500)]);
         advised.policy.advice = Some(AdvisorPolicy {
             base_ms: 30.0,
             per_worker_ms: 0.5,
--- a/crates/pool/tests/case/mod.rs
+++ b/crates/pool/tests/case/mod.rs
@@ -21,13 +21,15 @@
 
 /// Adds workers to the directory and the stored roster, and lets them report at time 1000.
 pub(crate) fn register_workers(pool: &mut Pool, workers: usize) {
-    let ids: Vec<WorkerId> = (0..workers).map(|at| format!("w{at:02}").into()).collect();
-    for (at, id) in ids.iter().enumerate() {
+    let ids: Vec<WorkerId> = (0..workers)
+        .map(|index| format!("w{index:02}").into())
+        .collect();
+    for (index, id) in ids.iter().enumerate() {
         let info = WorkerInfo {
             address: id.to_string(),
             service: "s".into(),
-            rack: format!("r{}", at / 2),
-            labels: vec!["a".into(), format!("r{}", at / 2)],
+            rack: format!("r{}", index / 2),
+            labels: vec!["a".into(), format!("r{}", index / 2)],
             capacity: Size::new(4_000, 10_000, 0),
             incarnation: 1,
             ..WorkerInfo::default()
--- a/crates/pool/tests/crashes.rs
+++ b/crates/pool/tests/crashes.rs
@@ -1,6 +1,6 @@
 //! Tasks that crash their workers are abandoned after a few crashes, without harm to other jobs.
 
-#[allow(dead_code, reason = "used by other test files")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod simulation;
 
 use pool::{State, WorkerId};
@@ -11,8 +11,8 @@
 /// Job with a task that crashes its workers.
 const CRASHER: &str = "00000000000000ff";
 
-fn id(at: usize) -> WorkerId {
-    format!("w{at:02}").into()
+fn id(index: usize) -> WorkerId {
+    format!("w{index:02}").into()
 }
 
 /// A cell with this many workers and one job with a task that crashes each worker that starts it.
@@ -28,9 +28,9 @@
 
 /// Submits this many jobs of two steps, one every 300 ms.
 fn submit_jobs(sim: &mut Simulation, jobs: usize) {
-    for at in 0..jobs {
+    for index in 0..jobs {
         sim.accept(job(
-            &format!("{at:016}"),
+            &format!("{index:016}"),
             &[(3, 800, 700), (2, 1_000, 2_500)],
         ));
         sim.run_for(300);
@@ -79,9 +79,9 @@
 fn crashes_are_known_to_the_next_owner() {
     for seed in 40..60 {
         let mut sim = cell(seed, 8, seed % 2 == 0);
-        for at in 0..80 {
+        for index in 0..80 {
             sim.accept(job(
-                &format!("{at:016}"),
+                &format!("{index:016}"),
                 &[(3, 800, 700), (2, 1_000, 2_500)],
             ));
             let time = sim.rng.random_range(300..900);
@@ -136,9 +136,9 @@
     sim.start_owner();
     sim.run_for(500);
     let mut next = sim.now;
-    for at in 0..80 {
+    for index in 0..80 {
         sim.accept(job(
-            &format!("{at:016}"),
+            &format!("{index:016}"),
             &[(3, 800, 700), (2, 1_000, 6_000)],
         ));
         let time = sim.rng.random_range(100..500);
@@ -193,9 +193,9 @@
         sim.conditions.lost_answer_rate = 0.02;
         sim.start_owner();
         sim.run_for(500);
-        for at in 0..80 {
+        for index in 0..80 {
             sim.accept(job(
-                &format!("{at:016}"),
+                &format!("{index:016}"),
                 &[(4, 900, 700), (2, 1_000, 5_000)],
             ));
             let time = sim.rng.random_range(50..400);
--- a/crates/pool/tests/late_reports.rs
+++ b/crates/pool/tests/late_reports.rs
@@ -1,8 +1,8 @@
 //! Reports of workers that arrive late.
 
-#[allow(dead_code, reason = "used by other test files")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod case;
-#[allow(dead_code, reason = "used by other test files")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod simulation;
 
 use case::{adopt, pool, report, run};
@@ -21,16 +21,16 @@
     );
     let started = run(&mut pool, 1_010);
     assert_eq!(started.len(), 1);
-    let (now, asked) = (5_100, 1_005);
+    let (now, requested_at) = (5_100, 1_005);
     let ids = ["w00", "w01", "w02"].map(pool::WorkerId::from);
     for id in ids.iter().filter(|id| **id != started[0].worker) {
         report(&mut pool, now, id, vec![], vec![]);
     }
     let late = WorkerReport {
-        clock: asked + 50_000,
+        clock: requested_at + 50_000,
         incarnation: 1,
-        lease: asked + 56_000,
-        requested_at: asked,
+        lease: requested_at + 56_000,
+        requested_at,
         running: vec![],
         ended: vec![],
     };
--- a/crates/pool/tests/losses.rs
+++ b/crates/pool/tests/losses.rs
@@ -1,8 +1,8 @@
 //! Reports of lost runs: runs that are over although no end was reported.
 
-#[allow(dead_code, reason = "used by other test files")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod case;
-#[allow(dead_code, reason = "used by other test files")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod simulation;
 
 use case::{adopt, pool, report_all, run};
--- a/crates/pool/tests/lost_answers.rs
+++ b/crates/pool/tests/lost_answers.rs
@@ -3,9 +3,9 @@
 //! Covers quick jobs of many tasks on workers that leave some commands unanswered and carry them out seconds later, or not at
 //! all. One unanswered command in a step holds up the whole job.
 
-#[allow(dead_code, reason = "used by other test files")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod case;
-#[allow(dead_code, reason = "used by other test files")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod simulation;
 
 use case::{adopt, pool, starts};
@@ -46,13 +46,13 @@
     adopt(&mut pool, 1_000, job("00000000000000q1", &[(1, 100, 500)]));
     let times: Vec<Ms> = start_commands(&mut pool, 1_000, 2_400)
         .into_iter()
-        .map(|(at, _)| at)
+        .map(|(time, _)| time)
         .collect();
     let gaps: Vec<Ms> = times.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!((2..=4).contains(&gaps.len()), "{times:?}");
     assert!(gaps.windows(2).all(|pair| pair[1] > pair[0]), "{gaps:?}");
     assert!(
-        times.iter().all(|at| *at < 2_000),
+        times.iter().all(|time| *time < 2_000),
         "none after its deadline: {times:?}"
     );
 }
@@ -77,8 +77,8 @@
     sim.conditions.lost_answer_rate = 0.065;
     sim.start_owner();
     sim.run_for(200);
-    for at in 0..60 {
-        sim.accept(job(&format!("000000000000q{at:03}"), &[(10, 100, 600)]));
+    for index in 0..60 {
+        sim.accept(job(&format!("000000000000q{index:03}"), &[(10, 100, 600)]));
         sim.run_for(50);
     }
     sim.run_for(4_000);
--- a/crates/pool/tests/owner_changes.rs
+++ b/crates/pool/tests/owner_changes.rs
@@ -1,14 +1,14 @@
 //! Changes of owner on a simulated cell: no task runs twice, no worker's capacity is exceeded, and no job is lost.
 
-#[allow(dead_code, reason = "the other test file uses the rest")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod simulation;
 
 use pool::{State, WorkerId};
 use rand::Rng as _;
 use simulation::{Simulation, job};
 
-fn id(at: usize) -> WorkerId {
-    format!("w{at:02}").into()
+fn id(index: usize) -> WorkerId {
+    format!("w{index:02}").into()
 }
 
 /// A worker that has runs, as far as the first owner knows.
@@ -25,8 +25,8 @@
     let mut sim = Simulation::new(1, 6);
     sim.start_owner();
     sim.run_for(500);
-    for at in 0..6 {
-        sim.accept(job(&format!("{at:016}"), &[(4, 1_000, 3_000)]));
+    for index in 0..6 {
+        sim.accept(job(&format!("{index:016}"), &[(4, 1_000, 3_000)]));
     }
     sim.run_for(1_000);
     sim.owners[0].stopped = true;
@@ -50,14 +50,14 @@
         .jobs
         .remove("00000000000000aa")
         .expect("it was accepted");
-    for at in 0..5 {
+    for index in 0..5 {
         // The new owner can't reach the workers with runs.
         if sim.owners[0]
             .pool
-            .worker(&id(at))
+            .worker(&id(index))
             .is_some_and(|worker| worker.free_capacity().millicores < 4_000)
         {
-            sim.disconnect(&id(at), 2);
+            sim.disconnect(&id(index), 2);
         }
     }
     sim.owners[0].paused_until = u64::MAX;
@@ -80,8 +80,8 @@
     sim.accept(job("00000000000000aa", &[(6, 1_000, 3_000)]));
     sim.run_for(100);
     sim.disconnect(&id(0), 2);
-    for at in 1..6 {
-        sim.disconnect(&id(at), 1);
+    for index in 1..6 {
+        sim.disconnect(&id(index), 1);
     }
     sim.start_owner();
     sim.run_for(200);
@@ -105,8 +105,11 @@
         let mut sim = Simulation::new(seed, 6);
         sim.start_owner();
         sim.run_for(500);
-        for at in 0..30 {
-            sim.accept(job(&format!("{at:016}"), &[(3, 900, 700), (2, 900, 700)]));
+        for index in 0..30 {
+            sim.accept(job(
+                &format!("{index:016}"),
+                &[(3, 900, 700), (2, 900, 700)],
+            ));
             let time = sim.rng.random_range(5..60);
             sim.run_for(time);
         }
@@ -153,8 +156,8 @@
         let mut sim = Simulation::new(10, 4);
         sim.start_owner();
         sim.run_for(500);
-        for at in 0..4 {
-            sim.accept(job(&format!("{at:016}"), &[(2, 1_000, 15_000)]));
+        for index in 0..4 {
+            sim.accept(job(&format!("{index:016}"), &[(2, 1_000, 15_000)]));
         }
         sim.run_for(300);
         sim.mute = [id(0), id(1)].into();
@@ -173,12 +176,12 @@
     let mut sim = Simulation::new(11, 4);
     sim.start_owner();
     sim.run_for(500);
-    for at in 0..4 {
-        sim.accept(job(&format!("{at:016}"), &[(2, 1_000, 15_000)]));
+    for index in 0..4 {
+        sim.accept(job(&format!("{index:016}"), &[(2, 1_000, 15_000)]));
     }
     sim.run_for(300);
-    for at in 1..4 {
-        sim.disconnect(&id(at), 1);
+    for index in 1..4 {
+        sim.disconnect(&id(index), 1);
     }
     sim.disconnect(&id(0), 2);
     sim.start_owner();
@@ -194,16 +197,16 @@
     let mut sim = Simulation::new(3, 6);
     sim.start_owner();
     sim.run_for(500);
-    for at in 0..6 {
-        sim.accept(job(&format!("{at:016}"), &[(1, 3_000, 30_000)]));
+    for index in 0..6 {
+        sim.accept(job(&format!("{index:016}"), &[(1, 3_000, 30_000)]));
     }
     sim.run_for(200);
     for epoch in 1..3 {
         sim.disconnect(&id(0), epoch);
     }
     sim.run_for(2_500);
-    for at in 1..6 {
-        sim.crash(&id(at), 0);
+    for index in 1..6 {
+        sim.crash(&id(index), 0);
     }
     sim.run_for(200);
     sim.owners[0].stopped = true;
@@ -223,9 +226,9 @@
     let mut sim = Simulation::new(6, 4);
     sim.start_owner();
     sim.run_for(500);
-    for at in 0..4 {
+    for index in 0..4 {
         sim.accept(job(
-            &format!("{at:016}"),
+            &format!("{index:016}"),
             &[(1, 3_000, 1_500), (1, 500, 200)],
         ));
     }
@@ -266,8 +269,11 @@
         sim.conditions.failure_rate = 0.02;
         sim.start_owner();
         sim.run_for(500);
-        for at in 0..60 {
-            sim.accept(job(&format!("{at:016}"), &[(4, 800, 600), (2, 1_500, 900)]));
+        for index in 0..60 {
+            sim.accept(job(
+                &format!("{index:016}"),
+                &[(4, 800, 600), (2, 1_500, 900)],
+            ));
             let time = sim.rng.random_range(20..200);
             sim.run_for(time);
             if sim.rng.random_bool(0.05) {
@@ -323,21 +329,21 @@
     let mut sim = Simulation::new(11, 4);
     sim.start_owner();
     sim.run_for(500);
-    for at in 0..4 {
+    for index in 0..4 {
         sim.accept(job(
-            &format!("{at:016}"),
+            &format!("{index:016}"),
             &[(2, 1_000, 500), (2, 1_000, 500)],
         ));
         sim.accept(job(
-            &format!("{:016}", at + 10),
+            &format!("{:016}", index + 10),
             &[(2, 1_000, 700), (2, 1_000, 500)],
         ));
     }
     sim.run_for(300);
     sim.conditions.store_up = false;
     let hidden: Vec<_> = (0..4)
-        .map(|at| {
-            let id = format!("{at:016}");
+        .map(|index| {
+            let id = format!("{index:016}");
             sim.jobs.remove(&id).expect("it was accepted")
         })
         .collect();
@@ -347,8 +353,8 @@
     sim.owners[1].pool.set_jobs_incomplete(now, true);
     sim.conditions.store_up = true;
     sim.run_for(5_000);
-    for at in 10..14 {
-        assert_eq!(sim.stored(&format!("{at:016}")), Some(State::Completed));
+    for index in 10..14 {
+        assert_eq!(sim.stored(&format!("{index:016}")), Some(State::Completed));
     }
     assert_eq!(
         sim.starts,
--- a/crates/pool/tests/policies.rs
+++ b/crates/pool/tests/policies.rs
@@ -20,8 +20,8 @@
     let mut report = job("00000000000000r1", &[(8, 1_000, 60_000)]);
     report.policy.priority = 2;
     adopt(&mut pool, 1_000, report);
-    for at in 0..4 {
-        let mut quick = job(&format!("00000000000000q{at}"), &[(2, 1_000, 500)]);
+    for index in 0..4 {
+        let mut quick = job(&format!("00000000000000q{index}"), &[(2, 1_000, 500)]);
         quick.policy.priority = 0;
         adopt(&mut pool, 1_001, quick);
     }
@@ -37,7 +37,7 @@
 /// Work that can no longer have any value goes last, whatever its priority. Late work that still has some value doesn't.
 #[test]
 fn work_without_value_goes_last() {
-    let claim = |priority, age| {
+    let rank_of = |priority, age| {
         rank(&RankInput {
             priority,
             age,
@@ -47,8 +47,8 @@
             long_running: false,
         })
     };
-    assert!(claim(0, 2_600) > claim(2, 0));
-    assert!(claim(0, 800) < claim(2, 0), "late, but still of value");
+    assert!(rank_of(0, 2_600) > rank_of(2, 0));
+    assert!(rank_of(0, 800) < rank_of(2, 0), "late, but still of value");
 }
 
 /// A gang starts with all its members or not at all, and its members have the same run number.
@@ -75,8 +75,8 @@
     assert!(started.iter().all(|start| start.run == started[0].run));
 }
 
-/// One member of a gang is refused. The others would wait for it until they end with [`How::Alone`], so they are stopped at
-/// once.
+/// One member of a gang is refused. The others would wait for it until they end with [`RunOutcome::Alone`], so they are
+/// stopped at once.
 #[test]
 fn a_gang_with_a_refused_member_is_stopped() {
     let mut pool = pool(2);
@@ -290,8 +290,8 @@
     sim.start_owner();
     sim.run_for(500);
     sim.faulty.insert("w00".into());
-    for at in 0..40 {
-        sim.accept(job(&format!("{at:016}"), &[(2, 500, 200)]));
+    for index in 0..40 {
+        sim.accept(job(&format!("{index:016}"), &[(2, 500, 200)]));
         sim.run_for(60);
     }
     sim.run_for(8_000);
--- a/crates/pool/tests/simulation/crashes.rs
+++ b/crates/pool/tests/simulation/crashes.rs
@@ -87,7 +87,7 @@
         self.send_after(downtime + 300, Message::Row(next));
     }
 
-    /// All owners read the present row of a worker; one that was removed has none.
+    /// All owners read the current row of a worker; one that was removed has none.
     pub(super) fn publish_row(&mut self, id: &WorkerId) {
         let (now, worker) = (self.now, &self.workers[id]);
         let info = (worker.down_until < Ms::MAX).then(|| self.worker_info(id, worker));
--- a/crates/pool/tests/simulation/mod.rs
+++ b/crates/pool/tests/simulation/mod.rs
@@ -125,11 +125,15 @@
         steps: steps
             .iter()
             .enumerate()
-            .map(|(at, &(count, cpu, estimate))| Step {
+            .map(|(index, &(count, cpu, estimate))| Step {
                 count,
                 size: Size::new(cpu, 100, 0),
                 estimate,
-                after: if at == 0 { vec![] } else { vec![at as u16 - 1] },
+                after: if index == 0 {
+                    vec![]
+                } else {
+                    vec![index as u16 - 1]
+                },
                 ..Step::default()
             })
             .collect(),
@@ -148,12 +152,12 @@
     pub(crate) fn new(seed: u64, workers: usize) -> Self {
         let capacity = Size::new(4_000, 10_000, 0);
         let workers = (0..workers)
-            .map(|at| {
+            .map(|index| {
                 let worker = SimWorker {
                     incarnation: 1,
                     ..SimWorker::default()
                 };
-                (format!("w{at:02}").into(), worker)
+                (format!("w{index:02}").into(), worker)
             })
             .collect();
         Self {
@@ -230,7 +234,7 @@
         });
     }
 
-    /// Accepts a caller's job for the present owner.
+    /// Accepts a caller's job for the current owner.
     pub(crate) fn accept(&mut self, job: Job) {
         let epoch = self.owners.last().map_or(0, |owner| owner.epoch);
         let accepted = self.unix();
@@ -241,7 +245,7 @@
         }));
     }
 
-    /// Publishes a job's row. The present owner receives it, and so do former owners that don't know yet that they were
+    /// Publishes a job's row. The current owner receives it, and so do former owners that don't know yet that they were
     /// replaced, as all of them follow the jobs.
     pub(crate) fn publish(&mut self, job: &Arc<Job>) {
         self.jobs.insert(job.id.to_string(), Arc::clone(job));
@@ -289,8 +293,8 @@
     }
 
     fn send_after(&mut self, delay: Ms, message: Message) {
-        let at = self.now + delay + self.rng.random_range(0..2) * STEP;
-        self.in_transit.push((at, message));
+        let due_at = self.now + delay + self.rng.random_range(0..2) * STEP;
+        self.in_transit.push((due_at, message));
     }
 
     /// Runs the simulation for this long.
@@ -310,8 +314,10 @@
 
     fn deliver_due(&mut self) {
         let now = self.now;
-        let (due, left): (Vec<_>, Vec<_>) =
-            self.in_transit.drain(..).partition(|(at, _)| *at <= now);
+        let (due, left): (Vec<_>, Vec<_>) = self
+            .in_transit
+            .drain(..)
+            .partition(|(due_at, _)| *due_at <= now);
         self.in_transit = left;
         for (_, message) in due {
             match message {
--- a/crates/pool/tests/simulation/workers.rs
+++ b/crates/pool/tests/simulation/workers.rs
@@ -133,7 +133,7 @@
                 .filter_map(|(key, run)| {
                     let outcome = if expired {
                         RunOutcome::Lapsed
-                    } else if run.stops_at.is_some_and(|at| now >= at) {
+                    } else if run.stops_at.is_some_and(|time| now >= time) {
                         RunOutcome::Stopped
                     } else if now >= run.ends_at {
                         if run.fails {
--- a/crates/pool/tests/suspects.rs
+++ b/crates/pool/tests/suspects.rs
@@ -1,8 +1,8 @@
 //! Placement and crash records of tasks that may have crashed their workers.
 
-#[allow(dead_code, reason = "used by other test files")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod case;
-#[allow(dead_code, reason = "used by other test files")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod simulation;
 
 use std::sync::Arc;
@@ -252,21 +252,21 @@
 /// owner reaches it.
 #[test]
 fn an_unavailable_worker_that_restarts_before_the_next_owner_reaches_it_has_crashed() {
-    let mut previous = pool(4);
+    let mut former = pool(4);
     adopt(
-        &mut previous,
+        &mut former,
         1_000,
         job("00000000000000a1", &[(1, 900, 5_000)]),
     );
-    let first = run(&mut previous, 1_000).remove(0);
-    previous.mark_unresponsive(&first.worker);
-    let unavailable = previous.unavailable_workers(1_100);
+    let first = run(&mut former, 1_000).remove(0);
+    former.mark_unresponsive(&first.worker);
+    let unavailable = former.unavailable_workers(1_100);
     assert_eq!(unavailable.len(), 1);
     let mut next = Pool::new(Options::default());
     let again = Arc::new(job("00000000000000a1", &[(1, 900, 5_000)]));
     next.adopt(1_200, UNIX + 1_200, again, None, true);
-    next.inherit(1_200, previous.roster(1_100), &unavailable);
-    for worker in previous.workers() {
+    next.inherit(1_200, former.roster(1_100), &unavailable);
+    for worker in former.workers() {
         next.update_worker(1_200, &worker.id, worker.info.clone());
         if worker.id != first.worker {
             report(&mut next, 1_250, &worker.id, vec![], vec![]);
--- a/crates/pool/tests/timeline.rs
+++ b/crates/pool/tests/timeline.rs
@@ -1,8 +1,8 @@
 //! Summaries of completed steps and jobs for the log.
 
-#[allow(dead_code, reason = "used by other test files")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod case;
-#[allow(dead_code, reason = "used by other test files")]
+#[allow(dead_code, reason = "other test files use the rest")]
 mod simulation;
 
 use case::{adopt, end, pool, report, run};
