--- a/crates/bench/src/client.rs
+++ b/crates/bench/src/client.rs
@@ -113,7 +113,9 @@
         Class::MayHaveRun,
         Class::Refused,
     ];
-    let class = classes.into_iter().find(|class| Some(class.word()) == word);
+    let class = classes
+        .into_iter()
+        .find(|class| Some(class.as_str()) == word);
     match class {
         Some(class) if (class == Class::Done) == status.is_success() => Outcome::Class(class),
         _ => Outcome::NoAnswer,
--- a/crates/bench/src/tally.rs
+++ b/crates/bench/src/tally.rs
@@ -92,7 +92,7 @@
 
 const fn word(outcome: Outcome) -> &'static str {
     match outcome {
-        Outcome::Class(class) => class.word(),
+        Outcome::Class(class) => class.as_str(),
         Outcome::NotAsked | Outcome::NoAnswer => "no-answer",
     }
 }
--- a/crates/cell/src/desk.rs
+++ b/crates/cell/src/desk.rs
@@ -13,7 +13,9 @@
 
 use config::Cell;
 use resource::{Size, id};
-use wire::{Event, Fate, Fault, Inventory, Job, Kind, Phase, Placed, Placement, Shape, State};
+use wire::{
+    AttemptState, Event, Fault, Inventory, Job, Kind, Phase, PlaceReply, Placement, Shape, State,
+};
 
 pub use digests::Digests;
 pub use plan::Plan;
@@ -135,7 +137,7 @@
     }
 
     /// The owner of a rack has answered an order.
-    pub fn placed(&mut self, order: &wire::Order, reply: &Placed) {
+    pub fn placed(&mut self, order: &wire::PlaceRequest, reply: &PlaceReply) {
         for (task, placement) in order.tasks.iter().zip(&reply.placements) {
             if *placement == Placement::Placed {
                 continue;
@@ -174,7 +176,7 @@
         if !self.doubts.contains_key(&inventory.rack) {
             return;
         }
-        for event in &inventory.news {
+        for event in &inventory.unconfirmed {
             self.event(event);
         }
         for holding in &inventory.holdings {
@@ -214,15 +216,15 @@
         let Some(work) = self.jobs.get_mut(&name) else {
             return;
         };
-        match event.fate {
-            Fate::Running => work.runs(id.index, id.attempt),
-            Fate::Finished => work.finished(id.index, id.attempt),
+        match event.state {
+            AttemptState::Running => work.runs(id.index, id.attempt),
+            AttemptState::Finished => work.finished(id.index, id.attempt),
             fate => work.broken(id.index, id.attempt, fate),
         }
         if work.waits() {
             self.waiting.insert(name.clone());
         }
-        if !matches!(event.fate, Fate::Running) {
+        if !matches!(event.state, AttemptState::Running) {
             self.dirty.insert(name);
         }
     }
@@ -285,9 +287,9 @@
     }
 
     /// The next message of this owner.
-    pub fn next_serial(&mut self) -> wire::Seniority {
+    pub fn next_serial(&mut self) -> wire::FencingToken {
         self.serial += 1;
-        wire::Seniority {
+        wire::FencingToken {
             home: self.home.clone(),
             epoch: self.epoch,
             serial: self.serial,
--- a/crates/cell/src/desk/plan.rs
+++ b/crates/cell/src/desk/plan.rs
@@ -5,7 +5,7 @@
 use config::{Cell, PackingRule};
 use policy::{Quota, QuotaStatus, Rule};
 use resource::{Size, id};
-use wire::{Band, Gang, Mode, Order, Shape, Task, TaskId};
+use wire::{Band, Gang, Mode, PlaceRequest, Shape, Task, TaskId};
 
 use super::work::Part;
 use super::{Desk, Digests, Name};
@@ -22,14 +22,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Plan {
     /// Start tasks, each by itself.
-    Start(Order),
+    Start(PlaceRequest),
     /// Hold room on all these racks, in this order, then start all or let go of all.
     Gang {
         /// The gang.
         gang: Gang,
         /// One order for each rack, in the order of their names: two gangs that take racks in the
         /// same order can't wait for each other.
-        orders: Vec<Order>,
+        orders: Vec<PlaceRequest>,
     },
 }
 
@@ -75,7 +75,7 @@
         }
         for (rack, tasks) in orders {
             let from = self.next_serial();
-            plans.push(Plan::Start(Order {
+            plans.push(Plan::Start(PlaceRequest {
                 epoch: digests.epoch(&rack),
                 rack,
                 from,
@@ -206,7 +206,7 @@
         };
         let order = |(rack, tasks): (id::Rack, Vec<Task>)| {
             let from = self.next_serial();
-            Order {
+            PlaceRequest {
                 epoch: digests.epoch(&rack),
                 rack,
                 from,
--- a/crates/cell/src/desk/work.rs
+++ b/crates/cell/src/desk/work.rs
@@ -4,7 +4,7 @@
 
 use resource::{Size, id};
 use serde::{Deserialize, Serialize};
-use wire::{Band, Fate, Gang, Job, Phase, Shape, State};
+use wire::{AttemptState, Band, Gang, Job, Phase, Shape, State};
 
 /// Failed attempts of one task after which the job is given up.
 const ATTEMPTS: u32 = 8;
@@ -235,17 +235,17 @@
     }
 
     /// An attempt is over before its work was done.
-    pub(super) fn broken(&mut self, index: u32, attempt: u64, fate: Fate) {
+    pub(super) fn broken(&mut self, index: u32, attempt: u64, fate: AttemptState) {
         if !self.is_at(index, attempt) {
             return;
         }
         let saved_ms = match fate {
-            Fate::Preempted { saved_ms } => saved_ms,
+            AttemptState::Preempted { saved_ms } => saved_ms,
             _ => 0,
         };
         self.restarts += 1;
         self.wait(index, saved_ms);
-        if fate == Fate::Failed {
+        if fate == AttemptState::Failed {
             self.failures += 1;
             if self.failures >= ATTEMPTS * self.job.tasks && !self.phase.is_over() {
                 self.phase = Phase::Failed;
--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -10,7 +10,9 @@
 
 use policy::{Capacity, Rule};
 use resource::{Size, id};
-use wire::{Band, Digest, Event, Fate, Holding, Inventory, RackStatus, Seniority, Shape, TaskId};
+use wire::{
+    AttemptState, Band, Digest, Event, FencingToken, Holding, Inventory, RackStatus, Shape, TaskId,
+};
 use worker::call::Adopted;
 
 use crate::fence::{Authority, Roster};
@@ -213,12 +215,12 @@
             .map(|t| t.id().clone())
             .collect();
         for id in gone {
-            self.end(&id, Fate::Lost);
+            self.end(&id, AttemptState::Lost);
         }
     }
 
     /// Listens to the owner of a home rack; `false` if a later message was heard before.
-    pub fn hear(&mut self, from: &Seniority) -> bool {
+    pub fn hear(&mut self, from: &FencingToken) -> bool {
         let latest = self.seniors.entry(from.home.clone()).or_default();
         let message = (from.epoch, from.serial);
         if message <= *latest {
@@ -251,7 +253,7 @@
             rack: self.name.clone(),
             complete: complete && self.active,
             holdings: of_home.map(holding).collect(),
-            news: news.collect(),
+            unconfirmed: news.collect(),
         }
     }
 
@@ -286,7 +288,7 @@
     pub fn confirmed(&mut self, home: &str, seen: &[Event]) {
         self.events
             .retain(|(h, event)| h != home || !seen.contains(event));
-        let ended = seen.iter().filter(|event| event.fate.is_over());
+        let ended = seen.iter().filter(|event| event.state.is_over());
         for event in ended {
             for host in self.hosts.values_mut() {
                 host.forget.push(event.task.clone());
@@ -376,14 +378,14 @@
     }
 
     /// The attempt can't run any more; its job's owner is told.
-    fn end(&mut self, id: &TaskId, fate: Fate) {
+    fn end(&mut self, id: &TaskId, fate: AttemptState) {
         if let Some(placed) = self.tasks.remove(id) {
             self.tell(placed.task.home, id.clone(), fate);
         }
     }
 
-    fn tell(&mut self, home: id::Rack, task: TaskId, fate: Fate) {
-        let event = Event { task, fate };
+    fn tell(&mut self, home: id::Rack, task: TaskId, fate: AttemptState) {
+        let event = Event { task, state: fate };
         if !self.events.iter().any(|(h, e)| *h == home && *e == event) {
             self.events.push((home, event));
         }
--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -5,7 +5,7 @@
 use policy::evict::{self, Victim};
 use policy::{Rule, choose};
 use resource::id;
-use wire::{Band, Digest, Gang, Mode, Order, Placed as Reply, Placement, Shape, Task, TaskId};
+use wire::{Band, Digest, Gang, Mode, PlaceReply, PlaceRequest, Placement, Shape, Task, TaskId};
 use worker::call::{Start, Stop};
 
 use super::Rack;
@@ -23,12 +23,12 @@
 
 impl Rack {
     /// Places the tasks of an order and tells what to say to the workers.
-    pub fn place(&mut self, order: &Order, now: Now) -> (Reply, Vec<Command>) {
+    pub fn place(&mut self, order: &PlaceRequest, now: Now) -> (PlaceReply, Vec<Command>) {
         let meant = order.epoch == self.epoch;
         if !meant || !self.acts(now) || !self.hear(&order.from) {
             let placements = vec![Placement::NotOwner; order.tasks.len()];
             return (
-                Reply {
+                PlaceReply {
                     placements,
                     digest: None,
                 },
@@ -41,7 +41,7 @@
         };
         let digest: Digest = self.digest(now);
         (
-            Reply {
+            PlaceReply {
                 placements,
                 digest: Some(digest),
             },
@@ -94,9 +94,9 @@
             Outcome::Did { .. } => {
                 placed.stage = Stage::Running { since: now };
                 let home = placed.task.home.clone();
-                self.tell(home, id.clone(), wire::Fate::Running);
+                self.tell(home, id.clone(), wire::AttemptState::Running);
             }
-            Outcome::Refused => self.end(id, wire::Fate::NotStarted),
+            Outcome::Refused => self.end(id, wire::AttemptState::NotStarted),
             Outcome::Unknown => {}
         }
     }
@@ -150,7 +150,7 @@
             .map(|t| t.id().clone())
             .collect();
         for id in due {
-            self.end(&id, wire::Fate::NotStarted);
+            self.end(&id, wire::AttemptState::NotStarted);
         }
     }
 
@@ -280,7 +280,7 @@
         let placed = self.tasks.get_mut(id)?;
         if !matches!(placed.stage, Stage::Starting { .. } | Stage::Running { .. }) {
             if !matches!(placed.stage, Stage::Stopping { .. }) {
-                self.end(id, wire::Fate::NotStarted);
+                self.end(id, wire::AttemptState::NotStarted);
             }
             return None;
         }
--- a/crates/cell/src/rack/report.rs
+++ b/crates/cell/src/rack/report.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use policy::correct;
-use wire::{Fate, Shape, TaskId};
+use wire::{AttemptState, Shape, TaskId};
 use worker::call::{Ended, Pulse, Report, Running, Throttle};
 
 use super::Rack;
@@ -89,9 +89,9 @@
             match stage {
                 // The worker's clock has passed the last moment at which it could start.
                 Stage::Starting { not_after, .. } if report.clock > not_after => {
-                    self.end(&id, Fate::NotStarted);
+                    self.end(&id, AttemptState::NotStarted);
                 }
-                Stage::Running { since } if since < sent => self.end(&id, Fate::Lost),
+                Stage::Running { since } if since < sent => self.end(&id, AttemptState::Lost),
                 Stage::Stopping { since, preempted } if since < sent => {
                     self.end(&id, stopped(preempted, 0));
                 }
@@ -108,8 +108,8 @@
             .is_some_and(|h| h.forget.contains(&ended.task));
         if known && let Some(host) = host {
             match ended.fate {
-                Fate::Finished => host.outcome(false, now),
-                Fate::Failed => host.outcome(true, now),
+                AttemptState::Finished => host.outcome(false, now),
+                AttemptState::Failed => host.outcome(true, now),
                 _ => {}
             }
         }
@@ -124,7 +124,7 @@
             let stage = Stage::Running { since: now };
             self.tasks
                 .insert(id.clone(), Placed::new(running.task.clone(), worker, stage));
-            self.tell(running.task.home.clone(), id.clone(), Fate::Running);
+            self.tell(running.task.home.clone(), id.clone(), AttemptState::Running);
         }
         let (margin, reclaim) = (self.settings.margin, self.settings.reclaim);
         let Some(placed) = self.tasks.get_mut(id) else {
@@ -133,7 +133,7 @@
         if matches!(placed.stage, Stage::Starting { .. }) {
             placed.stage = Stage::Running { since: now };
             let home = placed.task.home.clone();
-            self.tell(home, id.clone(), Fate::Running);
+            self.tell(home, id.clone(), AttemptState::Running);
         }
         if let Some(placed) = self.tasks.get_mut(id) {
             measure(placed, running, margin, reclaim);
@@ -190,7 +190,7 @@
             let here = self.tasks.values().filter(|t| t.host == worker);
             let ids: Vec<TaskId> = here.map(|t| t.id().clone()).collect();
             for id in ids {
-                self.end(&id, Fate::Lost);
+                self.end(&id, AttemptState::Lost);
             }
         }
     }
--- a/crates/cell/src/rack/run.rs
+++ b/crates/cell/src/rack/run.rs
@@ -36,7 +36,7 @@
         let wait = self.quick.wait(slots);
         let patience = expires.saturating_sub(now).mul_f64(PATIENCE);
         if self.quick.len() >= self.settings.queue || wait > patience {
-            return Err(Fault::new(Kind::Busy, "the rack is busy").after(comeback(wait)));
+            return Err(Fault::new(Kind::Busy, "the rack is busy").with_retry_after(comeback(wait)));
         }
         Ok(self.quick.enter(rank, key, expires))
     }
--- a/crates/cell/src/task.rs
+++ b/crates/cell/src/task.rs
@@ -1,7 +1,7 @@
 //! One attempt at one task, as the owner of its rack knows it.
 
 use resource::{Size, id};
-use wire::{Fate, Task, TaskId};
+use wire::{AttemptState, Task, TaskId};
 use worker::call::{Moment, Start, Stop, Throttle};
 
 use crate::Now;
@@ -100,10 +100,10 @@
 }
 
 /// The fate that follows from how a stop was asked for.
-pub(crate) const fn stopped(preempted: bool, saved_ms: u64) -> Fate {
+pub(crate) const fn stopped(preempted: bool, saved_ms: u64) -> AttemptState {
     if preempted {
-        Fate::Preempted { saved_ms }
+        AttemptState::Preempted { saved_ms }
     } else {
-        Fate::Lost
+        AttemptState::Lost
     }
 }
--- a/crates/cell/tests/losses.rs
+++ b/crates/cell/tests/losses.rs
@@ -5,7 +5,7 @@
 use cell::{Desk, Digests, Plan};
 use config::Builder;
 use resource::Size;
-use wire::{Digest, Event, Fate, Job, Phase, Shape};
+use wire::{AttemptState, Digest, Event, Job, Phase, Shape};
 
 /// Starts that a task may take if each of them crashes its worker: three, and two more.
 const STARTS_MOST: usize = 5;
@@ -44,7 +44,7 @@
                 starts += 1;
                 desk.event(&Event {
                     task: task.id,
-                    fate: Fate::Lost,
+                    state: AttemptState::Lost,
                 });
             }
         }
--- a/crates/cell/tests/rack.rs
+++ b/crates/cell/tests/rack.rs
@@ -6,7 +6,7 @@
 
 use cell::{Command, Next, Outcome, Over, Rack, Settings};
 use resource::Size;
-use wire::{Band, Fate, Mode, Order, Placement, Seniority, Shape, Task, TaskId};
+use wire::{AttemptState, Band, FencingToken, Mode, PlaceRequest, Placement, Shape, Task, TaskId};
 use worker::call::{Adopted, Report};
 
 const EPOCH: u64 = 7;
@@ -49,13 +49,13 @@
     }
 }
 
-fn order(epoch: u64, serial: u64, tasks: Vec<Task>) -> Order {
-    let from = Seniority {
+fn order(epoch: u64, serial: u64, tasks: Vec<Task>) -> PlaceRequest {
+    let from = FencingToken {
         home: "home".to_owned(),
         epoch: 3,
         serial,
     };
-    Order {
+    PlaceRequest {
         rack: "r1".to_owned(),
         epoch,
         from,
@@ -64,7 +64,7 @@
     }
 }
 
-fn place(rack: &mut Rack, order: &Order) -> Vec<Placement> {
+fn place(rack: &mut Rack, order: &PlaceRequest) -> Vec<Placement> {
     rack.place(order, NOW).0.placements
 }
 
@@ -84,7 +84,7 @@
 #[test]
 fn an_order_that_is_older_than_the_last_message_is_turned_away() {
     let mut rack = rack();
-    let asked = Seniority {
+    let asked = FencingToken {
         home: "home".to_owned(),
         epoch: 3,
         serial: 6,
@@ -147,7 +147,7 @@
         .iter()
         .rfind(|(_, event)| event.task == stop.task)
         .unwrap();
-    assert_eq!(preempted.1.fate, Fate::Preempted { saved_ms: 50 });
+    assert_eq!(preempted.1.state, AttemptState::Preempted { saved_ms: 50 });
 }
 
 /// Callers see "not run, come back": without fresh answers from a majority the owner starts
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -68,8 +68,8 @@
     names.sort();
     names.dedup();
     for name in names {
-        let find = |children: &[(String, Value)]| {
-            children
+        let find = |entries: &[(String, Value)]| {
+            entries
                 .iter()
                 .find(|(key, _)| key == name)
                 .map(|(_, value)| value.clone())
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -129,7 +129,7 @@
         };
         let Some(mut pass) = self.gate.enter(&request.team, team.concurrency, rack) else {
             let fault = Fault::new(Kind::Busy, "too many requests are under way");
-            return fault.after(comeback(service)).into();
+            return fault.with_retry_after(comeback(service)).into();
         };
         let answer = self
             .tries(&request, rack, cell.policy.retry_share, began)
@@ -292,9 +292,9 @@
         let took = self.since.elapsed().saturating_sub(began);
         let kind = match answer {
             Answer::Done(_) => "done",
-            Answer::Fault(fault) => fault.kind.word(),
+            Answer::Fault(fault) => fault.kind.as_str(),
         };
-        let class = answer.class().word();
+        let class = answer.class().as_str();
         metrics::counter!("lentilyoke_answers_total", "class" => class, "kind" => kind)
             .increment(1);
         metrics::histogram!("lentilyoke_answer_seconds", "class" => class)
--- a/crates/entry/src/respond.rs
+++ b/crates/entry/src/respond.rs
@@ -46,5 +46,5 @@
 }
 
 fn headers(class: Class) -> HeaderMap {
-    HeaderMap::from_iter([(ANSWER, HeaderValue::from_static(class.word()))])
+    HeaderMap::from_iter([(ANSWER, HeaderValue::from_static(class.as_str()))])
 }
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwapOption;
 use config::{Cell, Version};
 use resource::id;
-use wire::{Ask, Owner, Routes};
+use wire::{Owner, RouteQuery, Routes};
 
 /// A configuration that is applied.
 #[derive(Debug)]
@@ -72,14 +72,14 @@
     }
 
     /// The placer to ask, and what to ask it.
-    pub(crate) fn ask(&self, entry: &str) -> Option<(String, Ask)> {
+    pub(crate) fn ask(&self, entry: &str) -> Option<(String, RouteQuery)> {
         let applied = self.version();
         let inner = self.lock();
         let placer = inner.placers.first()?.clone();
         let generation = inner.generation;
         Some((
             placer,
-            Ask {
+            RouteQuery {
                 entry: entry.to_owned(),
                 applied,
                 generation,
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -7,7 +7,7 @@
 use jsonrpsee::core::ClientError;
 use jsonrpsee::http_client::{HttpClient, HttpClientBuilder};
 use wire::rpc::PlacerClient as _;
-use wire::{Answer, Ask, Fault, Job, Request, Routes, State};
+use wire::{Answer, Fault, Job, Request, RouteQuery, Routes, State};
 
 /// A call that brought no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// [`Missed`] if there was no answer.
-    pub async fn routes(&self, address: &str, ask: Ask) -> Result<Routes, Missed> {
+    pub async fn routes(&self, address: &str, ask: RouteQuery) -> Result<Routes, Missed> {
         within(ROUTES, self.client(address)?.routes(ask)).await
     }
 
@@ -131,7 +131,7 @@
 
 fn missed(error: &ClientError) -> Missed {
     log::debug!("a placer gave no answer: {error}");
-    if wire::refused(error) {
+    if wire::is_connection_refused(error) {
         Missed::NotSent
     } else {
         Missed::NoAnswer
--- a/crates/entry/tests/truth.rs
+++ b/crates/entry/tests/truth.rs
@@ -14,14 +14,14 @@
 use telemetry::Shutdown;
 use tokio::io::AsyncReadExt as _;
 use tokio::net::TcpListener;
-use wire::{Ask, Owner, Routes};
+use wire::{Owner, RouteQuery, Routes};
 
 /// A placer that names this address as the owner of the rack.
 async fn naming(owner: SocketAddr) -> (SocketAddr, ServerHandle) {
     let mut module = RpcModule::new(());
     module
         .register_method("routes", move |params, (), _| -> RpcResult<Routes> {
-            let ask: Ask = params.one().unwrap();
+            let ask: RouteQuery = params.one().unwrap();
             let owner = Owner {
                 placer: "p".to_owned(),
                 address: owner.to_string(),
--- a/crates/placer/src/claims.rs
+++ b/crates/placer/src/claims.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use tokio::sync::{mpsc, oneshot};
-use wire::{Claim, Verdict};
+use wire::{Claim, ClaimOutcome};
 
 use crate::Node;
 
@@ -23,7 +23,7 @@
 /// Longest wait for a verdict. The table may be down; the caller is told so at once instead.
 const LIMIT: Duration = Duration::from_millis(1_500);
 
-type Waiting = (Claim, oneshot::Sender<Verdict>);
+type Waiting = (Claim, oneshot::Sender<ClaimOutcome>);
 
 /// Hands claims to the writer of the data centre.
 #[derive(Debug)]
@@ -53,25 +53,25 @@
     }
 
     /// Claims a request of a rack of this placer.
-    pub(crate) async fn hold(&self, claim: Claim) -> Verdict {
+    pub(crate) async fn hold(&self, claim: Claim) -> ClaimOutcome {
         ask(&self.outbox, claim).await
     }
 
     /// Writes claims that this or another placer passes on.
-    pub(crate) async fn write(&self, claims: Vec<Claim>) -> Vec<Verdict> {
+    pub(crate) async fn write(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
         let asked = claims.into_iter().map(|claim| ask(&self.inbox, claim));
         futures::future::join_all(asked).await
     }
 }
 
-async fn ask(queue: &mpsc::Sender<Waiting>, claim: Claim) -> Verdict {
+async fn ask(queue: &mpsc::Sender<Waiting>, claim: Claim) -> ClaimOutcome {
     let (verdict, answer) = oneshot::channel();
     if queue.try_send((claim, verdict)).is_err() {
-        return Verdict::Unknown;
+        return ClaimOutcome::Unknown;
     }
     match tokio::time::timeout(LIMIT, answer).await {
         Ok(Ok(verdict)) => verdict,
-        _ => Verdict::Unknown,
+        _ => ClaimOutcome::Unknown,
     }
 }
 
--- a/crates/placer/src/claims/writer.rs
+++ b/crates/placer/src/claims/writer.rs
@@ -6,7 +6,7 @@
 use cell::{Now, Record};
 use platform::{Error, Row, Transaction};
 use tokio::sync::{mpsc, oneshot};
-use wire::{Claim, Verdict};
+use wire::{Claim, ClaimOutcome};
 
 use super::{BATCH, Waiting};
 use crate::Node;
@@ -26,7 +26,7 @@
 
 /// Claims on their way into the table.
 struct Batch {
-    open: Vec<(Claim, Option<oneshot::Sender<Verdict>>)>,
+    open: Vec<(Claim, Option<oneshot::Sender<ClaimOutcome>>)>,
 }
 
 impl Writer {
@@ -68,7 +68,7 @@
             match self.node.table.commit(transaction).await {
                 Ok(_) => {
                     self.remember(&batch);
-                    batch.answer_all(Verdict::Held);
+                    batch.answer_all(ClaimOutcome::Held);
                     return;
                 }
                 Err(Error::Conflict { rows }) => batch.settle(&rows),
@@ -78,7 +78,7 @@
                 Err(Error::Down { .. }) => break,
             }
         }
-        batch.answer_all(Verdict::Unknown);
+        batch.answer_all(ClaimOutcome::Unknown);
     }
 
     fn remember(&mut self, batch: &Batch) {
@@ -136,7 +136,7 @@
         });
     }
 
-    fn answer_all(self, verdict: Verdict) {
+    fn answer_all(self, verdict: ClaimOutcome) {
         for (_, answer) in self.open {
             if let Some(answer) = answer {
                 _ = answer.send(verdict);
@@ -146,19 +146,23 @@
 }
 
 /// What the rows say of a claim; `None` if it is to be written again.
-fn verdict(claim: &mut Claim, rows: &BTreeMap<&str, &Row>) -> Option<Verdict> {
+fn verdict(claim: &mut Claim, rows: &BTreeMap<&str, &Row>) -> Option<ClaimOutcome> {
     if let Some(row) = rows.get(Record::key(&claim.rack).as_str()) {
         let record: Option<Record> = row
             .value
             .as_ref()
             .and_then(|value| serde_json::from_str(value).ok());
         if record.is_none_or(|r| r.epoch != claim.epoch) {
-            return Some(Verdict::Fenced);
+            return Some(ClaimOutcome::Fenced);
         }
         // The same owner has changed the row for another reason.
         claim.rack_version = row.version;
     }
     let row = rows.get(claim.row().as_str())?;
     let same = row.value.as_deref() == Some(claim.epoch.to_string().as_str());
-    Some(if same { Verdict::Held } else { Verdict::Taken })
+    Some(if same {
+        ClaimOutcome::Held
+    } else {
+        ClaimOutcome::Taken
+    })
 }
--- a/crates/placer/src/memory.rs
+++ b/crates/placer/src/memory.rs
@@ -46,7 +46,7 @@
     /// Takes note of a request.
     pub(crate) fn begin(&mut self, name: &str, request: &Request) -> Entry {
         if let Some(seen) = self.seen.get(name) {
-            if !seen.request.same(request) {
+            if !seen.request.is_same_as(request) {
                 return Entry::Conflict;
             }
             let answer = seen.answer.subscribe();
--- a/crates/placer/src/node.rs
+++ b/crates/placer/src/node.rs
@@ -16,7 +16,7 @@
 use resource::id;
 use telemetry::{Health, Shutdown, Uptime};
 use tokio::sync::Notify;
-use wire::{Ask, Digest, Inventory, Owner, Routes, Seniority, Status};
+use wire::{Digest, FencingToken, Inventory, Owner, RouteQuery, Routes, Status};
 
 use crate::claims::{self, Ends};
 use crate::view::View;
@@ -199,7 +199,7 @@
 
     /// What an entry needs to know, apart from what it has; `None` if this placer does not know
     /// whether its own configuration is in force.
-    pub fn routes(&self, ask: &Ask) -> Option<Routes> {
+    pub fn routes(&self, ask: &RouteQuery) -> Option<Routes> {
         self.applied()?;
         let seen = self.now();
         let attached = Attached {
@@ -257,7 +257,7 @@
     }
 
     /// What the racks of this placer hold of the jobs of one home rack.
-    pub fn inventory(&self, from: &Seniority) -> Vec<Inventory> {
+    pub fn inventory(&self, from: &FencingToken) -> Vec<Inventory> {
         let now = self.now();
         self.shards()
             .iter()
--- a/crates/placer/src/node/reach.rs
+++ b/crates/placer/src/node/reach.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use resource::id;
-use wire::{Event, Gang, Order, Placed, Placement, Seniority};
+use wire::{Event, FencingToken, Gang, PlaceReply, PlaceRequest, Placement};
 
 use super::Node;
 use crate::{Shard, Unreached};
@@ -22,11 +22,11 @@
 
 impl Node {
     /// Places the tasks of an order; `None` if there was no answer.
-    pub(crate) async fn place_at(self: &Arc<Self>, order: &Order) -> Option<Placed> {
+    pub(crate) async fn place_at(self: &Arc<Self>, order: &PlaceRequest) -> Option<PlaceReply> {
         match self.find(&order.rack) {
             Owner::Nobody => {
                 let placements = vec![Placement::NotOwner; order.tasks.len()];
-                Some(Placed {
+                Some(PlaceReply {
                     placements,
                     digest: None,
                 })
@@ -40,7 +40,7 @@
     pub(crate) async fn commit_at(
         self: &Arc<Self>,
         rack: &str,
-        from: Seniority,
+        from: FencingToken,
         gang: &Gang,
     ) -> bool {
         match self.find(rack) {
@@ -60,7 +60,7 @@
     pub(crate) async fn undo_at(
         self: &Arc<Self>,
         rack: &str,
-        from: Seniority,
+        from: FencingToken,
         gang: &Gang,
     ) -> bool {
         match self.find(rack) {
@@ -80,7 +80,7 @@
     pub(crate) async fn stop_at(
         self: &Arc<Self>,
         rack: &str,
-        from: Seniority,
+        from: FencingToken,
         (team, job): (id::Team, id::Job),
     ) -> bool {
         match self.find(rack) {
@@ -108,7 +108,7 @@
     }
 
     /// What the racks of all placers hold of the jobs of one home rack.
-    pub(crate) async fn inventories(&self, from: &Seniority) -> Vec<wire::Inventory> {
+    pub(crate) async fn inventories(&self, from: &FencingToken) -> Vec<wire::Inventory> {
         let mut all = self.inventory(from);
         let others = self
             .everyone()
--- a/crates/placer/src/peers.rs
+++ b/crates/placer/src/peers.rs
@@ -3,7 +3,9 @@
 use async_trait::async_trait;
 use config::{Version, raw};
 use resource::id;
-use wire::{Claim, Digest, Event, Gang, Inventory, Order, Placed, Seniority, Verdict};
+use wire::{
+    Claim, ClaimOutcome, Digest, Event, FencingToken, Gang, Inventory, PlaceReply, PlaceRequest,
+};
 
 /// A call to another placer brought no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -18,13 +20,13 @@
 #[async_trait]
 pub trait Peers: Send + Sync {
     /// Places tasks on a rack.
-    async fn place(&self, address: &str, order: Order) -> Result<Placed, Unreached>;
+    async fn place(&self, address: &str, order: PlaceRequest) -> Result<PlaceReply, Unreached>;
     /// Starts a gang that was held.
     async fn commit(
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, Unreached>;
     /// Gives up a gang.
@@ -32,7 +34,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, Unreached>;
     /// Stops all tasks of a job on a rack.
@@ -40,11 +42,15 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         job: (id::Team, id::Job),
     ) -> Result<bool, Unreached>;
     /// Lists what the other's racks hold of the jobs of one home rack.
-    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, Unreached>;
+    async fn inventory(
+        &self,
+        address: &str,
+        from: FencingToken,
+    ) -> Result<Vec<Inventory>, Unreached>;
     /// Tells the owner of a home rack what became of its tasks.
     async fn report(
         &self,
@@ -61,5 +67,9 @@
     /// Room in the other's racks.
     async fn digests(&self, address: &str) -> Result<Vec<Digest>, Unreached>;
     /// Writes claims to the table, together with those of others.
-    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, Unreached>;
+    async fn claim(
+        &self,
+        address: &str,
+        claims: Vec<Claim>,
+    ) -> Result<Vec<ClaimOutcome>, Unreached>;
 }
--- a/crates/placer/src/rpc.rs
+++ b/crates/placer/src/rpc.rs
@@ -10,7 +10,9 @@
 use jsonrpsee::http_client::{HttpClient, HttpClientBuilder};
 use resource::id;
 use wire::rpc::PlacerClient as _;
-use wire::{Claim, Digest, Event, Gang, Inventory, Order, Placed, Seniority, Verdict};
+use wire::{
+    Claim, ClaimOutcome, Digest, Event, FencingToken, Gang, Inventory, PlaceReply, PlaceRequest,
+};
 
 use crate::{Peers, Unreached};
 
@@ -45,7 +47,7 @@
 )]
 fn unreached(error: ClientError) -> Unreached {
     log::debug!("a placer was not reached: {error}");
-    if wire::refused(&error) {
+    if wire::is_connection_refused(&error) {
         Unreached::Gone
     } else {
         Unreached::NoAnswer
@@ -54,7 +56,7 @@
 
 #[async_trait]
 impl Peers for Rpc {
-    async fn place(&self, address: &str, order: Order) -> Result<Placed, Unreached> {
+    async fn place(&self, address: &str, order: PlaceRequest) -> Result<PlaceReply, Unreached> {
         self.client(address)?.place(order).await.map_err(unreached)
     }
 
@@ -62,7 +64,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, Unreached> {
         self.client(address)?
@@ -75,7 +77,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, Unreached> {
         self.client(address)?
@@ -88,7 +90,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         job: (id::Team, id::Job),
     ) -> Result<bool, Unreached> {
         self.client(address)?
@@ -97,7 +99,11 @@
             .map_err(unreached)
     }
 
-    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, Unreached> {
+    async fn inventory(
+        &self,
+        address: &str,
+        from: FencingToken,
+    ) -> Result<Vec<Inventory>, Unreached> {
         self.client(address)?
             .inventory(from)
             .await
@@ -128,7 +134,11 @@
         self.client(address)?.digests().await.map_err(unreached)
     }
 
-    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, Unreached> {
+    async fn claim(
+        &self,
+        address: &str,
+        claims: Vec<Claim>,
+    ) -> Result<Vec<ClaimOutcome>, Unreached> {
         self.client(address)?.claim(claims).await.map_err(unreached)
     }
 }
--- a/crates/placer/src/server.rs
+++ b/crates/placer/src/server.rs
@@ -9,8 +9,8 @@
 use resource::id;
 use wire::rpc::PlacerServer;
 use wire::{
-    Answer, Ask, Claim, Digest, Event, Fault, Gang, Inventory, Job, Kind, Order, Placed, Placement,
-    Request, Routes, Seniority, State, Status, Verdict,
+    Answer, Claim, ClaimOutcome, Digest, Event, Fault, FencingToken, Gang, Inventory, Job, Kind,
+    PlaceReply, PlaceRequest, Placement, Request, RouteQuery, Routes, State, Status,
 };
 
 use crate::{Node, Shard};
@@ -78,16 +78,16 @@
         })
     }
 
-    async fn routes(&self, ask: Ask) -> RpcResult<Routes> {
+    async fn routes(&self, ask: RouteQuery) -> RpcResult<Routes> {
         let routes = self.node.routes(&ask);
         routes.ok_or_else(|| ErrorObject::owned(NOT_FRESH, "not fresh", None::<()>))
     }
 
-    async fn place(&self, order: Order) -> RpcResult<Placed> {
+    async fn place(&self, order: PlaceRequest) -> RpcResult<PlaceReply> {
         let shard = self.node.shard(&order.rack);
         let refused = || {
             let placements = vec![Placement::NotOwner; order.tasks.len()];
-            Placed {
+            PlaceReply {
                 placements,
                 digest: None,
             }
@@ -95,12 +95,12 @@
         Ok(shard.map_or_else(refused, |shard| shard.place(&self.node, &order)))
     }
 
-    async fn commit(&self, rack: id::Rack, from: Seniority, gang: Gang) -> RpcResult<bool> {
+    async fn commit(&self, rack: id::Rack, from: FencingToken, gang: Gang) -> RpcResult<bool> {
         let shard = self.node.shard(&rack);
         Ok(shard.is_some_and(|shard| shard.commit(&self.node, &from, &gang)))
     }
 
-    async fn undo(&self, rack: id::Rack, from: Seniority, gang: Gang) -> RpcResult<bool> {
+    async fn undo(&self, rack: id::Rack, from: FencingToken, gang: Gang) -> RpcResult<bool> {
         let shard = self.node.shard(&rack);
         Ok(shard.is_some_and(|shard| shard.undo(&self.node, &from, &gang)))
     }
@@ -108,7 +108,7 @@
     async fn stop(
         &self,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         team: id::Team,
         job: id::Job,
     ) -> RpcResult<bool> {
@@ -116,7 +116,7 @@
         Ok(shard.is_some_and(|shard| shard.stop(&self.node, &from, &team, &job)))
     }
 
-    async fn inventory(&self, from: Seniority) -> RpcResult<Vec<Inventory>> {
+    async fn inventory(&self, from: FencingToken) -> RpcResult<Vec<Inventory>> {
         Ok(self.node.inventory(&from))
     }
 
@@ -129,7 +129,7 @@
         Ok(self.node.own_digests())
     }
 
-    async fn claim(&self, claims: Vec<Claim>) -> RpcResult<Vec<Verdict>> {
+    async fn claim(&self, claims: Vec<Claim>) -> RpcResult<Vec<ClaimOutcome>> {
         Ok(self.node.claims.write(claims).await)
     }
 
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -18,7 +18,7 @@
 use policy::RetryBudget;
 use resource::{Size, id};
 use tokio::sync::{Notify, oneshot};
-use wire::{Digest, Inventory, RackStatus, Seniority};
+use wire::{Digest, FencingToken, Inventory, RackStatus};
 
 use crate::Node;
 use crate::memory::Memory;
@@ -181,7 +181,7 @@
     }
 
     /// What the rack holds of the jobs of one home rack, if this placer owns it.
-    pub(crate) fn inventory(&self, from: &Seniority, now: Now) -> Option<Inventory> {
+    pub(crate) fn inventory(&self, from: &FencingToken, now: Now) -> Option<Inventory> {
         let mut state = self.state();
         let complete = state.takeover.complete(now);
         let rack = state.rack.as_mut()?;
--- a/crates/placer/src/shard/jobs.rs
+++ b/crates/placer/src/shard/jobs.rs
@@ -11,7 +11,7 @@
 
 use cell::Plan;
 use futures::future::join_all;
-use wire::{Order, Placement};
+use wire::{PlaceRequest, Placement};
 
 use super::Shard;
 use crate::Node;
@@ -81,7 +81,7 @@
     }
 
     /// Sends an order to the owner of its rack; `true` if every task was placed.
-    async fn order(self: &Arc<Self>, node: &Arc<Node>, order: Order) -> bool {
+    async fn order(self: &Arc<Self>, node: &Arc<Node>, order: PlaceRequest) -> bool {
         let Some(placed) = node.place_at(&order).await else {
             self.with_desk(|desk| desk.doubt(&order.rack, node.now()));
             return false;
--- a/crates/placer/src/shard/jobs/gang.rs
+++ b/crates/placer/src/shard/jobs/gang.rs
@@ -4,7 +4,7 @@
 
 use cell::Desk;
 use resource::id;
-use wire::{Gang, Order, Placed, Placement};
+use wire::{Gang, PlaceReply, PlaceRequest, Placement};
 
 use super::Shard;
 use crate::Node;
@@ -15,7 +15,7 @@
         self: &Arc<Self>,
         node: &Arc<Node>,
         gang: &Gang,
-        orders: Vec<Order>,
+        orders: Vec<PlaceRequest>,
     ) {
         let mut held = Vec::new();
         for order in &orders {
@@ -36,10 +36,10 @@
     }
 
     /// Members on racks that were not asked any more wait again.
-    fn return_gang(&self, orders: &[Order]) {
+    fn return_gang(&self, orders: &[PlaceRequest]) {
         for order in orders {
             let placements = vec![Placement::Full; order.tasks.len()];
-            let full = Placed {
+            let full = PlaceReply {
                 placements,
                 digest: None,
             };
--- a/crates/placer/src/shard/jobs/orders.rs
+++ b/crates/placer/src/shard/jobs/orders.rs
@@ -3,20 +3,20 @@
 use std::sync::Arc;
 
 use cell::Stage;
-use wire::{Gang, Order, Placed, Placement, Seniority};
+use wire::{FencingToken, Gang, PlaceReply, PlaceRequest, Placement};
 
 use super::Shard;
 use crate::Node;
 
 impl Shard {
     /// Places the tasks of an order on this rack.
-    pub(crate) fn place(self: &Arc<Self>, node: &Arc<Node>, order: &Order) -> Placed {
+    pub(crate) fn place(self: &Arc<Self>, node: &Arc<Node>, order: &PlaceRequest) -> PlaceReply {
         let now = node.now();
         let mut state = self.state();
         let active = state.ownership.stage() == Stage::Active;
         let Some(rack) = state.rack.as_mut().filter(|_| active) else {
             let placements = vec![Placement::NotOwner; order.tasks.len()];
-            return Placed {
+            return PlaceReply {
                 placements,
                 digest: None,
             };
@@ -31,14 +31,19 @@
     pub(crate) fn commit(
         self: &Arc<Self>,
         node: &Arc<Node>,
-        from: &Seniority,
+        from: &FencingToken,
         gang: &Gang,
     ) -> bool {
         self.obey(node, from, |rack, now| rack.commit(gang, now))
     }
 
     /// Gives up a gang on this rack.
-    pub(crate) fn undo(self: &Arc<Self>, node: &Arc<Node>, from: &Seniority, gang: &Gang) -> bool {
+    pub(crate) fn undo(
+        self: &Arc<Self>,
+        node: &Arc<Node>,
+        from: &FencingToken,
+        gang: &Gang,
+    ) -> bool {
         self.obey(node, from, |rack, now| Some(rack.undo(gang, now)))
     }
 
@@ -46,7 +51,7 @@
     pub(crate) fn stop(
         self: &Arc<Self>,
         node: &Arc<Node>,
-        from: &Seniority,
+        from: &FencingToken,
         team: &str,
         job: &str,
     ) -> bool {
@@ -58,7 +63,7 @@
     fn obey(
         self: &Arc<Self>,
         node: &Arc<Node>,
-        from: &Seniority,
+        from: &FencingToken,
         act: impl FnOnce(&mut cell::Rack, cell::Now) -> Option<Vec<cell::Command>>,
     ) -> bool {
         let now = node.now();
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -7,7 +7,7 @@
 use config::Service;
 use policy::RetryBudget;
 use tokio::sync::oneshot;
-use wire::{Answer, Claim, Fault, Kind, Request, Verdict};
+use wire::{Answer, Claim, ClaimOutcome, Fault, Kind, Request};
 use worker::Error;
 use worker::call::{Ran, Run, Void, Voided};
 
@@ -123,16 +123,16 @@
             .as_ref()
             .is_some_and(|(_, r)| r.epoch == epoch);
         match verdict {
-            Verdict::Held if still => Ok(()),
-            Verdict::Held | Verdict::Fenced => Err(Fault::new(
+            ClaimOutcome::Held if still => Ok(()),
+            ClaimOutcome::Held | ClaimOutcome::Fenced => Err(Fault::new(
                 Kind::NotOwner,
                 "another placer owns the rack now",
             )),
-            Verdict::Taken => {
+            ClaimOutcome::Taken => {
                 let reason = "an earlier owner of the rack has claimed it; it may have run";
                 Err(Fault::new(Kind::ClaimedBefore, reason))
             }
-            Verdict::Unknown => {
+            ClaimOutcome::Unknown => {
                 let reason = "the platform's table did not take the claim, so it was not started";
                 Err(Fault::new(Kind::StoreDown, reason))
             }
--- a/crates/placer/tests/configuration.rs
+++ b/crates/placer/tests/configuration.rs
@@ -8,11 +8,11 @@
 
 use placer::Options;
 use standin::Faults;
-use wire::Ask;
+use wire::RouteQuery;
 use world::{World, cell_of, secs, until};
 
-fn ask(applied: u64) -> Ask {
-    Ask {
+fn ask(applied: u64) -> RouteQuery {
+    RouteQuery {
         entry: "e1".to_owned(),
         applied,
         generation: 0,
--- a/crates/placer/tests/requests.rs
+++ b/crates/placer/tests/requests.rs
@@ -304,7 +304,7 @@
     let mut classes = std::collections::BTreeMap::new();
     for ask in asks {
         *classes
-            .entry(ask.await.unwrap().class().word())
+            .entry(ask.await.unwrap().class().as_str())
             .or_insert(0) += 1;
     }
     assert!(classes["not-run"] > 1_000, "{classes:?}");
--- a/crates/placer/tests/world/faulty.rs
+++ b/crates/placer/tests/world/faulty.rs
@@ -12,7 +12,9 @@
 use standin::{Platform, Racks};
 use tokio::sync::watch;
 use wire::rpc::PlacerServer as _;
-use wire::{Claim, Digest, Event, Gang, Inventory, Order, Placed, Seniority, Verdict};
+use wire::{
+    Claim, ClaimOutcome, Digest, Event, FencingToken, Gang, Inventory, PlaceReply, PlaceRequest,
+};
 use worker::call::{
     Adopt, Adopted, Hello, Pulse, Ran, Report, Run, Start, Stop, Stopped, Throttle, Void, Voided,
 };
@@ -233,7 +235,7 @@
 
 #[async_trait]
 impl Peers for Faulty {
-    async fn place(&self, address: &str, order: Order) -> Result<Placed, Unreached> {
+    async fn place(&self, address: &str, order: PlaceRequest) -> Result<PlaceReply, Unreached> {
         self.faults.peer().await?;
         let placed = self.net.reach(address).await?.place(order).await;
         if *self.faults.losing.borrow() {
@@ -246,7 +248,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, Unreached> {
         self.faults.peer().await?;
@@ -262,7 +264,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, Unreached> {
         self.faults.peer().await?;
@@ -278,7 +280,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         job: (id::Team, id::Job),
     ) -> Result<bool, Unreached> {
         self.faults.peer().await?;
@@ -289,7 +291,11 @@
             .map_err(|_| Unreached::NoAnswer)
     }
 
-    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, Unreached> {
+    async fn inventory(
+        &self,
+        address: &str,
+        from: FencingToken,
+    ) -> Result<Vec<Inventory>, Unreached> {
         self.faults.peer().await?;
         self.net
             .reach(address)
@@ -338,7 +344,11 @@
             .map_err(|_| Unreached::NoAnswer)
     }
 
-    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, Unreached> {
+    async fn claim(
+        &self,
+        address: &str,
+        claims: Vec<Claim>,
+    ) -> Result<Vec<ClaimOutcome>, Unreached> {
         self.faults.peer().await?;
         self.net
             .reach(address)
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -5,7 +5,7 @@
 
 use resource::{Size, id};
 use serde::{Deserialize, Serialize};
-use wire::{Body, Fate, Shape, Task, TaskId};
+use wire::{AttemptState, Body, Shape, Task, TaskId};
 use worker::call::{
     Adopt, Adopted, Ended, Hello, Moment, Occupied, Pulse, Ran, Report, Run, Running, Start, Stop,
     Stopped, Throttle, Void, Voided,
@@ -290,16 +290,16 @@
             let worked = held.task.saved_ms + (now - held.since);
             let finishes = held.task.shape != Shape::Service;
             if now >= held.expires {
-                Some(Fate::Lost)
+                Some(AttemptState::Lost)
             } else if fails {
-                Some(Fate::Failed)
+                Some(AttemptState::Failed)
             } else if finishes && worked >= held.task.run_ms {
-                Some(Fate::Finished)
+                Some(AttemptState::Finished)
             } else {
                 None
             }
         };
-        let done: Vec<(TaskId, Fate)> = self
+        let done: Vec<(TaskId, AttemptState)> = self
             .tasks
             .iter()
             .filter_map(|(id, h)| Some((id.clone(), over(h)?)))
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told about one quick request.
+//! The answer to one quick request.
 
 use std::time::Duration;
 
@@ -6,31 +6,31 @@
 
 use crate::{Body, Class, Kind};
 
-/// The one answer to a quick request.
+/// The answer to a quick request; each request gets exactly one.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// It ran; this is the whole answer.
+    /// The request ran; this is its complete result.
     Done(Body),
-    /// It went wrong.
+    /// The request failed.
     Fault(Fault),
 }
 
-/// An error with the words that explain it.
+/// An error with an explanation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What went wrong.
+    /// Kind of error.
     pub kind: Kind,
-    /// For a person to read.
+    /// Explanation for people.
     pub reason: String,
-    /// When to come back, if the owner knows better than the table, in milliseconds.
+    /// Delay before a retry, in milliseconds, if the owner has a better estimate than the table of [`Kind::row`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after_ms: Option<u64>,
 }
 
 impl Fault {
-    /// An error of this kind.
+    /// Creates an error of this kind.
     pub fn new(kind: Kind, reason: impl Into<String>) -> Self {
         Self {
             kind,
@@ -39,28 +39,28 @@
         }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the delay before a retry.
     #[must_use]
-    pub fn after(mut self, after: Duration) -> Self {
+    pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.after_ms = u64::try_from(after.as_millis()).ok();
         self
     }
 
-    /// When to come back, where that makes sense.
+    /// Delay before a retry; `None` if retrying is pointless.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
-        let usual = self.kind.row().retry_after?;
-        Some(self.after_ms.map_or(usual, Duration::from_millis))
+        let default = self.kind.row().retry_after?;
+        Some(self.after_ms.map_or(default, Duration::from_millis))
     }
 }
 
 impl Answer {
-    /// A fault of this kind.
+    /// Creates an answer with a fault of this kind.
     pub fn fault(kind: Kind, reason: impl Into<String>) -> Self {
         Self::Fault(Fault::new(kind, reason))
     }
 
-    /// What the caller may conclude.
+    /// What the caller may conclude from the answer.
     #[must_use]
     pub const fn class(&self) -> Class {
         match self {
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -4,12 +4,12 @@
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// Bytes that travel as base64 inside JSON.
+/// Bytes, encoded as base64 inside JSON.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Body(pub Vec<u8>);
 
 impl Body {
-    /// Largest body that an entry takes or a worker returns, in bytes.
+    /// Maximum size of a body that an entry accepts or a worker returns, in bytes.
     pub const MAX: usize = 64 * 1024;
 }
 
--- a/crates/wire/src/claim.rs
+++ b/crates/wire/src/claim.rs
@@ -1,15 +1,16 @@
-//! Claims: the record that a non-idempotent request is about to start.
+//! Claims: durable records that a non-idempotent request is about to start.
 
 use resource::id;
 use serde::{Deserialize, Serialize};
 
-/// One claim, made by the owner of a rack before it starts the request.
+/// One claim, written by the owner of a rack before it starts the request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
-    /// The rack whose owner claims.
+    /// The rack whose owner writes the claim.
     pub rack: id::Rack,
-    /// Version of the rack's row when its owner took it; a later owner makes this fail.
+    /// Version of the rack's row when its owner acquired the rack; the write fails if a later owner has
+    /// changed the row.
     pub rack_version: u64,
     /// The owner's epoch.
     pub epoch: id::Epoch,
@@ -25,16 +26,16 @@
     }
 }
 
-/// What became of a claim.
+/// Outcome of writing a claim.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Verdict {
-    /// It is held by the claimant, who may start the request.
+pub enum ClaimOutcome {
+    /// The claimant holds the claim and may start the request.
     Held,
-    /// An earlier owner holds it: the request may have run.
+    /// An earlier owner holds the claim: the request may have run.
     Taken,
-    /// The claimant does not own the rack any more.
+    /// The claimant no longer owns the rack.
     Fenced,
-    /// The table did not take it in time; it may stand there all the same.
+    /// The table did not confirm the write in time; the claim may be stored nevertheless.
     Unknown,
 }
--- a/crates/wire/src/event.rs
+++ b/crates/wire/src/event.rs
@@ -1,44 +1,45 @@
-//! What the owner of a rack tells the owner of a job about its tasks.
+//! State changes of attempts, reported by the owner of a rack to the owner of a job.
 
 use serde::{Deserialize, Serialize};
 
 use crate::TaskId;
 
-/// What became of one attempt.
+/// State of one attempt.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Fate {
-    /// The worker started it.
+pub enum AttemptState {
+    /// The worker started the attempt.
     Running,
-    /// It did its work.
+    /// The attempt completed its work.
     Finished,
-    /// It ended by itself without doing its work.
+    /// The attempt ended by itself without completing its work.
     Failed,
-    /// It was not started and never will be.
+    /// The attempt was not started and never will be.
     NotStarted,
-    /// It was stopped to make room, after saving this much work, in milliseconds.
+    /// The attempt was stopped to free capacity for other work, after saving its progress.
     Preempted {
         /// Work saved, in milliseconds.
         saved_ms: u64,
     },
-    /// It is over, and whether it did its work is not known.
+    /// The attempt has ended, and whether it completed its work is unknown.
     Lost,
 }
 
-impl Fate {
-    /// Whether the attempt can't run any more.
+impl AttemptState {
+    /// Whether the attempt has ended and can't run any more.
     #[must_use]
     pub const fn is_over(self) -> bool {
         !matches!(self, Self::Running)
     }
 }
 
-/// One piece of news about one attempt.
+/// A state change of one attempt.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
     /// The attempt.
     pub task: TaskId,
-    /// What became of it.
-    pub fate: Fate,
+    /// Its new state.
+    #[serde(rename = "fate")]
+    pub state: AttemptState,
 }
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -1,49 +1,49 @@
-//! Work that is submitted and then watched: services, batch jobs and gangs.
+//! Jobs, which are submitted and then watched: services, batch jobs and gangs.
 
 use resource::{Size, id};
 use serde::{Deserialize, Serialize};
 
-/// What kind of work a job is.
+/// Kind of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// Tasks that stay up until the job is cancelled.
+    /// Tasks that run until the job is cancelled.
     Service,
-    /// Tasks that finish, each by itself.
+    /// Tasks that finish independently of each other.
     Batch,
-    /// Tasks that run only when all of them run together.
+    /// Tasks that run only if all of them run at the same time.
     Gang,
 }
 
-/// A job, checked by the entry.
+/// A job, validated by the entry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Job {
-    /// The caller's name for it, unique within the team.
+    /// Id chosen by the caller, unique within the team.
     pub id: id::Job,
-    /// The team that asks.
+    /// The team that submits the job.
     pub team: id::Team,
-    /// What kind of work it is.
+    /// Kind of the job.
     pub shape: Shape,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What each task may take of its worker.
+    /// Resources that each task may use on its worker.
     pub size: Size,
-    /// Whether it goes before everything else, within the quota.
+    /// Whether it takes precedence over all other work, within the quota.
     pub urgent: bool,
-    /// How long a task says that it will run, in milliseconds.
+    /// Declared run time of a task, in milliseconds.
     pub run_ms: u64,
 }
 
 impl Job {
-    /// What all tasks take together.
+    /// Resources of all tasks together.
     #[must_use]
     pub const fn total(&self) -> Size {
         self.size.times(self.tasks as u64)
     }
 }
 
-/// Where a job stands.
+/// Phase of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
@@ -53,34 +53,34 @@
     Running,
     /// Every task has finished.
     Finished,
-    /// The caller withdrew it.
+    /// The caller cancelled it.
     Cancelled,
-    /// A task failed too often.
+    /// A task failed too many times.
     Failed,
 }
 
 impl Phase {
-    /// Whether nothing more will happen.
+    /// Whether the phase is final.
     #[must_use]
     pub const fn is_over(self) -> bool {
         matches!(self, Self::Finished | Self::Cancelled | Self::Failed)
     }
 }
 
-/// What a caller is told about a job.
+/// State of a job, as reported to callers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct State {
-    /// The job.
+    /// Id of the job.
     pub id: id::Job,
-    /// Where it stands.
+    /// Its phase.
     pub phase: Phase,
-    /// Tasks that wait for room.
+    /// Number of tasks that wait for capacity.
     pub waiting: u32,
-    /// Tasks that run or are being started.
+    /// Number of tasks that run or are being started.
     pub running: u32,
-    /// Tasks that have finished.
+    /// Number of tasks that have finished.
     pub finished: u32,
-    /// Attempts that were lost, failed or given up for other work.
+    /// Number of attempts that failed, were lost or were preempted.
     pub restarts: u32,
 }
--- a/crates/wire/src/kind.rs
+++ b/crates/wire/src/kind.rs
@@ -1,4 +1,4 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! The closed list of error kinds and the table that maps them to answers.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// It ran, and the answer is whole.
+    /// The request ran, and the answer is complete.
     Done,
-    /// It did not run and never will; asking again is safe.
+    /// The request did not run and never will; a retry is safe.
     NotRun,
-    /// It may have run; the system will not repeat it.
+    /// The request may have run; the system does not retry it.
     MayHaveRun,
-    /// It can't run as it was asked.
+    /// The request can't run in this form.
     Refused,
 }
 
 impl Class {
-    /// The word for this class in headers and reports.
+    /// Name of this class in headers and reports.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
             Self::NotRun => "not-run",
@@ -31,62 +31,62 @@
     }
 }
 
-/// Every way in which a request can go wrong.
+/// Every kind of error that a request can end with.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Something in the request is missing or malformed.
+    /// A part of the request is missing or malformed.
     BadInput,
     /// The body is larger than allowed.
     TooLarge,
-    /// No such team.
+    /// There is no such team.
     UnknownTeam,
-    /// No such service.
+    /// There is no such service.
     UnknownService,
-    /// No such job.
+    /// There is no such job.
     UnknownJob,
-    /// No worker could ever hold it, or the quota could never allow it.
+    /// No worker is large enough for it, or the quota can never allow it.
     NeverFits,
-    /// The team may not do this.
+    /// The team is not allowed to do this.
     NotAllowed,
-    /// The id was used before for something else.
+    /// The id was used before for a different request or job.
     Conflict,
-    /// Too much is under way; it was turned away before it started.
+    /// The system is overloaded; the request was rejected before it started.
     Busy,
-    /// The deadline passed before it started.
+    /// The deadline passed before the request started.
     Deadline,
-    /// The process is stopping and takes nothing new.
+    /// The process is shutting down and accepts no new work.
     Draining,
-    /// The rack has no owner at the moment.
+    /// The rack currently has no owner.
     NoOwner,
-    /// The asked process does not own the rack (any more).
+    /// The process that received the request does not own the rack, or no longer owns it.
     NotOwner,
-    /// The owner may not start anything now: it can't prove that it is still the owner.
+    /// The owner may not start work now, because it can't prove that it is still the owner.
     NoAuthority,
-    /// The platform's table is down and the request needs it.
+    /// The request needs the platform's table, which is unavailable.
     StoreDown,
-    /// Every worker that was tried turned it away before starting it.
+    /// Every worker that was tried rejected the request before starting it.
     NoWorker,
-    /// It was cancelled before it started.
+    /// The request was cancelled before it started.
     Cancelled,
-    /// It was sent to a worker and no answer came back.
+    /// The request was sent to a worker, which did not answer.
     Lost,
-    /// It was sent to an owner and no answer came back.
+    /// The request was sent to an owner, which did not answer.
     OwnerLost,
-    /// An earlier owner claimed it and its outcome is not known.
+    /// An earlier owner claimed the request, and its outcome is unknown.
     ClaimedBefore,
-    /// The worker ran it, and it failed.
+    /// The worker ran the request, and the run failed.
     Failed,
 }
 
-/// One row of the table from kind to answer.
+/// One row of the table that maps kinds to answers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Row {
     /// What the caller may conclude.
     pub class: Class,
-    /// HTTP status towards the caller.
+    /// HTTP status of the answer to the caller.
     pub status: u16,
-    /// When to come back, where that makes sense.
+    /// Delay before a retry; `None` if retrying is pointless.
     pub retry_after: Option<Duration>,
 }
 
@@ -146,9 +146,9 @@
         }
     }
 
-    /// The kind in headers, logs and metrics.
+    /// Name of this kind in headers, logs and metrics.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::BadInput => "bad-input",
             Self::TooLarge => "too-large",
@@ -191,7 +191,7 @@
     }
 }
 
-/// Not run; come back after this many seconds (0: there is no use in coming back).
+/// The request did not run; retry after this many seconds (0: retrying is pointless).
 const fn not_run(status: u16, seconds: u64) -> Row {
     let retry_after = match seconds {
         0 => None,
--- a/crates/wire/src/place.rs
+++ b/crates/wire/src/place.rs
@@ -1,24 +1,26 @@
-//! What the owner of a job asks of the owner of a rack.
+//! Requests from the owner of a job to the owner of a rack.
 
 use resource::{Size, id};
 use serde::{Deserialize, Serialize};
 
 use crate::{Event, Task, TaskId};
 
-/// Which owner of a job's home rack speaks; an earlier one is not listened to any more.
+/// Identifies the sender of a message, an owner of a job's home rack. A receiver rejects a message whose epoch and
+/// serial are not greater than the last ones received for the same home rack, so that an earlier owner has no
+/// effect any more.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Seniority {
+pub struct FencingToken {
     /// The home rack.
     pub home: id::Rack,
     /// Epoch of its owner.
     pub epoch: id::Epoch,
-    /// Rises with every message of this owner. An order that was given up on and comes late finds
-    /// that a later message was heard, and does nothing.
+    /// Increases with every message of this owner. A request that timed out at its sender and is delivered after
+    /// a later message is rejected.
     pub serial: u64,
 }
 
-/// Names one attempt at starting a gang.
+/// Identifies one attempt to start a gang.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gang {
@@ -26,34 +28,34 @@
     pub team: id::Team,
     /// The job.
     pub job: id::Job,
-    /// Rises with every new attempt.
+    /// Increases with every new attempt.
     pub attempt: u64,
 }
 
-/// Whether tasks are started or only held.
+/// Whether tasks are started, or capacity is only reserved for them.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Start each that fits.
+    /// Start each task that fits.
     Start,
-    /// Keep room for all of them, or for none, until it is committed, undone or lapses.
+    /// Reserve capacity for all tasks or for none, until the reservation is committed, undone or expires.
     Hold,
 }
 
-/// Tasks for one rack.
+/// Requests the placement of tasks on one rack.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Order {
+pub struct PlaceRequest {
     /// The rack.
     pub rack: id::Rack,
-    /// Epoch of the rack's owner that it is meant for. A later owner has not heard what was said
-    /// after this order, so it could not tell that the order was given up on.
+    /// Epoch of the rack's owner that the request is addressed to. A later owner has not received the messages
+    /// that followed this request, so it could not detect that the sender has abandoned it.
     pub epoch: id::Epoch,
-    /// Who asks.
-    pub from: Seniority,
-    /// What to do with them.
+    /// The sender.
+    pub from: FencingToken,
+    /// What to do with the tasks.
     pub mode: Mode,
-    /// The tasks; for [`Mode::Hold`] all of one gang.
+    /// The tasks; for [`Mode::Hold`], all of one gang.
     pub tasks: Vec<Task>,
 }
 
@@ -61,25 +63,25 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Placement {
-    /// It has room and is being started, or held.
+    /// The task is being started, or capacity is reserved for it.
     Placed,
-    /// There is no room.
+    /// The rack has no capacity for the task.
     Full,
-    /// The asked process does not own the rack, or the asking one not the job.
+    /// The receiver does not own the rack, or the sender does not own the job.
     NotOwner,
 }
 
-/// The answer to an [`Order`].
+/// The reply to a [`PlaceRequest`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Placed {
-    /// One for each task, in the order of the tasks.
+pub struct PlaceReply {
+    /// One placement per task, in the order of the tasks.
     pub placements: Vec<Placement>,
-    /// Room left in the rack.
+    /// Free capacity of the rack afterwards.
     pub digest: Option<Digest>,
 }
 
-/// How much room a rack has.
+/// Summary of the free capacity of a rack.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Digest {
@@ -87,15 +89,15 @@
     pub rack: id::Rack,
     /// Its owner's epoch.
     pub epoch: id::Epoch,
-    /// Free room of each worker that takes new work.
+    /// Free capacity of each worker that accepts new work.
     pub free: Vec<Size>,
-    /// Room of each such worker that urgent work could take from other batch work.
+    /// Capacity of each of these workers that urgent work could preempt from other batch work.
     pub yielding: Vec<Size>,
-    /// Room of each such worker that work within a quota could take from borrowers.
+    /// Capacity of each of these workers that work within a quota could preempt from borrowers.
     pub lent: Vec<Size>,
 }
 
-/// One attempt that a rack holds.
+/// One attempt that is placed on a rack.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Holding {
@@ -105,16 +107,17 @@
     pub size: Size,
 }
 
-/// What one rack holds of the jobs of one home rack.
+/// The attempts of one home rack's jobs that are placed on one rack.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Inventory {
     /// The rack.
     pub rack: id::Rack,
-    /// Whether every worker of the rack was asked, so that what is not listed does not run there.
+    /// Whether every worker of the rack was queried, so that attempts that are not listed don't run there.
     pub complete: bool,
     /// The attempts.
     pub holdings: Vec<Holding>,
-    /// News that the home's owner has not confirmed yet.
-    pub news: Vec<Event>,
+    /// Events that the owner of the home rack has not confirmed yet.
+    #[serde(rename = "news")]
+    pub unconfirmed: Vec<Event>,
 }
--- a/crates/wire/src/request.rs
+++ b/crates/wire/src/request.rs
@@ -1,4 +1,4 @@
-//! One quick request on its way to the owner of its rack.
+//! A quick request, as sent to the owner of its rack.
 
 use std::time::Duration;
 
@@ -7,36 +7,36 @@
 
 use crate::Body;
 
-/// A quick request, checked by the entry.
+/// A quick request, validated by the entry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Request {
-    /// The caller's own name for it, unique within the team.
+    /// Id chosen by the caller, unique within the team.
     pub id: id::Request,
-    /// The team that asks.
+    /// The team that sends the request.
     pub team: id::Team,
-    /// The service that is asked.
+    /// The service that handles the request.
     pub service: id::Service,
-    /// What it works on.
+    /// The entity that it works on.
     pub key: id::Key,
-    /// Whether running it twice does no harm.
+    /// Whether running it more than once is harmless.
     pub idempotent: bool,
-    /// Time left to the caller's deadline when it was sent, in milliseconds.
+    /// Time from sending this message to the caller's deadline, in milliseconds.
     pub budget_ms: u64,
-    /// What is asked.
+    /// Body of the request.
     pub body: Body,
 }
 
 impl Request {
-    /// Time left to the caller's deadline when it was sent.
+    /// Time from sending this message to the caller's deadline.
     #[must_use]
     pub const fn budget(&self) -> Duration {
         Duration::from_millis(self.budget_ms)
     }
 
-    /// Whether this is the same request asked again, whatever its time left.
+    /// Whether both are the same request; their budgets may differ.
     #[must_use]
-    pub fn same(&self, other: &Self) -> bool {
+    pub fn is_same_as(&self, other: &Self) -> bool {
         self.id == other.id
             && self.team == other.team
             && self.service == other.service
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -1,7 +1,7 @@
-//! The calls of the inner protocol.
+//! The calls of the internal protocol.
 //!
-//! A JSON-RPC error means that the call itself failed; everything that can go wrong with what was
-//! asked travels as a [`Fault`](crate::Fault) inside the result.
+//! A JSON-RPC error means that the call itself failed; errors of the requested operation are
+//! returned as a [`Fault`](crate::Fault) inside the result.
 
 use config::{Version, raw};
 use jsonrpsee::core::RpcResult;
@@ -9,22 +9,22 @@
 use resource::id;
 
 use crate::{
-    Answer, Ask, Claim, Digest, Event, Fault, Gang, Inventory, Job, Order, Placed, Request, Routes,
-    Seniority, State, Status, Verdict,
+    Answer, Claim, ClaimOutcome, Digest, Event, Fault, FencingToken, Gang, Inventory, Job,
+    PlaceReply, PlaceRequest, Request, RouteQuery, Routes, State, Status,
 };
 
-/// What a placer offers to entries, to other placers and to operators.
+/// The interface of a placer to entries, other placers and operators.
 #[rpc(client, server)]
 pub trait Placer {
     /// Runs one quick request on a rack.
     #[method(name = "run")]
     async fn run(&self, rack: id::Rack, request: Request) -> RpcResult<Answer>;
 
-    /// Takes a job; asking again with the same job is safe.
+    /// Submits a job; submitting the same job again is safe.
     #[method(name = "submit")]
     async fn submit(&self, home: id::Rack, job: Job) -> RpcResult<Result<State, Fault>>;
 
-    /// Tells where a job stands.
+    /// Returns the state of a job.
     #[method(name = "watch")]
     async fn watch(
         &self,
@@ -33,7 +33,7 @@
         job: id::Job,
     ) -> RpcResult<Result<State, Fault>>;
 
-    /// Withdraws a job.
+    /// Cancels a job.
     #[method(name = "cancel")]
     async fn cancel(
         &self,
@@ -42,57 +42,57 @@
         job: id::Job,
     ) -> RpcResult<Result<State, Fault>>;
 
-    /// Tells an entry who owns what.
+    /// Returns the owners of racks to an entry.
     #[method(name = "routes")]
-    async fn routes(&self, ask: Ask) -> RpcResult<Routes>;
+    async fn routes(&self, ask: RouteQuery) -> RpcResult<Routes>;
 
     /// Places tasks on a rack.
     #[method(name = "place")]
-    async fn place(&self, order: Order) -> RpcResult<Placed>;
+    async fn place(&self, order: PlaceRequest) -> RpcResult<PlaceReply>;
 
-    /// Starts a gang that was held.
+    /// Starts a gang for which capacity was reserved.
     #[method(name = "commit")]
-    async fn commit(&self, rack: id::Rack, from: Seniority, gang: Gang) -> RpcResult<bool>;
+    async fn commit(&self, rack: id::Rack, from: FencingToken, gang: Gang) -> RpcResult<bool>;
 
-    /// Gives up a gang: lets go of what is held, stops what was started.
+    /// Abandons a gang: releases its reserved capacity and stops its started tasks.
     #[method(name = "undo")]
-    async fn undo(&self, rack: id::Rack, from: Seniority, gang: Gang) -> RpcResult<bool>;
+    async fn undo(&self, rack: id::Rack, from: FencingToken, gang: Gang) -> RpcResult<bool>;
 
     /// Stops tasks of a job.
     #[method(name = "stop")]
     async fn stop(
         &self,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         team: id::Team,
         job: id::Job,
     ) -> RpcResult<bool>;
 
-    /// Lists what the asked placer's racks hold of the jobs of one home rack.
+    /// Lists the attempts of one home rack's jobs that are placed on this placer's racks.
     #[method(name = "inventory")]
-    async fn inventory(&self, from: Seniority) -> RpcResult<Vec<Inventory>>;
+    async fn inventory(&self, from: FencingToken) -> RpcResult<Vec<Inventory>>;
 
-    /// Tells the owner of a home rack what became of its tasks; `false` if it is not the owner.
+    /// Reports state changes of tasks to the owner of their home rack; `false` if the receiver is not the owner.
     #[method(name = "report")]
     async fn report(&self, home: id::Rack, events: Vec<Event>) -> RpcResult<bool>;
 
-    /// Room in the asked placer's racks.
+    /// Returns the free capacity of this placer's racks.
     #[method(name = "digests")]
     async fn digests(&self) -> RpcResult<Vec<Digest>>;
 
-    /// Writes claims to the platform's table, together with those of others.
+    /// Writes claims to the platform's table, batched with claims of other placers.
     #[method(name = "claim")]
-    async fn claim(&self, claims: Vec<Claim>) -> RpcResult<Vec<Verdict>>;
+    async fn claim(&self, claims: Vec<Claim>) -> RpcResult<Vec<ClaimOutcome>>;
 
-    /// The configuration that the asked placer applies, if it is newer than this version.
+    /// Returns the configuration that this placer applies, if it is newer than version `than`.
     #[method(name = "config")]
     async fn config(&self, than: Version) -> RpcResult<Option<(Version, raw::Cell)>>;
 
-    /// State of the asked placer.
+    /// Returns the state of this placer.
     #[method(name = "status")]
     async fn status(&self) -> RpcResult<Status>;
 
-    /// Asks the placer to hand over its racks and stop.
+    /// Requests that this placer hand over its racks and stop.
     #[method(name = "drain")]
     async fn drain(&self) -> RpcResult<bool>;
 }
--- a/crates/wire/src/status.rs
+++ b/crates/wire/src/status.rs
@@ -1,4 +1,4 @@
-//! What a placer tells operators about itself.
+//! The state that a placer reports to operators.
 
 use config::Version;
 use resource::{Size, id};
@@ -12,9 +12,9 @@
     pub placer: id::Placer,
     /// Version of the configuration that it applies.
     pub config: Version,
-    /// Whether it is stopping.
+    /// Whether it is draining.
     pub draining: bool,
-    /// The racks that it owns or is about to own.
+    /// The racks that it owns or is taking over.
     pub racks: Vec<RackStatus>,
 }
 
@@ -28,12 +28,12 @@
     pub epoch: id::Epoch,
     /// Stage of ownership.
     pub stage: String,
-    /// Workers that were adopted, with what is reserved on each and whether it takes new work.
+    /// Adopted workers: (worker, reserved resources, whether it accepts new work).
     pub workers: Vec<(id::Worker, Size, bool)>,
-    /// Tasks that run or are being started.
+    /// Number of tasks that run or are being started.
     pub tasks: u32,
-    /// Quick requests waiting.
+    /// Number of queued quick requests.
     pub waiting: u32,
-    /// Use of each team: (team, quota home size in use, waiting tasks), for teams at home here.
+    /// Use of each team whose home is this rack: (team, resources in use, waiting tasks).
     pub teams: Vec<(id::Team, Size, u32)>,
 }
--- a/crates/wire/src/task.rs
+++ b/crates/wire/src/task.rs
@@ -1,25 +1,25 @@
-//! One part of a job, as it is placed on a worker.
+//! A task of a job, as it is placed on a worker.
 
 use resource::{Size, id};
 use serde::{Deserialize, Serialize};
 
 use crate::Shape;
 
-/// Which claim to room a task has: a higher band may take room from a lower one.
+/// Priority band of a task: a task of a higher band may preempt tasks of a lower one.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Band {
-    /// Beyond the team's quota; runs only on what others leave idle.
+    /// Over the team's quota; runs only on resources that other teams leave idle.
     Borrowed,
     /// Within the quota.
     Normal,
-    /// Services: within the quota, never stopped for other work.
+    /// Services: within the quota, never preempted.
     Standing,
     /// Urgent work, within the quota.
     Urgent,
 }
 
-/// Names one attempt at one task.
+/// Identifies one attempt at a task.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskId {
@@ -32,13 +32,13 @@
     /// Number of the task within its job, from 0.
     #[serde(rename = "i")]
     pub index: u32,
-    /// Rises with every new attempt at this task.
+    /// Increases with every new attempt at this task.
     #[serde(rename = "n")]
     pub attempt: u64,
 }
 
 impl TaskId {
-    /// Whether both name the same task, in whatever attempt.
+    /// Whether both identify the same task, regardless of the attempt.
     #[must_use]
     pub fn same_task(&self, other: &Self) -> bool {
         self.index == other.index && self.job == other.job && self.team == other.team
@@ -49,17 +49,17 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Task {
-    /// Its name.
+    /// Its identifier.
     pub id: TaskId,
-    /// What kind of job it belongs to.
+    /// Kind of its job.
     pub shape: Shape,
-    /// Its claim to room.
+    /// Its priority band.
     pub band: Band,
-    /// What it may take of its worker.
+    /// Resources that it may use on its worker.
     pub size: Size,
-    /// How long it says that it will run, in milliseconds; services run until stopped.
+    /// Declared run time, in milliseconds; services run until stopped.
     pub run_ms: u64,
-    /// Rack whose owner looks after the job.
+    /// Home rack of the job, whose owner manages the job.
     pub home: id::Rack,
     /// Work saved by an earlier attempt, in milliseconds.
     #[serde(default, skip_serializing_if = "is_zero")]
--- a/crates/worker/src/call.rs
+++ b/crates/worker/src/call.rs
@@ -5,7 +5,7 @@
 
 use resource::{Size, id};
 use serde::{Deserialize, Serialize};
-use wire::{Body, Fate, Task, TaskId};
+use wire::{AttemptState, Body, Task, TaskId};
 
 /// Milliseconds since the worker began its present life.
 pub type Moment = u64;
@@ -94,7 +94,7 @@
     /// Rack whose owner looks after the job.
     pub home: id::Rack,
     /// How it ended.
-    pub fate: Fate,
+    pub fate: AttemptState,
 }
 
 /// A key that a quick request works on.
