--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -1,7 +1,7 @@
 //! The calls of the internal protocol.
 //!
 //! A JSON-RPC error means that the call itself failed; errors of the requested operation are
-//! returned as a [`Fault`](crate::Fault) inside the result.
+//! returned as a [`Fault`] inside the result.
 
 use config::{Version, raw};
 use jsonrpsee::core::RpcResult;
