--- a/crates/bench/src/client.rs
+++ b/crates/bench/src/client.rs
@@ -115,7 +115,7 @@
     ];
     let class = classes
         .into_iter()
-        .find(|class| Some(class.word()) == label);
+        .find(|class| Some(class.as_str()) == label);
     match class {
         Some(class) if (class == Class::Done) == status.is_success() => Outcome::Class(class),
         _ => Outcome::NoAnswer,
