--- a/operator/lentilyoke.py
+++ b/operator/lentilyoke.py
@@ -1,6 +1,7 @@
 """Describes a lentilyoke cell and prints its configuration as JSON.
 
-Everything is checked when it is made; `Cell.print` writes what `lentilyoke config apply` reads.
+Values are checked when they are constructed. `Cell.print` writes the JSON that `lentilyoke config
+apply` reads.
 
 >>> cell = Cell("small", worker=Size(cores=16, memory_mib=65536))
 >>> north = cell.region("north")
@@ -19,27 +20,27 @@
 from typing import Any, TextIO
 
 _NAME = re.compile(r"^[a-z0-9-]{1,64}$")
-_RULES = ("best-fit", "first-fit", "least-loaded")
+_PACKING_RULES = ("best-fit", "first-fit", "least-loaded")
 
 
 class ConfigError(ValueError):
-    """Something in the description is not allowed; the message names the place."""
+    """An invalid value in the description; the message names its field."""
 
 
-def _check_name(place: str, name: str) -> str:
+def _check_name(label: str, name: str) -> str:
     if not isinstance(name, str) or not _NAME.match(name):
-        raise ConfigError(f"{place}: a name must be 1 to 64 of a-z, 0-9 and '-', not {name!r}")
+        raise ConfigError(f"{label}: a name must be 1 to 64 of a-z, 0-9 and '-', not {name!r}")
     return name
 
 
-def _check_range(place: str, value: float, low: float, high: float) -> None:
+def _check_range(label: str, value: float, low: float, high: float) -> None:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= high:
-        raise ConfigError(f"{place} must lie between {low} and {high}, not {value!r}")
+        raise ConfigError(f"{label} must lie between {low} and {high}, not {value!r}")
 
 
 @dataclass(frozen=True)
 class Size:
-    """Processor cores, memory in MiB, whole accelerators."""
+    """An amount of resources: processor cores, memory in MiB, whole accelerators."""
 
     cores: float
     memory_mib: int
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """How the cell decides."""
+    """Scheduling policy of a cell."""
 
     batch: str = "best-fit"
     margin: float = 0.25
@@ -62,8 +63,8 @@
     retry_share: float = 0.1
 
     def __post_init__(self) -> None:
-        if self.batch not in _RULES:
-            raise ConfigError(f"policy: batch must be one of {', '.join(_RULES)}")
+        if self.batch not in _PACKING_RULES:
+            raise ConfigError(f"policy: batch must be one of {', '.join(_PACKING_RULES)}")
         _check_range("policy: margin", self.margin, 0, 1)
         _check_range("policy: queue", self.queue, 1, 65_536)
         _check_range("policy: retry_share", self.retry_share, 0, 1)
@@ -71,7 +72,7 @@
 
 @dataclass
 class Region:
-    """One region; its data centres are added to it."""
+    """A region with its data centres."""
 
     name: str
     data_centres: list[dict[str, Any]] = field(default_factory=list)
@@ -86,7 +87,7 @@
 
 @dataclass
 class Cell:
-    """A whole cell."""
+    """A cell with its regions, teams, services and policy."""
 
     name: str
     worker: Size
@@ -101,7 +102,7 @@
         _check_range("workers_per_rack", self.workers_per_rack, 1, 64)
 
     def region(self, name: str) -> Region:
-        """Adds a region."""
+        """Adds a region and returns it."""
         region = Region(_check_name("region", name))
         self._regions.append(region)
         return region
@@ -140,7 +141,7 @@
         objective_ms: int = 250,
         objective: float = 0.999,
     ) -> None:
-        """Adds a service that takes quick requests."""
+        """Adds a service that handles quick requests."""
         _check_name("service", name)
         _check_range(f"service {name}: run_ms", run_ms, 1, 3_000)
         _check_range(f"service {name}: rank", rank, 0, 255)
@@ -158,11 +159,14 @@
         )
 
     def to_dict(self) -> dict[str, Any]:
-        """The configuration as plain values; names must not stand twice."""
-        for place, names in self._names():
-            twice = {name for name in names if names.count(name) > 1}
-            if twice:
-                raise ConfigError(f"{place}: {min(twice)!r} stands there twice")
+        """Returns the configuration as plain values.
+
+        Raises ConfigError if a name is defined more than once.
+        """
+        for label, names in self._names():
+            duplicates = {name for name in names if names.count(name) > 1}
+            if duplicates:
+                raise ConfigError(f"{label}: {min(duplicates)!r} is defined more than once")
         return {
             "name": self.name,
             "regions": [asdict(region) for region in self._regions],
--- a/operator/tests/test_lentilyoke.py
+++ b/operator/tests/test_lentilyoke.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' library."""
+"""Tests of the library for operators."""
 
 import doctest
 import io
@@ -28,17 +28,17 @@
         small().print(out)
         self.assertEqual(json.loads(out.getvalue())["services"][0]["run_ms"], 500)
 
-    def test_bad_names_and_ranges_are_refused_with_their_place(self) -> None:
-        for make, place in [
+    def test_invalid_values_are_rejected_with_the_name_of_their_field(self) -> None:
+        for construct, label in [
             (lambda: Cell("Small", worker=Size(1, 1)), "cell"),
             (lambda: Size(cores=-1, memory_mib=1), "cores"),
             (lambda: Policy(batch="worst-fit"), "batch"),
             (lambda: small().service("slow", small().region("x"), run_ms=9_000), "run_ms"),
         ]:
-            with self.assertRaisesRegex(ConfigError, place):
-                make()
+            with self.assertRaisesRegex(ConfigError, label):
+                construct()
 
-    def test_a_name_must_not_stand_twice(self) -> None:
+    def test_duplicate_names_are_rejected(self) -> None:
         cell = small()
         cell.region("south").data_centre("south-1", racks=["n1"])
         with self.assertRaisesRegex(ConfigError, "rack: 'n1'"):
