--- a/crates/pool/src/fit.rs
+++ b/crates/pool/src/fit.rs
@@ -2,7 +2,7 @@
 
 use resource::Size;
 
-use crate::crash::{CRASHES_ALONE, STABLE_AFTER, Suspicion};
+use crate::crash::{MIN_CRASHES_TO_ISOLATE, STABLE_AFTER, Suspicion};
 use crate::job::Step;
 use crate::service_capacity::ServiceCapacity;
 use crate::task::Ms;
@@ -43,7 +43,7 @@
 
 /// Whether the worker may run a task of the step at all.
 #[must_use]
-pub fn allowed(worker: &Worker, service: &str, step: &Step) -> bool {
+pub fn is_eligible(worker: &Worker, service: &str, step: &Step) -> bool {
     worker.info.service == service
         && (step.label.is_empty() || worker.info.labels.contains(&step.label))
 }
@@ -59,13 +59,13 @@
     if step.per_worker > 0 && context.same_step >= step.per_worker {
         return None;
     }
-    if context.suspect_crashes >= CRASHES_ALONE {
+    if context.suspect_crashes >= MIN_CRASHES_TO_ISOLATE {
         return None;
     }
     let suspicion = context.suspicion;
     // The worker may have been lost in the same event as the one that the task ran on.
     let unproven = worker.last_poll <= suspicion.since;
-    if suspicion.crashes >= CRASHES_ALONE && (context.suspect_crashes > 0 || unproven) {
+    if suspicion.crashes >= MIN_CRASHES_TO_ISOLATE && (context.suspect_crashes > 0 || unproven) {
         return None;
     }
     if worker.failure_score >= SUSPECT_SCORE && (context.assigned > 0 || !worker.runs.is_empty()) {
@@ -99,8 +99,9 @@
     if suspicion.crashes > 0 {
         // Prefers workers without other suspects, that are likely to stay up, and where another crash loses least.
         cost += SUSPECT_COLOCATION_COST * context.suspect_crashes as f64;
-        let new = context.now.saturating_sub(worker.incarnation_since) < STABLE_AFTER;
-        cost += UNPROVEN_WORKER_COST * (f64::from(u8::from(unproven)) + f64::from(u8::from(new)));
+        let recently_started = context.now.saturating_sub(worker.incarnation_since) < STABLE_AFTER;
+        cost += UNPROVEN_WORKER_COST
+            * (f64::from(u8::from(unproven)) + f64::from(u8::from(recently_started)));
         cost += 1.0 - free.millicores as f64 / worker.info.capacity.millicores.max(1) as f64;
     }
     if step.long_running {
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::command::{Command, Start};
-use crate::crash::{CRASHES_ALONE, Suspicion};
+use crate::crash::{MIN_CRASHES_TO_ISOLATE, Suspicion};
 use crate::fit::{self, Context};
 use crate::job::{Job, Step};
 use crate::live::LiveJob;
@@ -21,7 +21,7 @@
 /// Resolution of [`Rank::work`], which is an integer: one unit is a millionth of the total capacity for a millisecond.
 const WORK_UNIT: f64 = 1e6;
 /// A ticket that expires sooner than this is not used: the start command needs time to arrive.
-pub(crate) const TICKET_SLACK: Ms = 120;
+pub(crate) const TICKET_MARGIN: Ms = 120;
 
 /// Number of latency-sensitive and of best-effort tasks on each worker.
 type TaskMix = FxHashMap<WorkerId, (u32, u32)>;
@@ -32,7 +32,7 @@
         let capacities = self.service_capacities();
         self.locate_suspects();
         let mut ranked: Vec<(Rank, StageKey)> = Vec::new();
-        for key in &self.open {
+        for key in &self.open_steps {
             let Some(live) = self.jobs.get(&key.job) else {
                 continue;
             };
@@ -45,7 +45,7 @@
             let Some(stage) = self.stage(key) else {
                 continue;
             };
-            if stage.opened.is_some() && stage.tasks.iter().any(|task| task.waits(now)) {
+            if stage.opened.is_some() && stage.tasks.iter().any(|task| task.is_startable(now)) {
                 let capacity = capacities
                     .get(&live.job.service)
                     .copied()
@@ -173,7 +173,7 @@
             .tasks
             .iter()
             .enumerate()
-            .filter(|(_, task)| task.waits(now))
+            .filter(|(_, task)| task.is_startable(now))
             .map(|(at, _)| at as u32)
             .collect();
         // Suspects last: a worker that gets a suspect which has to run alone takes no other task.
@@ -184,7 +184,7 @@
             // The members start together, so all of them have to be waiting.
             return 0;
         }
-        let same_step = stage.spread();
+        let same_step = stage.runs_per_worker();
         let assigned =
             self.find_workers(now, key, job, step, &suspicions, &same_step, mix, capacity);
         let all_placed = if step.gang {
@@ -248,13 +248,13 @@
         };
         let mut candidates: Vec<(&crate::worker::Worker, Size, Context)> = Vec::new();
         for worker in self.workers.values() {
-            if !fit::allowed(worker, &job.service, step) {
+            if !fit::is_eligible(worker, &job.service, step) {
                 continue;
             }
             if job.policy.advice.is_some() {
                 let ticket = stage.advised.allowed.get(&worker.id);
                 let valid = ticket.is_some_and(|ticket| {
-                    ticket.valid_until > now + TICKET_SLACK
+                    ticket.valid_until > now + TICKET_MARGIN
                         && ticket.incarnation == worker.incarnation
                 });
                 if !valid {
@@ -336,14 +336,14 @@
         }
         let checkpoint = task.checkpoint.clone();
         let crashes = task.crashes();
-        let noted = task.assume_crash(number, inherited);
+        let crash_assumed = task.assume_crash(number, inherited);
         task.run = Some(Run {
             // A task with so many crashes starts only on a worker that has answered since the last of them.
-            proven: crashes >= CRASHES_ALONE,
+            worker_was_up: crashes >= MIN_CRASHES_TO_ISOLATE,
             ..Run::new(number, Arc::clone(worker), now, start_deadline)
         });
         self.reserve_capacity(key, worker, number);
-        if noted {
+        if crash_assumed {
             self.suspects.insert(key.clone());
             self.mark_dirty(&key.stage.job);
             let most_crashes = self
@@ -355,7 +355,7 @@
         self.unconfirmed_runs.insert(key.clone());
         self.retry_budget.earn();
         if let Some(stage) = self.stage_mut(&key.stage) {
-            stage.timeline.started(now);
+            stage.timeline.record_start(now);
         }
         self.commands.push(Command::Start(Start {
             task: key.clone(),
