--- a/crates/model/src/ownership.rs
+++ b/crates/model/src/ownership.rs
@@ -116,7 +116,7 @@
     /// Remaining ticks of its run of the key; 0 if it does not run it.
     run_ticks_left: u8,
     /// Attempts that it has started, as a bit mask.
-    seen: u8,
+    started: u8,
 }
 
 /// A start command in flight. It can be delivered at any time, and more than once.
@@ -320,11 +320,11 @@
             Err(worker::Refusal::Fenced { .. }) => !self.guards.fence,
             Err(_) => false,
         };
-        if !admitted || worker.seen & (1 << attempt) != 0 {
+        if !admitted || worker.started & (1 << attempt) != 0 {
             return;
         }
         let mut next = state.clone();
-        next.workers[w].seen |= 1 << attempt;
+        next.workers[w].started |= 1 << attempt;
         next.workers[w].run_ticks_left = RUN_TICKS;
         successors.push(|| format!("w{w} starts the key for epoch {epoch}"), next);
     }
@@ -339,7 +339,7 @@
                 next.workers[w] = Worker {
                     slot,
                     run_ticks_left: 0,
-                    seen: 0,
+                    started: 0,
                 };
                 successors.push(|| format!("w{w} restarts"), next);
             }
@@ -376,7 +376,7 @@
         let worker = Worker {
             slot: Slot::new(1),
             run_ticks_left: 0,
-            seen: 0,
+            started: 0,
         };
         State {
             epoch: 0,
--- a/crates/model/src/tasks.rs
+++ b/crates/model/src/tasks.rs
@@ -82,7 +82,7 @@
     /// Attempts that run on its workers.
     running: BTreeSet<u8>,
     /// Attempts that its workers have started.
-    seen: BTreeSet<u8>,
+    started: BTreeSet<u8>,
 }
 
 /// A start command in flight.
@@ -254,13 +254,13 @@
             if self.guards.reject_older && (epoch, serial) <= rack.last_message {
                 continue;
             }
-            if rack.seen.contains(&attempt) {
+            if rack.started.contains(&attempt) {
                 continue;
             }
             let mut next = state.clone();
             let rack = &mut next.racks[r];
             rack.last_message = rack.last_message.max((epoch, serial));
-            rack.seen.insert(attempt);
+            rack.started.insert(attempt);
             rack.running.insert(attempt);
             successors.push(
                 || format!("rack {r} starts attempt {attempt} for home epoch {epoch}"),
@@ -289,7 +289,7 @@
             epoch: 0,
             last_message: (0, 0),
             running: BTreeSet::new(),
-            seen: BTreeSet::new(),
+            started: BTreeSet::new(),
         };
         State {
             home_epoch: 1,
