--- a/crates/bench/src/bin/lentilyoke-trial.rs
+++ b/crates/bench/src/bin/lentilyoke-trial.rs
@@ -3,8 +3,8 @@
 //! The task sizes and outcomes are synthetic and the seeds are fixed, so the output is reproducible.
 
 use clap::{Parser, ValueEnum};
-use policy::detect::{Consecutive, Cusum, Rule as Detector, ratio};
-use policy::{Index, Room, Rule};
+use policy::detect::{Consecutive, Cusum, Detector, log_likelihood_ratio};
+use policy::{Capacity, Index, Rule};
 use rand::seq::SliceRandom as _;
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -112,7 +112,7 @@
     let mut used = Size::ZERO;
     for (nth, task) in tasks.iter().enumerate() {
         if let Some(at) = index.place(rule(name, nth), *task) {
-            index.take(at, *task);
+            index.reserve(at, *task);
             used = used.plus(*task);
         }
     }
@@ -130,10 +130,10 @@
     }
 }
 
-fn empty() -> Room {
-    Room {
+fn empty() -> Capacity {
+    Capacity {
         free: HOST_SIZE,
-        whole: HOST_SIZE,
+        total: HOST_SIZE,
         siblings: 0,
     }
 }
@@ -145,7 +145,7 @@
     let mut used = Size::ZERO;
     for (nth, task) in tasks.iter().enumerate() {
         match index.place(rule(name, nth), *task) {
-            Some(at) => index.take(at, *task),
+            Some(at) => index.reserve(at, *task),
             None => break,
         }
         used = used.plus(*task);
@@ -162,7 +162,7 @@
             index.push(empty());
             index.len() - 1
         });
-        index.take(at, *task);
+        index.reserve(at, *task);
     }
     let total: Size = tasks.iter().copied().sum();
     index.len() as f64 / total.share(HOST_SIZE).ceil()
@@ -189,8 +189,8 @@
 }
 
 impl Detector for MovingAverage {
-    fn failed(&mut self, failed: bool) -> bool {
-        self.ratios[self.next] = ratio(failed);
+    fn record(&mut self, failed: bool) -> bool {
+        self.ratios[self.next] = log_likelihood_ratio(failed);
         self.next = (self.next + 1) % self.ratios.len();
         self.ratios.iter().sum::<f64>() >= self.threshold
     }
@@ -241,13 +241,13 @@
                 let mut random = ChaCha8Rng::seed_from_u64(seed);
                 let mut rule = new_rule();
                 for _ in 0..HEALTHY_OUTCOMES {
-                    if rule.failed(random.random::<f64>() < healthy) {
+                    if rule.record(random.random::<f64>() < healthy) {
                         false_alarms += 1;
                         rule.reset();
                     }
                 }
                 let detected =
-                    (1..=BROKEN_OUTCOMES).find(|_| rule.failed(random.random::<f64>() < broken));
+                    (1..=BROKEN_OUTCOMES).find(|_| rule.record(random.random::<f64>() < broken));
                 delays.push(detected.unwrap_or(BROKEN_OUTCOMES + 1));
             }
             delays.sort_unstable();
--- a/crates/host/src/owner/store_changes.rs
+++ b/crates/host/src/owner/store_changes.rs
@@ -86,7 +86,7 @@
         pool.set_stored_roster(&ids(&claimed.roster));
         // The former owner may have used only the workers of its roster. The list of all workers may be old and contain removed
         // ones.
-        pool.inherit(clock::now(), ids(former_roster), &claimed.silent);
+        pool.inherit(clock::now(), ids(former_roster), &claimed.unavailable);
     }
 
     /// Handles changes of the table of jobs.
--- a/crates/host/src/writer.rs
+++ b/crates/host/src/writer.rs
@@ -88,7 +88,7 @@
             owner.host().settings.max_row_bytes,
         );
         let same_roster = next_roster.roster == claim.roster.roster;
-        let same_unavailable = next_roster.silent == claim.roster.silent;
+        let same_unavailable = next_roster.unavailable == claim.roster.unavailable;
         let successors = owner.successors();
         let successors_changed = successors != claim.owner.successors
             && successors_written.elapsed() > SUCCESSORS_WRITE_INTERVAL;
