--- a/crates/host/src/catalog_sync.rs
+++ b/crates/host/src/catalog_sync.rs
@@ -32,8 +32,8 @@
 /// A host that follows the store fetches from an owner as well after it has been behind for this long, and one that fetches from
 /// an owner follows the store as well after it has waited for this long.
 const SECOND_SOURCE_DELAY: Duration = Duration::from_millis(1_000);
-/// How long the polls for changes of the pool map wait. Their answers show a host that doesn't follow the configuration in the
-/// store that the store is available. Hosts that take jobs of callers see this from their inserts too.
+/// How long the polls for changes of the pool map wait. From their answers, a host that doesn't follow the configuration in the
+/// store learns that the store is available. Hosts that take jobs of callers learn this from their inserts too.
 const POOL_MAP_POLL_WAIT: Duration = Duration::from_millis(2_000);
 /// Delay of the next such poll while the store is unavailable. Owners poll more often and report when it is available again.
 const POOL_MAP_RETRY_DELAY: Duration = Duration::from_millis(400);
--- a/crates/host/src/election.rs
+++ b/crates/host/src/election.rs
@@ -183,7 +183,7 @@
                 let former = previous.map(|(claim, _)| claim);
                 info!(pool = pool, epoch = claim.owner.epoch, before = former.as_ref().map_or("", |claim| claim.owner.host.as_str()), workers = claim.roster.roster.len(), grounds:% = reason, ms = clock::now().saturating_sub(began); "pool ownership acquired");
                 host.owner_rows
-                    .note(pool, Some((claim.owner.clone(), version)));
+                    .record(pool, Some((claim.owner.clone(), version)));
                 let roster = former.map_or_else(Vec::new, |claim| claim.roster.roster);
                 Owner::run(host, pool, claim, roster, version).await;
                 return;
@@ -192,7 +192,7 @@
             // tried again with their new version.
             ClaimOutcome::Conflict(found, version) => {
                 host.owner_rows
-                    .note(pool, Some((found.owner.clone(), version.owner)));
+                    .record(pool, Some((found.owner.clone(), version.owner)));
                 if former.is_none_or(|former| former.owner.epoch != found.owner.epoch) {
                     return;
                 }
--- a/crates/host/src/election/participant.rs
+++ b/crates/host/src/election/participant.rs
@@ -18,7 +18,7 @@
 use crate::rows::OwnerRow;
 use crate::verdict::{Evidence, Verdict};
 
-/// The row of a new owner may be known before the owner serves the pool, for which it has this long.
+/// The row of a new owner may be known before the owner serves the pool. The owner has this long to start.
 const OWNER_START_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time in which other hosts have to answer whether they receive the owner's heartbeats.
 const WITNESS_TIMEOUT: Duration = Duration::from_millis(400);
--- a/crates/host/src/follow.rs
+++ b/crates/host/src/follow.rs
@@ -20,9 +20,9 @@
 const INITIAL_CONCURRENT_READS: usize = 32;
 /// Maximum number of concurrent reads of a table.
 const MAX_CONCURRENT_READS: usize = 64;
-/// Minimum number of concurrent reads after failures: one that waits for its time-out must not delay all others.
+/// Minimum number of concurrent reads after failures: one that waits for its timeout must not delay all others.
 const MIN_CONCURRENT_READS: usize = 2;
-/// Delay of reads after a failed one; doubled after each further round of failures until one succeeds.
+/// Initial delay of reads after a failed one; doubled after each further round of failures until one succeeds.
 const MIN_READ_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Upper bound of that delay, and so of the time until a reader notices that the store is back.
 const MAX_READ_RETRY_DELAY: Duration = Duration::from_millis(320);
--- a/crates/host/src/hedge.rs
+++ b/crates/host/src/hedge.rs
@@ -1,7 +1,7 @@
 //! Hedged calls: a call is repeated when its answer is overdue, and late answers are still accepted.
 //!
 //! Some answers of workers get lost, and on a congested network they arrive late. A poll reports the ends of runs, and if its
-//! answer is lost, the ends are not seen until the time-out. So the poll is repeated as soon as its answer is overdue. Answers to
+//! answer is lost, the ends are not seen until the timeout. So the poll is repeated as soon as its answer is overdue. Answers to
 //! earlier calls are accepted whenever they arrive.
 
 use std::time::Duration;
@@ -25,9 +25,9 @@
 /// use host::hedge::LossRate;
 ///
 /// let mut lost = LossRate::default();
-/// (0..400).for_each(|call| lost.note(call % 100 == 0));
+/// (0..400).for_each(|call| lost.record(call % 100 == 0));
 /// assert!(!lost.is_high());
-/// (0..400).for_each(|call| lost.note(call % 15 == 0));
+/// (0..400).for_each(|call| lost.record(call % 15 == 0));
 /// assert!(lost.is_high());
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
@@ -37,7 +37,7 @@
 
 impl LossRate {
     /// Records whether the answer to a call was lost.
-    pub fn note(&mut self, lost: bool) {
+    pub fn record(&mut self, lost: bool) {
         let call = if lost { 1.0 } else { 0.0 };
         self.share += NEWEST_WEIGHT * (call - self.share);
     }
@@ -127,7 +127,7 @@
     }
 
     /// Makes a call and waits for its answer or the one to the call with the number `first`, and handles answers to other calls
-    /// meanwhile. Returns which of the two was answered, or `None` after the time-out.
+    /// meanwhile. Returns which of the two was answered, or `None` after the timeout.
     async fn wait_for_answer<E>(
         &mut self,
         call: BoxFuture<'static, T>,
@@ -142,7 +142,7 @@
         tokio::pin!(timeout);
         loop {
             tokio::select! {
-                // An answer that has arrived takes precedence over the time-out, however late this task is scheduled.
+                // An answer that has arrived takes precedence over the timeout, however late this task is scheduled.
                 biased;
                 (_, answer) = &mut call => {
                     handle(answer, Attempt::Current)?;
--- a/crates/host/src/lag.rs
+++ b/crates/host/src/lag.rs
@@ -19,9 +19,9 @@
 /// use host::lag::TimerLag;
 ///
 /// let mut lag = TimerLag::default();
-/// (0..40).for_each(|at| lag.note(at * 60, 10));
+/// (0..40).for_each(|at| lag.record(at * 60, 10));
 /// assert!(!lag.is_overloaded(2_400));
-/// (0..6).for_each(|at| lag.note(3_000 + at * 500, 450));
+/// (0..6).for_each(|at| lag.record(3_000 + at * 500, 450));
 /// assert!(lag.is_overloaded(5_500));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,7 +34,7 @@
 
 impl TimerLag {
     /// Records that a timer fired this late, in milliseconds.
-    pub fn note(&mut self, now: Ms, late: Ms) {
+    pub fn record(&mut self, now: Ms, late: Ms) {
         self.mean += NEWEST_WEIGHT * (late as f64 - self.mean);
         self.since = (self.mean > OVERLOAD_LATENESS_MS).then(|| self.since.unwrap_or(now));
     }
--- a/crates/host/src/owner.rs
+++ b/crates/host/src/owner.rs
@@ -160,9 +160,9 @@
     }
 
     /// Records that the store did not confirm a write that was sent at `sent_at`; `refused` if it was certainly not done.
-    pub(crate) fn note_store_failure(&self, sent_at: Ms, refused: bool) {
+    pub(crate) fn record_store_failure(&self, sent_at: Ms, refused: bool) {
         let mut outage = lock(&self.store_outage);
-        *outage = Some(StoreOutage::note(*outage, sent_at, clock::now(), refused));
+        *outage = Some(StoreOutage::record(*outage, sent_at, clock::now(), refused));
     }
 
     /// Whether this ownership has ended.
--- a/crates/host/src/owner/connected_hosts.rs
+++ b/crates/host/src/owner/connected_hosts.rs
@@ -40,7 +40,7 @@
 const MIN_OWNERSHIP_OVERLOADED: Ms = 1_500;
 /// Time between two checks whether another host should own the pool.
 const HANDOVER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// A host that was requested to take over the pool has this long to do so before another host is requested.
+/// A host that was asked to take the pool over has this long to do so before another host is asked.
 const TAKEOVER_REQUEST_TIMEOUT: Ms = 1_000;
 /// Number of successors that an owner names: enough that some remain when a data centre fails together with the owner.
 const MAX_SUCCESSORS: usize = 8;
@@ -122,7 +122,7 @@
             let due = clock::now() + HANDOVER_CHECK_INTERVAL.as_millis() as Ms;
             tokio::time::sleep(HANDOVER_CHECK_INTERVAL).await;
             let now = clock::now();
-            lag.note(now, now.saturating_sub(due));
+            lag.record(now, now.saturating_sub(due));
             let recent = requested
                 .values()
                 .any(|&at| now.saturating_sub(at) < TAKEOVER_REQUEST_TIMEOUT);
--- a/crates/host/src/owner/store_changes.rs
+++ b/crates/host/src/owner/store_changes.rs
@@ -84,8 +84,8 @@
             |ids: &[String]| -> Vec<WorkerId> { ids.iter().map(|id| id.as_str().into()).collect() };
         let mut pool = lock(&self.pool);
         pool.set_stored_roster(&ids(&claimed.roster));
-        // The former owner may have used only the workers of its roster. The list of all workers may be old and contain removed
-        // ones.
+        // The former owner used no workers but those of its roster. The list of all workers may be old and contain removed
+        // ones, so it doesn't count here.
         pool.inherit(clock::now(), ids(former_roster), &claimed.unavailable);
     }
 
--- a/crates/host/src/owner_rows.rs
+++ b/crates/host/src/owner_rows.rs
@@ -76,7 +76,7 @@
     }
 
     /// Records a row that was read. A row older than the known one is ignored, since reads may return old data.
-    pub(crate) fn note(&self, pool: u32, found: Option<VersionedRow>) {
+    pub(crate) fn record(&self, pool: u32, found: Option<VersionedRow>) {
         let found = KnownRow::from(found);
         self.with(pool, |known| {
             known.send_if_modified(|known| {
@@ -94,7 +94,7 @@
 pub(crate) async fn read(host: &Host, pool: u32) -> Option<(Option<VersionedRow>, u64)> {
     let page = host.store.list(OWNER, &pool_part(pool)).await.ok()?;
     let found = parse(&page.rows, OWNER);
-    host.owner_rows.note(pool, found.clone());
+    host.owner_rows.record(pool, found.clone());
     Some((found, page.version))
 }
 
@@ -140,7 +140,7 @@
                     if let (Some(pool), Some(found)) =
                         (pool, parse(std::slice::from_ref(row), OWNER))
                     {
-                        host.owner_rows.note(pool, Some(found));
+                        host.owner_rows.record(pool, Some(found));
                     }
                 }
             }
--- a/crates/host/src/requests.rs
+++ b/crates/host/src/requests.rs
@@ -19,9 +19,9 @@
 };
 use crate::wire::{Call, Reply, ToOwner};
 
-/// Time-out of a query for a job's state to the owner of its pool; after that the store is read.
+/// Timeout of a query for a job's state to the owner of its pool; after that the store is read.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time-out of a request to cancel. An owner waits 1.5 s until the cancellation is stored; the rest is for the network.
+/// Timeout of a request to cancel. An owner waits 1.5 s until the cancellation is stored; the rest is for the network.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// Counts of pending jobs that are older than this are not returned; callers may get counts that are up to 2 s old.
 const MAX_PENDING_AGE: Ms = 1_900;
--- a/crates/host/src/session.rs
+++ b/crates/host/src/session.rs
@@ -70,6 +70,7 @@
             };
             (worker.info.address.clone(), worker.end_cursor())
         };
+        // Some ends are applied but not stored yet.
         if ends.1 > ends.2 {
             let poll_delay = lock(&owner.pool).poll_delay(id);
             tokio::time::sleep(Duration::from_millis(poll_delay)).await;
@@ -103,12 +104,12 @@
         };
         // A worker that did not answer may have restarted. Its new incarnation numbers ends from the start, and must not forget
         // ends because of the numbers of the former one.
-        let stored = if lost { 0 } else { ends.2 };
+        let acknowledged = if lost { 0 } else { ends.2 };
         let request = PollRequest {
             address,
             ends,
             lease,
-            stored,
+            acknowledged,
         };
         match poll_once(owner, id, &request, sent_at, wait, &mut polls).await {
             Ok(()) => {
@@ -157,7 +158,7 @@
     /// End of the renewed lease on the worker's clock; `None` if the lease isn't renewed.
     lease: Option<Ms>,
     /// The worker may forget ends up to this number.
-    stored: u64,
+    acknowledged: u64,
 }
 
 impl PollRequest {
@@ -175,10 +176,10 @@
             owner.epoch(),
         );
         let (address, ends) = (self.address.clone(), self.ends);
-        let (lease, stored) = (self.lease, self.stored);
+        let (lease, acknowledged) = (self.lease, self.acknowledged);
         Box::pin(async move {
             let outcome = workers
-                .poll(&address, &id, epoch, lease, stored, wait)
+                .poll(&address, &id, epoch, lease, acknowledged, wait)
                 .await;
             PollResult {
                 sent_at,
@@ -211,7 +212,7 @@
         }
         // The worker may have restarted since.
         let request = PollRequest {
-            stored: 0,
+            acknowledged: 0,
             ..request.clone()
         };
         Some(request.send(owner, id, clock::now(), Duration::ZERO))
@@ -229,7 +230,7 @@
     let outcome = polls
         .call(first, repeat, wait + overdue, due, process)
         .await?;
-    lock(&owner.answer_loss).note(outcome == Outcome::Lost);
+    lock(&owner.answer_loss).record(outcome == Outcome::Lost);
     let answered = || {
         let pool = lock(&owner.pool);
         pool.worker(id)
--- a/crates/host/src/store_outage.rs
+++ b/crates/host/src/store_outage.rs
@@ -38,7 +38,7 @@
 impl StoreOutage {
     /// Records the failure of a call sent at `sent_at`, in an outage that began before if `outage` is given. `refused` is set if
     /// the call certainly had no effect.
-    pub fn note(outage: Option<Self>, sent_at: Ms, now: Ms, refused: bool) -> Self {
+    pub fn record(outage: Option<Self>, sent_at: Ms, now: Ms, refused: bool) -> Self {
         let refused = refused && now.saturating_sub(sent_at) <= MAX_REFUSAL_LATENCY;
         let outage = outage.unwrap_or(Self {
             since: sent_at,
--- a/crates/host/src/wire.rs
+++ b/crates/host/src/wire.rs
@@ -282,7 +282,7 @@
     }
 
     /// The next message from a sender that is never silent for longer than `silence`; `None` if the connection was closed. Each
-    /// byte that arrives restarts the time-out, so a large frame may take longer. Dropping the future loses no part of a frame.
+    /// byte that arrives restarts the timeout, so a large frame may take longer. Dropping the future loses no part of a frame.
     ///
     /// # Errors
     /// Of the kind `TimedOut` if the sender was silent for too long; otherwise as [`Receiver::next`].
--- a/crates/host/src/writer.rs
+++ b/crates/host/src/writer.rs
@@ -176,7 +176,7 @@
                 warn!(error:% = error, rows = batch.rows.len(); "storing progress failed; retrying");
                 unsure |= matches!(error, StoreError::Lost { .. });
                 let refused = matches!(error, StoreError::Refused { .. });
-                owner.note_store_failure(sent_at, refused);
+                owner.record_store_failure(sent_at, refused);
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
--- a/crates/host/tests/hedge.rs
+++ b/crates/host/tests/hedge.rs
@@ -156,7 +156,7 @@
 fn the_loss_rate_is_high_only_while_many_answers_are_lost() {
     let mut lost = LossRate::default();
     let mut lose_every = |every: usize| {
-        (1..=600).for_each(|call| lost.note(call % every == 0));
+        (1..=600).for_each(|call| lost.record(call % every == 0));
         lost.is_high()
     };
     assert!(!lose_every(70), "eight of 540 workers are down");
--- a/crates/host/tests/insert.rs
+++ b/crates/host/tests/insert.rs
@@ -140,7 +140,7 @@
     (inserted, began.elapsed(), calls)
 }
 
-/// Guards against callers that wait for the time-out of a call whose answer is lost: the same insert, repeated, finds the row.
+/// Guards against callers that wait for the timeout of a call whose answer is lost: the same insert, repeated, finds the row.
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_is_detected_by_the_next_attempt() {
     let (inserted, took, calls) = try_insert(&[Behaviour::DoneUnanswered], false).await;
@@ -184,7 +184,7 @@
     assert!(took < Duration::from_millis(10), "{took:?}");
 }
 
-/// Guards against an insert that the store rejects for good and that is repeated until the caller's time-out.
+/// Guards against an insert that the store rejects for good and that is repeated until the caller's timeout.
 #[tokio::test(start_paused = true)]
 async fn a_rejected_insert_is_refused_at_once_and_not_repeated() {
     let (inserted, took, calls) = try_insert(&[Behaviour::Rejects], false).await;
--- a/crates/host/tests/lag.rs
+++ b/crates/host/tests/lag.rs
@@ -7,7 +7,7 @@
     let mut now = from;
     for _ in 0..count {
         now += 50 + late;
-        lag.note(now, late);
+        lag.record(now, late);
     }
     now
 }
--- a/crates/host/tests/store_outage.rs
+++ b/crates/host/tests/store_outage.rs
@@ -57,11 +57,11 @@
 /// owner's link would be no better.
 #[test]
 fn a_connection_that_was_not_made_is_no_refusal() {
-    let refused = StoreOutage::note(None, 10_000, 10_020, true);
+    let refused = StoreOutage::record(None, 10_000, 10_020, true);
     assert_eq!(refused, REFUSED);
-    let again = StoreOutage::note(Some(refused), 10_100, 10_130, true);
+    let again = StoreOutage::record(Some(refused), 10_100, 10_130, true);
     assert_eq!(again, REFUSED, "the first failure counts");
-    let slow = StoreOutage::note(Some(refused), 10_100, 10_500, true);
+    let slow = StoreOutage::record(Some(refused), 10_100, 10_500, true);
     assert!(!slow.only_refusals);
-    assert!(!StoreOutage::note(Some(slow), 10_600, 10_610, true).only_refusals);
+    assert!(!StoreOutage::record(Some(slow), 10_600, 10_610, true).only_refusals);
 }
