--- a/crates/config/src/builder.rs
+++ b/crates/config/src/builder.rs
@@ -50,7 +50,7 @@
     #[must_use]
     pub fn rack(mut self, region: &str, data_centre: &str, rack: &str) -> Self {
         let regions = &mut self.cell.regions;
-        let at = regions
+        let region_index = regions
             .iter()
             .position(|r| r.name == region)
             .unwrap_or_else(|| {
@@ -60,8 +60,8 @@
                 });
                 regions.len() - 1
             });
-        let centres = &mut regions[at].data_centres;
-        let at = centres
+        let centres = &mut regions[region_index].data_centres;
+        let centre_index = centres
             .iter()
             .position(|c| c.name == data_centre)
             .unwrap_or_else(|| {
@@ -71,7 +71,7 @@
                 });
                 centres.len() - 1
             });
-        centres[at].racks.push(rack.to_owned());
+        centres[centre_index].racks.push(rack.to_owned());
         self
     }
 
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -13,8 +13,8 @@
 const MAX_NAME_LEN: usize = 64;
 /// Maximum duration of one run of a quick request.
 ///
-/// A new owner of a rack waits this long for runs of the previous owner that it can't observe, so this
-/// constant bounds the time that a change of owner takes.
+/// A new owner that can't reach all workers of its rack waits at least this long, until the runs that the
+/// previous owner started on them have ended. A larger value lengthens the recovery after the loss of an owner.
 pub const MAX_RUN: Duration = Duration::from_millis(3_000);
 /// Maximum configurable length of the queue of one rack.
 const MAX_QUEUE: u32 = 65_536;
--- a/crates/config/src/raw.rs
+++ b/crates/config/src/raw.rs
@@ -95,13 +95,14 @@
 pub struct Policy {
     /// Rule that places batch tasks on workers: `best-fit`, `least-loaded` or `first-fit`.
     pub batch: String,
-    /// Share of the measured peak usage that stays reserved on top of it when resources are reclaimed.
+    /// Share of a task's measured peak usage that is reserved on top of that peak when unused resources are
+    /// reclaimed, up to the declared size.
     pub margin: f64,
     /// Whether declared but unused resources of batch tasks may be reclaimed for other batch tasks.
     pub reclaim: bool,
     /// Maximum number of quick requests queued at one rack.
     pub queue: u32,
-    /// Maximum number of retries caused by a team's requests, as a share of these requests.
+    /// Share of a team's requests that may be retried, counted separately at each entry and each rack owner.
     pub retry_share: f64,
 }
 
--- a/crates/model/src/claims.rs
+++ b/crates/model/src/claims.rs
@@ -159,32 +159,32 @@
     }
 
     fn submit(&self, state: &State, successors: &mut Successors<State>) {
-        for a in 0..SUBMISSIONS {
-            match state.submissions[a] {
+        for s in 0..SUBMISSIONS {
+            match state.submissions[s] {
                 Submission::Open {
                     answer_lost,
                     attempts,
                 } if attempts < 2 => {
                     for p in (0..PLACERS).filter(|p| state.placers[*p].epoch > 0) {
-                        self.receive(state, a, p, answer_lost, attempts, successors);
+                        self.receive(state, s, p, answer_lost, attempts, successors);
                     }
                 }
                 Submission::Waiting {
                     placer, attempts, ..
                 } => {
                     let mut next = state.clone();
-                    next.submissions[a] = Submission::Open {
+                    next.submissions[s] = Submission::Open {
                         answer_lost: true,
                         attempts,
                     };
-                    next.placers[placer].submissions &= !(1 << a);
+                    next.placers[placer].submissions &= !(1 << s);
                     successors.push(
-                        || format!("the connection of submission {a} to p{placer} breaks"),
+                        || format!("the connection of submission {s} to p{placer} breaks"),
                         next,
                     );
                 }
                 Submission::Open { answer_lost, .. } => {
-                    self.abandon(state, a, answer_lost, successors);
+                    self.abandon(state, s, answer_lost, successors);
                 }
                 Submission::Answered(_) => {}
             }
@@ -194,7 +194,7 @@
     fn receive(
         &self,
         state: &State,
-        a: usize,
+        s: usize,
         p: usize,
         answer_lost: bool,
         attempts: u8,
@@ -202,25 +202,25 @@
     ) {
         let mut next = state.clone();
         let attempts = attempts + 1;
-        next.submissions[a] = Submission::Waiting {
+        next.submissions[s] = Submission::Waiting {
             placer: p,
             answer_lost,
             attempts,
         };
         let placer = &mut next.placers[p];
-        placer.submissions |= 1 << a;
+        placer.submissions |= 1 << s;
         let again = placer.progress != Progress::NotReceived && !self.guards.deduplicate;
         if placer.progress == Progress::NotReceived || again {
             placer.progress = Progress::Received;
         }
-        successors.push(|| format!("submission {a} reaches p{p}"), next);
+        successors.push(|| format!("submission {s} reaches p{p}"), next);
     }
 
     /// Answers a submission whose entry has no attempt left.
     fn abandon(
         &self,
         state: &State,
-        a: usize,
+        s: usize,
         answer_lost: bool,
         successors: &mut Successors<State>,
     ) {
@@ -230,9 +230,9 @@
         } else {
             Answer::NotRun
         };
-        next.submissions[a] = Submission::Answered(answer);
+        next.submissions[s] = Submission::Answered(answer);
         successors.push(
-            || format!("the entry answers submission {a}: {answer:?}"),
+            || format!("the entry answers submission {s}: {answer:?}"),
             next,
         );
     }
@@ -353,12 +353,12 @@
         let Some(answer) = answer else {
             return;
         };
-        for a in 0..SUBMISSIONS {
+        for s in 0..SUBMISSIONS {
             let Submission::Waiting {
                 placer,
                 answer_lost,
                 attempts,
-            } = state.submissions[a]
+            } = state.submissions[s]
             else {
                 continue;
             };
@@ -366,8 +366,8 @@
                 continue;
             }
             let mut next = state.clone();
-            next.placers[p].submissions &= !(1 << a);
-            next.submissions[a] = match answer {
+            next.placers[p].submissions &= !(1 << s);
+            next.submissions[s] = match answer {
                 Answer::NotRun if attempts < 2 => Submission::Open {
                     answer_lost,
                     attempts,
@@ -381,7 +381,7 @@
             if answer == Answer::NotRun && next.placers[p].submissions == 0 {
                 next.placers[p].progress = Progress::NotReceived;
             }
-            successors.push(|| format!("p{p} answers submission {a}: {answer:?}"), next);
+            successors.push(|| format!("p{p} answers submission {s}: {answer:?}"), next);
         }
     }
 
--- a/crates/model/src/ownership.rs
+++ b/crates/model/src/ownership.rs
@@ -191,8 +191,8 @@
         let placer = &state.placers[p];
         let epoch = placer.epoch;
         for w in 0..WORKERS {
-            let obeys = state.workers[w].slot.epoch() == u64::from(epoch);
-            if obeys && placer.acks[w].is_some() {
+            let enforces_epoch = state.workers[w].slot.epoch() == u64::from(epoch);
+            if enforces_epoch && placer.acks[w].is_some() {
                 if placer.acks[w] != Some(self.authority) {
                     let mut next = state.clone();
                     next.placers[p].acks[w] = Some(self.authority);
--- a/crates/model/tests/search.rs
+++ b/crates/model/tests/search.rs
@@ -1,4 +1,5 @@
-//! Searches every specification, with all safeguards and without each of them.
+//! Searches every specification, with all safeguards and without each of them. A search that finds no violation
+//! without a safeguard would show that the specification does not test that safeguard.
 
 use model::{SearchResult, Spec, claims, configuration, gang, ownership, search, tasks};
 
--- a/crates/policy/src/choose.rs
+++ b/crates/policy/src/choose.rs
@@ -71,20 +71,21 @@
     let lowest = |score: fn(&Capacity, Size) -> f64| {
         let scored = fitting
             .clone()
-            .map(|(at, capacity)| (at, score(capacity, size)));
-        scored.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
+            .map(|(i, capacity)| (i, score(capacity, size)));
+        scored.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(i, _)| i)
     };
     match rule {
-        Rule::FirstFit => fitting.clone().next().map(|(at, _)| at),
+        Rule::FirstFit => fitting.clone().next().map(|(i, _)| i),
         Rule::BestFit => lowest(leftover),
         Rule::LeastLoaded => lowest(|capacity, size| -leftover(capacity, size)),
         Rule::Spread => {
+            // No leftover score reaches 8, so the number of siblings decides first.
             lowest(|capacity, size| f64::from(capacity.siblings) * 8.0 - leftover(capacity, size))
         }
         Rule::Random { seed } => {
             let n = fitting.clone().count() as u64;
             let nth = seed.checked_rem(n)? as usize;
-            fitting.clone().nth(nth).map(|(at, _)| at)
+            fitting.clone().nth(nth).map(|(i, _)| i)
         }
     }
 }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -4,9 +4,9 @@
 
 /// A concurrency limit that adapts to measured latency.
 ///
-/// While latency stays close to the lowest seen, the limit grows by one per round of answers; when latency
-/// is much higher, work is queueing downstream and the limit shrinks. Requests over the limit are rejected at once,
-/// instead of waiting in a queue that they can't leave before their deadline.
+/// While latency stays close to the lowest seen and at least half of the limit is in use, the limit grows by one
+/// per round of answers. When latency is much higher, work is queueing downstream and the limit shrinks. Requests
+/// over the limit are rejected at once, instead of waiting in a queue that they can't leave before their deadline.
 ///
 /// ```
 /// use policy::ConcurrencyLimit;
@@ -23,7 +23,9 @@
     limit: f64,
     max: f64,
     in_flight: u32,
+    /// Lowest recent latency, in seconds.
     min_latency: f64,
+    /// Moving average of latency, in seconds.
     mean_latency: f64,
     answers: u32,
 }
@@ -32,11 +34,11 @@
 const QUEUEING_FACTOR: f64 = 3.0;
 /// A smaller difference between the mean and the lowest latency never counts as queueing, in seconds.
 const LATENCY_TOLERANCE_S: f64 = 0.020;
-/// Share of the limit that is kept when it shrinks.
+/// Approximate share of the limit that is kept after a whole round of slow answers.
 const SHRINK_FACTOR: f64 = 0.9;
 /// Weight of one answer in the moving average of latency.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Growth of the lowest latency with each answer, so that it follows lasting changes.
+/// Factor by which the lowest latency grows with each answer, so that it follows lasting changes.
 const MIN_LATENCY_GROWTH: f64 = 1.000_2;
 /// The limit never shrinks below this, unless the configured maximum is lower.
 const MIN_LIMIT: f64 = 4.0;
--- a/crates/policy/src/detect.rs
+++ b/crates/policy/src/detect.rs
@@ -1,6 +1,6 @@
 //! When a worker that fails its tasks counts as faulty.
 //!
-//! A worker that fails every task at once is always free, and so attracts work. [`Cusum`] is the
+//! A worker on which every task fails immediately is always free, and so attracts work. [`Cusum`] is the
 //! detector in use; [`Consecutive`] is the baseline that it is compared with on the same
 //! traces: see "Bad workers" in `docs/DESIGN.md`.
 
--- a/crates/policy/src/evict.rs
+++ b/crates/policy/src/evict.rs
@@ -41,12 +41,12 @@
     });
     let mut chosen = Vec::new();
     let mut available = free;
-    for at in order {
+    for i in order {
         if size.fits(available) {
             break;
         }
-        available = available.plus(victims[at].size);
-        chosen.push(at);
+        available = available.plus(victims[i].size);
+        chosen.push(i);
     }
     if !size.fits(available) {
         return None;
@@ -57,7 +57,7 @@
 
 /// Removes the tasks from `chosen` without which `size` still fits.
 fn drop_unnecessary(mut available: Size, size: Size, victims: &[Victim], chosen: &mut Vec<usize>) {
-    chosen.retain(|&at| match available.minus(victims[at].size) {
+    chosen.retain(|&i| match available.minus(victims[i].size) {
         Some(rest) if size.fits(rest) => {
             available = rest;
             false
--- a/crates/policy/src/index.rs
+++ b/crates/policy/src/index.rs
@@ -43,8 +43,8 @@
 
     /// Capacity of a place.
     #[must_use]
-    pub fn capacity(&self, at: usize) -> Option<&Capacity> {
-        self.places.get(at)
+    pub fn capacity(&self, place: usize) -> Option<&Capacity> {
+        self.places.get(place)
     }
 
     /// Number of places.
@@ -60,35 +60,36 @@
     }
 
     /// Sets the free capacity of a place and resets its number of siblings.
-    pub fn set(&mut self, at: usize, free: Size) {
-        let Some(capacity) = self.places.get_mut(at) else {
+    pub fn set(&mut self, place: usize, free: Size) {
+        let Some(capacity) = self.places.get_mut(place) else {
             return;
         };
         self.by_free_millicores
-            .remove(&(capacity.free.millicores, at));
+            .remove(&(capacity.free.millicores, place));
         capacity.free = free;
         capacity.siblings = 0;
-        self.by_free_millicores.insert((free.millicores, at));
+        self.by_free_millicores.insert((free.millicores, place));
     }
 
     /// Reserves capacity at a place, until its owner reports the actual free capacity through [`Index::set`].
-    pub fn reserve(&mut self, at: usize, size: Size) {
-        let Some(capacity) = self.places.get_mut(at) else {
+    pub fn reserve(&mut self, place: usize, size: Size) {
+        let Some(capacity) = self.places.get_mut(place) else {
             return;
         };
         self.by_free_millicores
-            .remove(&(capacity.free.millicores, at));
+            .remove(&(capacity.free.millicores, place));
         capacity.free = capacity.free.saturating_minus(size);
         capacity.siblings += 1;
         self.by_free_millicores
-            .insert((capacity.free.millicores, at));
+            .insert((capacity.free.millicores, place));
     }
 
     /// Chooses the place for a task of this size, among those at the end of the order that the rule prefers.
     #[must_use]
     pub fn place(&self, rule: Rule, size: Size) -> Option<usize> {
         let from = (size.millicores, 0);
-        let fitting = |&(_, at): &(u64, usize)| size.fits(self.places[at].free).then_some(at);
+        let fitting =
+            |&(_, place): &(u64, usize)| size.fits(self.places[place].free).then_some(place);
         let candidates: Vec<usize> = match rule {
             Rule::LeastLoaded | Rule::Spread => self
                 .by_free_millicores
@@ -104,7 +105,8 @@
                 .take(MAX_CANDIDATES)
                 .collect(),
         };
-        let capacities: Vec<Capacity> = candidates.iter().map(|&at| self.places[at]).collect();
+        let capacities: Vec<Capacity> =
+            candidates.iter().map(|&place| self.places[place]).collect();
         choose::place(rule, &capacities, size).map(|nth| candidates[nth])
     }
 }
