--- a/crates/bench/src/bin/lentilyoke-trial.rs
+++ b/crates/bench/src/bin/lentilyoke-trial.rs
@@ -45,15 +45,19 @@
     let mut task = |_| {
         let cores = [500, 1_000, 1_500, 2_000, 4_000, 6_000, 8_000];
         let weights = [10, 25, 25, 20, 12, 5, 3];
-        let mut percentile = random.random_range(0..100);
-        let mut at = 0;
-        while percentile >= weights[at] {
-            percentile -= weights[at];
-            at += 1;
+        let mut draw = random.random_range(0..100);
+        let mut size_class = 0;
+        while draw >= weights[size_class] {
+            draw -= weights[size_class];
+            size_class += 1;
         }
         let memory_per_core = [1_024, 2_048, 4_096, 6_144, 8_192][random.random_range(0..5)];
         let accelerators = u64::from(random.random_range(0..100) < 8);
-        Size::new(cores[at], cores[at] * memory_per_core / 1_000, accelerators)
+        Size::new(
+            cores[size_class],
+            cores[size_class] * memory_per_core / 1_000,
+            accelerators,
+        )
     };
     let mut tasks: Vec<Size> = (0..n).map(&mut task).collect();
     tasks.shuffle(random);
@@ -111,14 +115,15 @@
     (0..HOST_COUNT).for_each(|_| index.push(empty()));
     let mut used = Size::ZERO;
     for (nth, task) in tasks.iter().enumerate() {
-        if let Some(at) = index.place(rule(name, nth), *task) {
-            index.reserve(at, *task);
+        if let Some(place) = index.place(rule(name, nth), *task) {
+            index.reserve(place, *task);
             used = used.plus(*task);
         }
     }
     used.share(HOST_SIZE.times(HOST_COUNT as u64))
 }
 
+/// Returns the rule of this name; the random one is seeded with a hash of the task's number `nth`.
 fn rule(name: &str, nth: usize) -> Rule {
     match name {
         "best-fit" => Rule::BestFit,
@@ -145,7 +150,7 @@
     let mut used = Size::ZERO;
     for (nth, task) in tasks.iter().enumerate() {
         match index.place(rule(name, nth), *task) {
-            Some(at) => index.reserve(at, *task),
+            Some(place) => index.reserve(place, *task),
             None => break,
         }
         used = used.plus(*task);
@@ -158,11 +163,11 @@
 fn hosts_over_bound(name: &str, tasks: &[Size]) -> f64 {
     let mut index = Index::default();
     for (nth, task) in tasks.iter().enumerate() {
-        let at = index.place(rule(name, nth), *task).unwrap_or_else(|| {
+        let place = index.place(rule(name, nth), *task).unwrap_or_else(|| {
             index.push(empty());
             index.len() - 1
         });
-        index.reserve(at, *task);
+        index.reserve(place, *task);
     }
     let total: Size = tasks.iter().copied().sum();
     index.len() as f64 / total.share(HOST_SIZE).ceil()
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -18,7 +18,7 @@
 /// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Addresses of the entries, `ip:port`.
+    /// Addresses of the entries, `ip:port`; each request is sent to one chosen at random.
     pub entries: Vec<String>,
     /// Period in which requests arrive.
     pub duration: Duration,
@@ -199,8 +199,8 @@
     async fn run_job_stream(self, stream: JobStream) {
         let mut open = JoinSet::new();
         for number in 0..stream.count {
-            let at = stream.at_s + stream.every_s * f64::from(number);
-            let due = self.start + Duration::from_secs_f64(at);
+            let due_s = stream.at_s + stream.every_s * f64::from(number);
+            let due = self.start + Duration::from_secs_f64(due_s);
             let (generator, stream) = (self.clone(), stream.clone());
             open.spawn(async move {
                 sleep_until(due).await;
--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -1,8 +1,8 @@
 //! Writes a configuration and waits until it is in force.
 //!
 //! A configuration is written by compare-and-set, so that of two operators who race, one gets a
-//! conflict. It is accepted once every live process has confirmed that it applies it. Until then
-//! the result is "pending", with the names of the processes that have not confirmed.
+//! conflict. It is accepted once every live process has confirmed that it applies the new version.
+//! Until then the result is "pending", with the names of the processes that have not confirmed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -59,13 +59,13 @@
     let mut matching: Vec<(String, Line)> = Vec::new();
     for text in lines.filter(|text| !text.trim().is_empty()) {
         total += 1;
-        let at = text.find('{').unwrap_or(text.len());
-        let Ok(line) = serde_json::from_str::<Line>(&text[at..]) else {
+        let json_start = text.find('{').unwrap_or(text.len());
+        let Ok(line) = serde_json::from_str::<Line>(&text[json_start..]) else {
             unparsed += 1;
             continue;
         };
         if line.attributes.get("job").and_then(Value::as_str) == Some(id) {
-            matching.push((text[..at].trim().to_owned(), line));
+            matching.push((text[..json_start].trim().to_owned(), line));
         }
     }
     if total > 0 && total == unparsed {
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -32,7 +32,7 @@
     client(address)?.status().await.ok()
 }
 
-/// Requests that a placer hands over its racks and stops; `false` if it does not answer.
+/// Requests that a placer hand over its racks and stop; `false` if it does not answer.
 pub async fn drain(address: &str) -> bool {
     match client(address) {
         Some(client) => client.drain().await.unwrap_or(false),
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -8,6 +8,7 @@
     )
 }
 
+/// Guards against a history in the order of the input files instead of the order of events.
 #[test]
 fn lines_of_several_processes_are_sorted_by_time() {
     let lines = [
@@ -66,6 +67,7 @@
     );
 }
 
+/// Guards against an empty report for a wrong id or a file that holds no log lines.
 #[test]
 fn an_unknown_job_and_unreadable_input_are_reported() {
     let lines = [line("01.000", "submit", r#""job":"j1""#)];
@@ -106,6 +108,7 @@
     );
 }
 
+/// Guards against a report that hides how a run was lost.
 #[test]
 fn a_lost_run_is_described_with_its_loss() {
     let lost = line(
--- a/crates/telemetry/src/health.rs
+++ b/crates/telemetry/src/health.rs
@@ -38,7 +38,7 @@
     pub async fn serve(
         &self,
         address: SocketAddr,
-        stop: &Shutdown,
+        shutdown: &Shutdown,
     ) -> Result<SocketAddr, Whatever> {
         let recorder = PrometheusBuilder::new()
             .install_recorder()
@@ -61,12 +61,12 @@
         let address = listener
             .local_addr()
             .whatever_context("metrics: the listener has no local address")?;
-        let shutdown = stop.clone();
-        stop.spawn(async move {
+        let end_signal = shutdown.clone();
+        shutdown.spawn(async move {
             let server = axum::serve(listener, router);
             drop(
                 server
-                    .with_graceful_shutdown(async move { shutdown.ended().await })
+                    .with_graceful_shutdown(async move { end_signal.ended().await })
                     .await,
             );
         });
--- a/crates/telemetry/src/shutdown.rs
+++ b/crates/telemetry/src/shutdown.rs
@@ -29,7 +29,7 @@
 
     /// Starts draining when the process receives SIGTERM or SIGINT.
     pub fn drain_on_signal(&self) {
-        let stop = self.clone();
+        let shutdown = self.clone();
         self.spawn(async move {
             let (Ok(mut term), Ok(mut int)) = (
                 signal(SignalKind::terminate()),
@@ -40,15 +40,15 @@
             tokio::select! {
                 _ = term.recv() => {}
                 _ = int.recv() => {}
-                () = stop.end.cancelled() => {}
+                () = shutdown.end.cancelled() => {}
             }
-            stop.drain.cancel();
+            shutdown.drain.cancel();
         });
     }
 
     /// Calls `reload` whenever the process receives SIGHUP, which would otherwise terminate the process.
     pub fn on_hangup(&self, reload: impl Fn() + Send + 'static) {
-        let stop = self.clone();
+        let shutdown = self.clone();
         self.spawn(async move {
             let Ok(mut hangup) = signal(SignalKind::hangup()) else {
                 return;
@@ -56,7 +56,7 @@
             loop {
                 tokio::select! {
                     Some(()) = hangup.recv() => reload(),
-                    () = stop.end.cancelled() => return,
+                    () = shutdown.end.cancelled() => return,
                 }
             }
         });
--- a/crates/telemetry/src/uptime.rs
+++ b/crates/telemetry/src/uptime.rs
@@ -25,9 +25,9 @@
         self.start.elapsed()
     }
 
-    /// The instant at which [`Uptime::elapsed`] returns `at`.
+    /// The instant at which [`Uptime::elapsed`] returns `elapsed`.
     #[must_use]
-    pub fn instant_at(&self, at: Duration) -> Instant {
-        self.start + at
+    pub fn instant_at(&self, elapsed: Duration) -> Instant {
+        self.start + elapsed
     }
 }
--- a/crates/wire/src/kind.rs
+++ b/crates/wire/src/kind.rs
@@ -51,7 +51,7 @@
     NotAllowed,
     /// The id was used before for a different request or job.
     Conflict,
-    /// The system is overloaded; the request was rejected before it started.
+    /// Too many requests are in flight or queued; this one was rejected before it started.
     Busy,
     /// The deadline passed before the request started.
     Deadline,
--- a/crates/wire/src/place.rs
+++ b/crates/wire/src/place.rs
@@ -5,9 +5,9 @@
 
 use crate::{Event, Task, TaskId};
 
-/// Identifies the sender of a message, an owner of a job's home rack. A receiver rejects a message whose epoch and
-/// serial are not greater than the last ones received for the same home rack, so that an earlier owner has no
-/// effect any more.
+/// Identifies the sender of a message, an owner of a job's home rack. The owner of a rack rejects a message whose
+/// `(epoch, serial)` is not greater than that of the last message received for the same home rack, so that
+/// messages of an earlier owner have no effect.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FencingToken {
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -58,7 +58,7 @@
     #[method(name = "undo")]
     async fn undo(&self, rack: id::Rack, from: FencingToken, gang: Gang) -> RpcResult<bool>;
 
-    /// Stops tasks of a job.
+    /// Stops the tasks of a job that are placed on a rack.
     #[method(name = "stop")]
     async fn stop(
         &self,
--- a/crates/wire/src/task.rs
+++ b/crates/wire/src/task.rs
@@ -5,7 +5,8 @@
 
 use crate::Shape;
 
-/// Priority band of a task: a task of a higher band may preempt tasks of a lower one.
+/// Priority band of a task. An urgent task may preempt batch tasks of all lower bands, another task within its
+/// quota only borrowed ones.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Band {
--- a/operator/lentilyoke.py
+++ b/operator/lentilyoke.py
@@ -161,12 +161,12 @@
     def to_dict(self) -> dict[str, Any]:
         """Returns the configuration as plain values.
 
-        Raises ConfigError if a name is defined more than once.
+        Raises ConfigError if a name is defined twice.
         """
         for label, names in self._names():
             duplicates = {name for name in names if names.count(name) > 1}
             if duplicates:
-                raise ConfigError(f"{label}: {min(duplicates)!r} is defined more than once")
+                raise ConfigError(f"{label}: {min(duplicates)!r} is defined twice")
         return {
             "name": self.name,
             "regions": [asdict(region) for region in self._regions],
