--- a/crates/placer/src/lib.rs
+++ b/crates/placer/src/lib.rs
@@ -7,16 +7,16 @@
 //! * [`Session`]: its row in the platform's table.
 
 mod claims;
-mod memory;
 mod node;
 mod options;
 mod peers;
+mod request_cache;
 mod rpc;
 mod server;
 mod session;
 mod settings;
 mod shard;
-mod view;
+mod table_view;
 
 pub use claims::Claims;
 pub use node::Node;
--- a/crates/placer/src/node.rs
+++ b/crates/placer/src/node.rs
@@ -1,8 +1,8 @@
 //! One placer: what it knows, and the loops that keep it going.
 
-mod beat;
-mod reach;
-mod spread;
+mod digest_exchange;
+mod rack_calls;
+mod table_sync;
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,7 +19,7 @@
 use wire::{Ask, Digest, Inventory, Owner, Routes, Seniority, Status};
 
 use crate::claims::{self, Ends};
-use crate::view::View;
+use crate::table_view::View;
 use crate::{Claims, Options, Peers, Shard};
 
 /// A configuration that is applied.
@@ -104,8 +104,8 @@
         if let Some(ends) = ends {
             self.stop.spawn(claims::pass_on(Arc::clone(self), ends));
         }
-        self.stop.spawn(beat::run(Arc::clone(self)));
-        self.stop.spawn(spread::run(Arc::clone(self)));
+        self.stop.spawn(table_sync::run(Arc::clone(self)));
+        self.stop.spawn(digest_exchange::run(Arc::clone(self)));
     }
 
     /// Stops in good order: takes nothing new, finishes what is in hand, hands over all racks.
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -2,9 +2,9 @@
 //! Each rack has its own lock.
 
 mod adopt;
+mod heartbeat;
 mod jobs;
-mod own;
-mod pulse;
+mod ownership;
 mod run;
 
 use std::collections::{BTreeMap, HashMap};
@@ -21,8 +21,8 @@
 use wire::{Digest, Inventory, RackStatus, Seniority};
 
 use crate::Node;
-use crate::memory::Memory;
 use crate::node::lock;
+use crate::request_cache::Memory;
 
 /// One rack, owned or watched.
 pub struct Shard {
@@ -104,9 +104,9 @@
             self.configure(&applied.cell);
         }
         node.stop
-            .spawn(own::run(Arc::clone(node), Arc::clone(self)));
+            .spawn(ownership::run(Arc::clone(node), Arc::clone(self)));
         node.stop
-            .spawn(pulse::run(Arc::clone(node), Arc::clone(self)));
+            .spawn(heartbeat::run(Arc::clone(node), Arc::clone(self)));
         node.stop
             .spawn(jobs::run(Arc::clone(node), Arc::clone(self)));
     }
--- a/crates/placer/src/shard/jobs.rs
+++ b/crates/placer/src/shard/jobs.rs
@@ -1,10 +1,10 @@
 //! Places tasks on the rack, and looks after the jobs that are at home in it.
 
+mod events;
 mod gang;
-mod intake;
-mod news;
-mod orders;
-mod save;
+mod persistence;
+mod placement;
+mod submission;
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -13,7 +13,7 @@
 
 use super::Shard;
 use crate::Node;
-use crate::memory::Entry;
+use crate::request_cache::Entry;
 
 /// Time for a message to a worker and back, beside the run.
 const TRAVEL: Duration = Duration::from_millis(200);
--- a/crates/placer/tests/world/mod.rs
+++ b/crates/placer/tests/cluster/mod.rs
@@ -9,7 +9,7 @@
     reason = "each test file uses a part of it"
 )]
 
-mod faulty;
+mod fault_injection;
 mod net;
 
 use std::collections::BTreeMap;
@@ -25,8 +25,8 @@
 use wire::rpc::PlacerServer as _;
 use wire::{Answer, Job, Request, Shape, State};
 
-pub use faulty::Faults;
-use faulty::Faulty;
+pub use fault_injection::Faults;
+use fault_injection::Faulty;
 pub use net::Net;
 
 /// A team, a service and a key's usual names.
--- a/crates/placer/tests/configuration.rs
+++ b/crates/placer/tests/configuration.rs
@@ -2,14 +2,14 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
-mod world;
+mod cluster;
 
 use std::sync::Arc;
 
+use cluster::{World, cell_of, secs, until};
 use placer::Options;
 use standin::Faults;
 use wire::Ask;
-use world::{World, cell_of, secs, until};
 
 fn ask(applied: u64) -> Ask {
     Ask {
--- a/crates/placer/tests/jobs.rs
+++ b/crates/placer/tests/jobs.rs
@@ -2,12 +2,12 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
-mod world;
+mod cluster;
 
+use cluster::{World, job, ms, secs, until};
 use resource::Size;
 use standin::{Faults, Mischief};
 use wire::{Kind, Phase, Shape};
-use world::{World, job, ms, secs, until};
 
 async fn placers(racks: usize, workers: u32, n: usize) -> World {
     let mut world = World::new(racks, workers).await;
@@ -184,7 +184,7 @@
     let home = world.team_home();
     let desk = world.desk();
     let cancelled =
-        wire::rpc::PlacerServer::cancel(&desk, home, world::TEAM.to_owned(), "report".to_owned());
+        wire::rpc::PlacerServer::cancel(&desk, home, cluster::TEAM.to_owned(), "report".to_owned());
     let state = cancelled.await.unwrap().unwrap();
     assert_eq!(state.phase, Phase::Cancelled);
     let started = world.journal().starts.len();
@@ -330,7 +330,7 @@
 #[tokio::test(start_paused = true)]
 async fn borrowed_room_is_given_back() {
     let mut world = World::new(1, 4).await;
-    let mut raw = world::cell_of(1, 4);
+    let mut raw = cluster::cell_of(1, 4);
     let mut other = raw.teams[0].clone();
     other.name = "planners".to_owned();
     raw.teams[0].quota.cores = 16.0;
--- a/crates/placer/tests/outages.rs
+++ b/crates/placer/tests/outages.rs
@@ -2,10 +2,10 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
-mod world;
+mod cluster;
 
+use cluster::{World, request, secs, until};
 use wire::Class;
-use world::{World, request, secs, until};
 
 /// Callers see: the outage of the table does not touch what needs no claim. The table is down for
 /// two minutes; p1 goes on by the proof of its workers and nobody takes its racks, neither during
@@ -74,7 +74,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_region_that_is_cut_off_keeps_its_racks() {
     let mut world = World::new(1, 3).await;
-    let mut raw = world::cell_of(1, 3);
+    let mut raw = cluster::cell_of(1, 3);
     raw.regions.push(config::raw::Region {
         name: "south".to_owned(),
         data_centres: vec![config::raw::DataCentre {
@@ -131,7 +131,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_loss_of_a_data_centre_is_not_the_loss_of_the_region() {
     let mut world = World::new(1, 3).await;
-    let mut raw = world::cell_of(1, 3);
+    let mut raw = cluster::cell_of(1, 3);
     raw.regions[0].data_centres.push(config::raw::DataCentre {
         name: "north-2".to_owned(),
         racks: vec!["z1".to_owned()],
@@ -152,7 +152,7 @@
     };
     let (near, lost) = (key("r1").unwrap(), key("z1").unwrap());
     world
-        .submit(world::job("watch", wire::Shape::Service, 6, 2, 0))
+        .submit(cluster::job("watch", wire::Shape::Service, 6, 2, 0))
         .await
         .unwrap();
     world.await_job("watch", secs(10), |s| s.running == 6).await;
--- a/crates/placer/tests/ownership.rs
+++ b/crates/placer/tests/ownership.rs
@@ -2,10 +2,10 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
-mod world;
+mod cluster;
 
+use cluster::{World, ms, request, secs, until};
 use wire::{Class, Kind};
-use world::{World, ms, request, secs, until};
 
 /// Callers see: answers from the first owner, nothing for a few seconds, answers from the second.
 /// p1 is killed; its session stops changing; p2 takes its racks, fences all their workers and acts
@@ -275,7 +275,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_new_owner_keeps_clear_of_keys_that_workers_still_run() {
     let mut world = World::new(1, 3).await;
-    let mut raw = world::cell_of(1, 3);
+    let mut raw = cluster::cell_of(1, 3);
     raw.services[0].run_ms = 3_000;
     world.configure(&raw).await;
     let first = world.start("p1");
--- a/crates/placer/tests/requests.rs
+++ b/crates/placer/tests/requests.rs
@@ -2,11 +2,11 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
-mod world;
+mod cluster;
 
+use cluster::{World, ms, request, secs, until};
 use standin::{Faults, Mischief};
 use wire::{Answer, Class, Kind};
-use world::{World, ms, request, secs, until};
 
 async fn one_placer() -> World {
     let mut world = World::new(1, 3).await;
--- a/crates/placer/tests/schedules.rs
+++ b/crates/placer/tests/schedules.rs
@@ -5,17 +5,17 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
-mod world;
+mod cluster;
 
 use std::sync::Arc;
 
+use cluster::{World, job, ms, request, secs};
 use placer::Server;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use standin::{Faults, Mischief};
 use wire::rpc::PlacerServer as _;
 use wire::{Answer, Class, Shape};
-use world::{World, job, ms, request, secs};
 
 const KEYS: u32 = 3;
 const IDS: u32 = 8;
@@ -126,7 +126,7 @@
         self.world.placers.keys().nth(at).unwrap().clone()
     }
 
-    fn faults(&self, at: usize) -> Arc<world::Faults> {
+    fn faults(&self, at: usize) -> Arc<cluster::Faults> {
         Arc::clone(&self.world.placers.values().nth(at).unwrap().faults)
     }
 
