--- a/crates/cli/tests/apply.rs
+++ b/crates/cli/tests/apply.rs
@@ -26,7 +26,7 @@
     let session = Session {
         applied,
         entries,
-        beat,
+        heartbeat: beat,
         ..Session::default()
     };
     let value = serde_json::to_string(&session).unwrap();
--- a/crates/entry/tests/cell/mod.rs
+++ b/crates/entry/tests/cell/mod.rs
@@ -67,7 +67,8 @@
         let placer = Shutdown::default();
         let listener = Listener::builder().build("127.0.0.1:0").await.unwrap();
         let placer_address = listener.local_addr().unwrap();
-        let options = Options::new("p1", &placer_address.to_string()).place("north", "north-1");
+        let options =
+            Options::new("p1", &placer_address.to_string()).with_location("north", "north-1");
         let (store, workers) = (Arc::clone(&platform), Arc::new(racks.clone()));
         let node = Node::new(
             options,
--- a/crates/placer/src/bin/lentilyoke-placer.rs
+++ b/crates/placer/src/bin/lentilyoke-placer.rs
@@ -10,16 +10,16 @@
 use wire::rpc::PlacerServer as _;
 
 /// Connections from entries, other placers and operators, at most.
-const CONNECTIONS: u32 = 4_096;
+const MAX_CONNECTIONS: u32 = 4_096;
 
 #[tokio::main]
 async fn main() -> Result<(), Whatever> {
     let settings = Settings::parse();
     logs::init(&settings.telemetry.log)?;
-    let stop = Shutdown::default();
-    stop.drain_on_signal();
+    let shutdown = Shutdown::default();
+    shutdown.drain_on_signal();
     let config = ServerConfig::builder()
-        .max_connections(CONNECTIONS)
+        .max_connections(MAX_CONNECTIONS)
         .set_tcp_no_delay(true)
         .build();
     let listener = Listener::builder()
@@ -30,8 +30,8 @@
     let address = listener
         .local_addr()
         .whatever_context("listen: no address")?;
-    let life = format!("{:x}", std::process::id() ^ clock());
-    let options = settings.options(&life, address);
+    let incarnation = format!("{:x}", std::process::id() ^ folded_time());
+    let options = settings.options(&incarnation, address);
     let name = options.name.clone();
     let platform = Arc::new(platform::Client::new(&settings.platform.to_string()));
     let workers = Arc::new(worker::Client::default());
@@ -42,17 +42,20 @@
         platform,
         workers,
         peers,
-        stop.clone(),
+        shutdown.clone(),
     );
-    let metrics = node.health.serve(settings.telemetry.metrics, &stop).await?;
+    let metrics = node
+        .health
+        .serve(settings.telemetry.metrics, &shutdown)
+        .await?;
     let server = listener.start(Server::new(Arc::clone(&node)).into_rpc());
     node.spawn();
     println!("placer {address} metrics {metrics}");
     log::info!(placer = name.as_str(); "started");
-    stop.draining().await;
+    shutdown.draining().await;
     log::info!(placer = name.as_str(); "stopping");
     node.drain().await;
-    stop.join().await;
+    shutdown.join().await;
     _ = server.stop();
     server.stopped().await;
     log::info!(placer = name.as_str(); "stopped");
@@ -60,7 +63,7 @@
 }
 
 /// Tells this life of the process from all others: the time in seconds, folded.
-fn clock() -> u32 {
+fn folded_time() -> u32 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |d| (d.as_millis() as u64 & u64::from(u32::MAX)) as u32)
 }
--- a/crates/placer/src/claims.rs
+++ b/crates/placer/src/claims.rs
@@ -17,35 +17,35 @@
 pub(crate) use writer::Writer;
 
 /// Claims that wait to be written, at most.
-const QUEUE: usize = 8_192;
+const QUEUE_CAPACITY: usize = 8_192;
 /// Claims in one transaction, at most.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 /// Longest wait for a verdict. The table may be down; the caller is told so at once instead.
-const LIMIT: Duration = Duration::from_millis(1_500);
+const VERDICT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-type Waiting = (Claim, oneshot::Sender<Verdict>);
+type PendingClaim = (Claim, oneshot::Sender<Verdict>);
 
 /// Hands claims to the writer of the data centre.
 #[derive(Debug)]
 pub struct Claims {
-    outbox: mpsc::Sender<Waiting>,
-    inbox: mpsc::Sender<Waiting>,
+    outbox: mpsc::Sender<PendingClaim>,
+    inbox: mpsc::Sender<PendingClaim>,
 }
 
 /// The receiving ends of a placer's [`Claims`].
 #[derive(Debug)]
-pub(crate) struct Ends {
-    outbox: mpsc::Receiver<Waiting>,
-    inbox: mpsc::Receiver<Waiting>,
+pub(crate) struct ClaimQueues {
+    outbox: mpsc::Receiver<PendingClaim>,
+    inbox: mpsc::Receiver<PendingClaim>,
 }
 
 impl Claims {
-    pub(crate) fn new() -> (Self, Ends) {
-        let (outbox, from_here) = mpsc::channel(QUEUE);
-        let (inbox, from_all) = mpsc::channel(QUEUE);
+    pub(crate) fn new() -> (Self, ClaimQueues) {
+        let (outbox, from_here) = mpsc::channel(QUEUE_CAPACITY);
+        let (inbox, from_all) = mpsc::channel(QUEUE_CAPACITY);
         (
             Self { outbox, inbox },
-            Ends {
+            ClaimQueues {
                 outbox: from_here,
                 inbox: from_all,
             },
@@ -53,48 +53,50 @@
     }
 
     /// Claims a request of a rack of this placer.
-    pub(crate) async fn hold(&self, claim: Claim) -> Verdict {
-        ask(&self.outbox, claim).await
+    pub(crate) async fn claim(&self, claim: Claim) -> Verdict {
+        request_verdict(&self.outbox, claim).await
     }
 
     /// Writes claims that this or another placer passes on.
     pub(crate) async fn write(&self, claims: Vec<Claim>) -> Vec<Verdict> {
-        let asked = claims.into_iter().map(|claim| ask(&self.inbox, claim));
+        let asked = claims
+            .into_iter()
+            .map(|claim| request_verdict(&self.inbox, claim));
         futures::future::join_all(asked).await
     }
 }
 
-async fn ask(queue: &mpsc::Sender<Waiting>, claim: Claim) -> Verdict {
+async fn request_verdict(queue: &mpsc::Sender<PendingClaim>, claim: Claim) -> Verdict {
     let (verdict, answer) = oneshot::channel();
     if queue.try_send((claim, verdict)).is_err() {
         return Verdict::Unknown;
     }
-    match tokio::time::timeout(LIMIT, answer).await {
+    match tokio::time::timeout(VERDICT_TIMEOUT, answer).await {
         Ok(Ok(verdict)) => verdict,
         _ => Verdict::Unknown,
     }
 }
 
 /// Passes on this placer's claims until it ends.
-pub(crate) async fn pass_on(node: Arc<Node>, mut ends: Ends) {
-    let writer = Writer::new(Arc::clone(&node), ends.inbox);
-    node.stop.spawn(writer.run());
+pub(crate) async fn forward(node: Arc<Node>, mut queues: ClaimQueues) {
+    let writer = Writer::new(Arc::clone(&node), queues.inbox);
+    node.shutdown.spawn(writer.run());
     loop {
         let mut batch = Vec::new();
         tokio::select! {
-            n = ends.outbox.recv_many(&mut batch, BATCH) => if n == 0 { return },
-            () = node.stop.ended() => return,
+            n = queues.outbox.recv_many(&mut batch, MAX_BATCH) => if n == 0 { return },
+            () = node.shutdown.ended() => return,
         }
         let node = Arc::clone(&node);
-        node.stop
+        node.shutdown
             .clone()
-            .spawn(async move { deliver(&node, batch).await });
+            .spawn(async move { send_batch(&node, batch).await });
     }
 }
 
-async fn deliver(node: &Node, batch: Vec<Waiting>) {
+async fn send_batch(node: &Node, batch: Vec<PendingClaim>) {
     let (claims, answers): (Vec<Claim>, Vec<_>) = batch.into_iter().unzip();
-    let verdicts = match node.claimant() {
+    let verdicts = match node.claim_writer() {
         Some(address) => match node.peers.claim(&address, claims.clone()).await {
             Ok(verdicts) if verdicts.len() == claims.len() => verdicts,
             // The same claims can be written again by anyone: they name the epoch.
--- a/crates/placer/src/claims/writer.rs
+++ b/crates/placer/src/claims/writer.rs
@@ -8,29 +8,29 @@
 use tokio::sync::{mpsc, oneshot};
 use wire::{Claim, Verdict};
 
-use super::{BATCH, Waiting};
+use super::{MAX_BATCH, PendingClaim};
 use crate::Node;
 
 /// Tries to write one batch; each shows which claims can't be held.
-const TRIES: usize = 4;
+const MAX_WRITE_ATTEMPTS: usize = 4;
 /// Old claims that are deleted together with new ones, at most.
-const SWEEP: usize = BATCH;
+const MAX_DELETIONS: usize = MAX_BATCH;
 
 /// Gathers claims for a moment and writes them together.
 pub(crate) struct Writer {
     node: Arc<Node>,
-    inbox: mpsc::Receiver<Waiting>,
+    inbox: mpsc::Receiver<PendingClaim>,
     /// Rows that were written, and when; they are deleted once they need not be remembered.
     written: VecDeque<(Now, String)>,
 }
 
 /// Claims on their way into the table.
 struct Batch {
-    open: Vec<(Claim, Option<oneshot::Sender<Verdict>>)>,
+    pending: Vec<(Claim, Option<oneshot::Sender<Verdict>>)>,
 }
 
 impl Writer {
-    pub(crate) const fn new(node: Arc<Node>, inbox: mpsc::Receiver<Waiting>) -> Self {
+    pub(crate) const fn new(node: Arc<Node>, inbox: mpsc::Receiver<PendingClaim>) -> Self {
         Self {
             node,
             inbox,
@@ -42,36 +42,36 @@
         loop {
             let mut batch = Vec::new();
             tokio::select! {
-                n = self.inbox.recv_many(&mut batch, BATCH) => if n == 0 { return },
-                () = self.node.stop.ended() => return,
+                n = self.inbox.recv_many(&mut batch, MAX_BATCH) => if n == 0 { return },
+                () = self.node.shutdown.ended() => return,
             }
-            tokio::time::sleep(self.node.options.gather).await;
-            while batch.len() < BATCH
+            tokio::time::sleep(self.node.options.claim_batch_delay).await;
+            while batch.len() < MAX_BATCH
                 && let Ok(more) = self.inbox.try_recv()
             {
                 batch.push(more);
             }
-            let open = batch
+            let pending = batch
                 .into_iter()
                 .map(|(claim, answer)| (claim, Some(answer)))
                 .collect();
-            self.write(Batch { open }).await;
+            self.write(Batch { pending }).await;
         }
     }
 
     async fn write(&mut self, mut batch: Batch) {
-        for _ in 0..TRIES {
-            if batch.open.is_empty() {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
+            if batch.pending.is_empty() {
                 return;
             }
-            let transaction = self.sweep(batch.transaction());
+            let transaction = self.delete_expired(batch.transaction());
             match self.node.table.commit(transaction).await {
                 Ok(_) => {
-                    self.remember(&batch);
+                    self.record_written(&batch);
                     batch.answer_all(Verdict::Held);
                     return;
                 }
-                Err(Error::Conflict { rows }) => batch.settle(&rows),
+                Err(Error::Conflict { rows }) => batch.resolve_conflicts(&rows),
                 // It may have been written. Writing it again shows: a row that names the same
                 // epoch is this very claim.
                 Err(Error::Lost { .. }) => {}
@@ -81,19 +81,19 @@
         batch.answer_all(Verdict::Unknown);
     }
 
-    fn remember(&mut self, batch: &Batch) {
-        let now = self.node.since.elapsed();
+    fn record_written(&mut self, batch: &Batch) {
+        let now = self.node.uptime.elapsed();
         self.written
-            .extend(batch.open.iter().map(|(claim, _)| (now, claim.row())));
+            .extend(batch.pending.iter().map(|(claim, _)| (now, claim.row())));
     }
 
     /// Adds the deletion of old claims.
-    fn sweep(&mut self, mut transaction: Transaction) -> Transaction {
-        let now = self.node.since.elapsed();
-        let keep = self.node.options.remember;
-        for _ in 0..SWEEP {
+    fn delete_expired(&mut self, mut transaction: Transaction) -> Transaction {
+        let now = self.node.uptime.elapsed();
+        let retention = self.node.options.request_retention;
+        for _ in 0..MAX_DELETIONS {
             match self.written.front() {
-                Some((at, _)) if now >= *at + keep => {}
+                Some((at, _)) if now >= *at + retention => {}
                 _ => break,
             }
             if let Some((_, row)) = self.written.pop_front() {
@@ -107,7 +107,7 @@
 impl Batch {
     /// Every rack must still have its owner, and no claim may stand there yet.
     fn transaction(&self) -> Transaction {
-        let claims = || self.open.iter().map(|(claim, _)| claim);
+        let claims = || self.pending.iter().map(|(claim, _)| claim);
         let racks: BTreeMap<&str, u64> = claims()
             .map(|c| (c.rack.as_str(), c.rack_version))
             .collect();
@@ -123,13 +123,13 @@
     }
 
     /// Answers the claims that can't be held, going by the rows that were not as expected.
-    fn settle(&mut self, rows: &[Row]) {
+    fn resolve_conflicts(&mut self, rows: &[Row]) {
         let rows: BTreeMap<&str, &Row> = rows.iter().map(|r| (r.key.as_str(), r)).collect();
-        self.open.retain_mut(|(claim, answer)| {
+        self.pending.retain_mut(|(claim, answer)| {
             let verdict = verdict(claim, &rows);
             match (verdict, answer.take()) {
                 (Some(verdict), Some(answer)) => _ = answer.send(verdict),
-                (None, open) => *answer = open,
+                (None, pending) => *answer = pending,
                 (Some(_), None) => {}
             }
             verdict.is_none()
@@ -137,7 +137,7 @@
     }
 
     fn answer_all(self, verdict: Verdict) {
-        for (_, answer) in self.open {
+        for (_, answer) in self.pending {
             if let Some(answer) = answer {
                 _ = answer.send(verdict);
             }
--- a/crates/placer/src/lib.rs
+++ b/crates/placer/src/lib.rs
@@ -21,7 +21,7 @@
 pub use claims::Claims;
 pub use node::Node;
 pub use options::Options;
-pub use peers::{Peers, Unreached};
+pub use peers::{PeerError, Peers};
 pub use rpc::Rpc;
 pub use server::Server;
 pub use session::Session;
--- a/crates/placer/src/node.rs
+++ b/crates/placer/src/node.rs
@@ -18,22 +18,22 @@
 use tokio::sync::Notify;
 use wire::{Ask, Digest, Inventory, Owner, Routes, Seniority, Status};
 
-use crate::claims::{self, Ends};
-use crate::table_view::View;
+use crate::claims::{self, ClaimQueues};
+use crate::table_view::TableView;
 use crate::{Claims, Options, Peers, Shard};
 
 /// A configuration that is applied.
 #[derive(Debug)]
-pub(crate) struct Applied {
+pub(crate) struct AppliedConfig {
     pub(crate) version: Version,
     pub(crate) cell: Cell,
 }
 
 /// An entry that asks for routes.
 #[derive(Debug)]
-struct Attached {
+struct AttachedEntry {
     applied: Version,
-    seen: Now,
+    last_seen: Now,
 }
 
 /// One placer.
@@ -45,25 +45,25 @@
     pub(crate) workers: Arc<dyn worker::Host>,
     pub(crate) peers: Arc<dyn Peers>,
     /// Time since its start.
-    pub since: Uptime,
+    pub uptime: Uptime,
     /// Its end.
-    pub stop: Shutdown,
+    pub shutdown: Shutdown,
     /// Whether it is ready for work.
     pub health: Health,
     pub(crate) claims: Claims,
     pub(crate) digests: Mutex<Digests>,
-    pub(crate) beat_now: Notify,
-    ends: Mutex<Option<Ends>>,
-    applied: ArcSwapOption<Applied>,
-    view: Mutex<View>,
+    pub(crate) sync_now: Notify,
+    claim_queues: Mutex<Option<ClaimQueues>>,
+    config: ArcSwapOption<AppliedConfig>,
+    view: Mutex<TableView>,
     shards: RwLock<BTreeMap<id::Rack, Arc<Shard>>>,
-    attached: Mutex<BTreeMap<id::Entry, Attached>>,
+    attached: Mutex<BTreeMap<id::Entry, AttachedEntry>>,
     /// Whether the configuration was heard of since the process last was paused.
-    fresh: AtomicBool,
+    config_confirmed: AtomicBool,
 }
 
 /// An entry that has not asked for this long is not there any more.
-const DETACHED: Duration = Duration::from_secs(10);
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Node {
     /// A placer that does nothing yet.
@@ -74,46 +74,47 @@
         hosts: Arc<dyn Hosts>,
         workers: Arc<dyn worker::Host>,
         peers: Arc<dyn Peers>,
-        stop: Shutdown,
+        shutdown: Shutdown,
     ) -> Arc<Self> {
-        let (claims, ends) = Claims::new();
+        let (claims, claim_queues) = Claims::new();
         Arc::new(Self {
             options,
             table,
             hosts,
             workers,
             peers,
-            since: Uptime::start(),
-            stop,
+            uptime: Uptime::start(),
+            shutdown,
             health: Health::default(),
             claims,
             digests: Mutex::default(),
-            beat_now: Notify::new(),
-            ends: Mutex::new(Some(ends)),
-            applied: ArcSwapOption::empty(),
+            sync_now: Notify::new(),
+            claim_queues: Mutex::new(Some(claim_queues)),
+            config: ArcSwapOption::empty(),
             view: Mutex::default(),
             shards: RwLock::default(),
             attached: Mutex::default(),
-            fresh: AtomicBool::new(false),
+            config_confirmed: AtomicBool::new(false),
         })
     }
 
     /// Starts all that the placer does; it ends with the [`Shutdown`] that it was given.
     pub fn spawn(self: &Arc<Self>) {
-        let ends = lock(&self.ends).take();
-        if let Some(ends) = ends {
-            self.stop.spawn(claims::pass_on(Arc::clone(self), ends));
+        let claim_queues = lock(&self.claim_queues).take();
+        if let Some(claim_queues) = claim_queues {
+            self.shutdown
+                .spawn(claims::forward(Arc::clone(self), claim_queues));
         }
-        self.stop.spawn(table_sync::run(Arc::clone(self)));
-        self.stop.spawn(digest_exchange::run(Arc::clone(self)));
+        self.shutdown.spawn(table_sync::run(Arc::clone(self)));
+        self.shutdown.spawn(digest_exchange::run(Arc::clone(self)));
     }
 
     /// Stops in good order: takes nothing new, finishes what is in hand, hands over all racks.
     pub async fn drain(&self) {
-        self.stop.drain();
+        self.shutdown.drain();
         self.health.set_ready(false);
-        self.beat_now.notify_one();
-        let deadline = tokio::time::Instant::now() + self.options.drain;
+        self.sync_now.notify_one();
+        let deadline = tokio::time::Instant::now() + self.options.drain_timeout;
         for shard in self.shards() {
             shard.handle(&Event::Unwanted);
         }
@@ -129,28 +130,29 @@
     /// Time since the start.
     #[must_use]
     pub fn now(&self) -> Now {
-        self.since.elapsed()
+        self.uptime.elapsed()
     }
 
     /// The configuration to act on, with its version.
     ///
     /// `None` after a pause, until it was heard of again: others may have counted this process as
     /// dead meanwhile, and accepted a newer configuration without it.
-    pub(crate) fn applied(&self) -> Option<Arc<Applied>> {
-        self.known().filter(|_| self.fresh.load(Ordering::Acquire))
+    pub(crate) fn active_config(&self) -> Option<Arc<AppliedConfig>> {
+        self.latest_config()
+            .filter(|_| self.config_confirmed.load(Ordering::Acquire))
     }
 
     /// The configuration that was last applied, even if there may be a newer one.
-    pub(crate) fn known(&self) -> Option<Arc<Applied>> {
-        self.applied.load_full()
+    pub(crate) fn latest_config(&self) -> Option<Arc<AppliedConfig>> {
+        self.config.load_full()
     }
 
     /// Says whether the configuration was heard of since the last pause.
-    pub(crate) fn set_fresh(&self, fresh: bool) {
-        self.fresh.store(fresh, Ordering::Release);
+    pub(crate) fn set_config_confirmed(&self, confirmed: bool) {
+        self.config_confirmed.store(confirmed, Ordering::Release);
     }
 
-    pub(crate) fn view(&self) -> MutexGuard<'_, View> {
+    pub(crate) fn view(&self) -> MutexGuard<'_, TableView> {
         lock(&self.view)
     }
 
@@ -177,37 +179,37 @@
     }
 
     /// Address of the placer that writes the claims of this data centre; `None` if it is this one.
-    pub(crate) fn claimant(&self) -> Option<String> {
+    pub(crate) fn claim_writer(&self) -> Option<String> {
         let view = self.view();
-        let (name, address) = view.claimant(self.now(), &self.options)?;
+        let (name, address) = view.claim_writer(self.now(), &self.options)?;
         (*name != self.options.name).then(|| address.to_owned())
     }
 
     /// Addresses of the live placers of this region, without this one.
-    pub(crate) fn neighbours(&self) -> Vec<String> {
-        let mut near = self
-            .view()
-            .addresses(Some(&self.options.region), self.now(), &self.options);
-        near.retain(|address| *address != self.options.address);
-        near
+    pub(crate) fn region_peers(&self) -> Vec<String> {
+        let mut peers =
+            self.view()
+                .addresses(Some(&self.options.region), self.now(), &self.options);
+        peers.retain(|address| *address != self.options.address);
+        peers
     }
 
     /// Addresses of all live placers.
-    pub(crate) fn everyone(&self) -> Vec<String> {
+    pub(crate) fn live_addresses(&self) -> Vec<String> {
         self.view().addresses(None, self.now(), &self.options)
     }
 
     /// What an entry needs to know, apart from what it has; `None` if this placer does not know
     /// whether its own configuration is in force.
     pub fn routes(&self, ask: &Ask) -> Option<Routes> {
-        self.applied()?;
-        let seen = self.now();
-        let attached = Attached {
+        self.active_config()?;
+        let last_seen = self.now();
+        let attached = AttachedEntry {
             applied: ask.applied,
-            seen,
+            last_seen,
         };
         lock(&self.attached).insert(ask.entry.clone(), attached);
-        let config = self.config_than(ask.applied + 1);
+        let config = self.config_at_least(ask.applied + 1);
         let view = self.view();
         // Generations of different placers, or of different lives, can't be compared; an entry
         // that changes to another placer asks with generation 0.
@@ -232,7 +234,7 @@
             ))
         };
         let owners = view.records.iter().filter_map(owner).collect();
-        let placers = view.addresses(None, seen, &self.options);
+        let placers = view.addresses(None, last_seen, &self.options);
         Some(Routes {
             generation,
             owners: Some(owners),
@@ -242,13 +244,13 @@
     }
 
     /// The configuration that is applied, if it is this version or a newer one.
-    pub fn config_than(&self, than: Version) -> Option<(Version, config::raw::Cell)> {
-        let applied = self.applied().filter(|a| a.version >= than)?;
+    pub fn config_at_least(&self, min_version: Version) -> Option<(Version, config::raw::Cell)> {
+        let applied = self.active_config().filter(|a| a.version >= min_version)?;
         Some((applied.version, applied.cell.to_raw().clone()))
     }
 
     /// Room in the racks of this placer.
-    pub fn own_digests(&self) -> Vec<Digest> {
+    pub fn local_digests(&self) -> Vec<Digest> {
         let now = self.now();
         self.shards()
             .iter()
@@ -275,15 +277,15 @@
             .filter(|shard| shard.stage() != Stage::Watching);
         Status {
             placer: self.options.name.clone(),
-            config: self.known().map_or(0, |a| a.version),
-            draining: self.stop.is_draining(),
+            config: self.latest_config().map_or(0, |a| a.version),
+            draining: self.shutdown.is_draining(),
             racks: owned.map(|shard| shard.status(now)).collect(),
         }
     }
 
     /// Applies a configuration, if it is newer than the present one.
     pub(crate) fn apply(self: &Arc<Self>, version: Version, raw: config::raw::Cell) {
-        if self.known().is_some_and(|a| a.version >= version) {
+        if self.latest_config().is_some_and(|a| a.version >= version) {
             return;
         }
         let cell = match Cell::try_from(raw) {
@@ -294,33 +296,33 @@
             }
         };
         log::info!(config = version; "configuration applied");
-        let whole = cell.worker;
-        let applied = Arc::new(Applied { version, cell });
-        self.applied.store(Some(Arc::clone(&applied)));
+        let worker_size = cell.worker;
+        let applied = Arc::new(AppliedConfig { version, cell });
+        self.config.store(Some(Arc::clone(&applied)));
         let mut digests = lock(&self.digests);
         if digests.free() == resource::Size::ZERO {
-            *digests = Digests::new(whole);
+            *digests = Digests::new(worker_size);
         }
         drop(digests);
-        self.watch(&applied.cell);
+        self.watch_racks(&applied.cell);
     }
 
     /// Watches every rack of the configuration.
-    fn watch(self: &Arc<Self>, cell: &Cell) {
+    fn watch_racks(self: &Arc<Self>, cell: &Cell) {
         let mut shards = self.shards.write().unwrap_or_else(PoisonError::into_inner);
         for rack in cell.racks.keys() {
             if let Some(shard) = shards.get(rack) {
                 shard.configure(cell);
                 continue;
             }
-            let shard = Arc::new(Shard::new(rack, self.options.remember));
+            let shard = Arc::new(Shard::new(rack, self.options.request_retention));
             shards.insert(rack.clone(), Arc::clone(&shard));
             shard.spawn(self);
         }
     }
 
     /// A desk hears of every rack that has a new owner: what it holds is not known.
-    pub(crate) fn doubt(&self, racks: &[id::Rack]) {
+    pub(crate) fn mark_unconfirmed(&self, racks: &[id::Rack]) {
         let now = self.now();
         for shard in self.shards() {
             shard.with_desk(|desk: &mut Desk| racks.iter().for_each(|rack| desk.doubt(rack, now)));
--- a/crates/placer/src/node/rack_calls.rs
+++ b/crates/placer/src/node/rack_calls.rs
@@ -8,31 +8,33 @@
 use wire::{Event, Gang, Order, Placed, Placement, Seniority};
 
 use super::Node;
-use crate::{Shard, Unreached};
+use crate::{PeerError, Shard};
 
 /// A call that is not answered by then is in doubt.
-const ANSWER: Duration = Duration::from_millis(800);
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Where a rack's owner is.
-enum Owner {
-    Nobody,
-    Here(Arc<Shard>),
-    There(String),
+enum RackOwner {
+    Unowned,
+    Local(Arc<Shard>),
+    Remote(String),
 }
 
 impl Node {
     /// Places the tasks of an order; `None` if there was no answer.
     pub(crate) async fn place_at(self: &Arc<Self>, order: &Order) -> Option<Placed> {
-        match self.find(&order.rack) {
-            Owner::Nobody => {
+        match self.locate(&order.rack) {
+            RackOwner::Unowned => {
                 let placements = vec![Placement::NotOwner; order.tasks.len()];
                 Some(Placed {
                     placements,
                     digest: None,
                 })
             }
-            Owner::Here(shard) => Some(shard.place(self, order)),
-            Owner::There(address) => answer(self.peers.place(&address, order.clone())).await,
+            RackOwner::Local(shard) => Some(shard.place(self, order)),
+            RackOwner::Remote(address) => {
+                with_timeout(self.peers.place(&address, order.clone())).await
+            }
         }
     }
 
@@ -43,11 +45,11 @@
         from: Seniority,
         gang: &Gang,
     ) -> bool {
-        match self.find(rack) {
-            Owner::Nobody => false,
-            Owner::Here(shard) => shard.commit(self, &from, gang),
-            Owner::There(address) => {
-                agreed(
+        match self.locate(rack) {
+            RackOwner::Unowned => false,
+            RackOwner::Local(shard) => shard.commit(self, &from, gang),
+            RackOwner::Remote(address) => {
+                acknowledged(
                     self.peers
                         .commit(&address, rack.to_owned(), from, gang.clone()),
                 )
@@ -63,11 +65,11 @@
         from: Seniority,
         gang: &Gang,
     ) -> bool {
-        match self.find(rack) {
-            Owner::Nobody => false,
-            Owner::Here(shard) => shard.undo(self, &from, gang),
-            Owner::There(address) => {
-                agreed(
+        match self.locate(rack) {
+            RackOwner::Unowned => false,
+            RackOwner::Local(shard) => shard.undo(self, &from, gang),
+            RackOwner::Remote(address) => {
+                acknowledged(
                     self.peers
                         .undo(&address, rack.to_owned(), from, gang.clone()),
                 )
@@ -83,11 +85,11 @@
         from: Seniority,
         (team, job): (id::Team, id::Job),
     ) -> bool {
-        match self.find(rack) {
-            Owner::Nobody => false,
-            Owner::Here(shard) => shard.stop(self, &from, &team, &job),
-            Owner::There(address) => {
-                agreed(
+        match self.locate(rack) {
+            RackOwner::Unowned => false,
+            RackOwner::Local(shard) => shard.stop(self, &from, &team, &job),
+            RackOwner::Remote(address) => {
+                acknowledged(
                     self.peers
                         .stop(&address, rack.to_owned(), from, (team, job)),
                 )
@@ -98,46 +100,47 @@
 
     /// Tells the owner of a home rack what became of its tasks; `true` if it has taken note.
     pub(crate) async fn report_to(self: &Arc<Self>, home: &str, events: Vec<Event>) -> bool {
-        match self.find(home) {
-            Owner::Nobody => false,
-            Owner::Here(shard) => shard.hear(&events),
-            Owner::There(address) => {
-                agreed(self.peers.report(&address, home.to_owned(), events)).await
+        match self.locate(home) {
+            RackOwner::Unowned => false,
+            RackOwner::Local(shard) => shard.receive_events(&events),
+            RackOwner::Remote(address) => {
+                acknowledged(self.peers.report(&address, home.to_owned(), events)).await
             }
         }
     }
 
     /// What the racks of all placers hold of the jobs of one home rack.
-    pub(crate) async fn inventories(&self, from: &Seniority) -> Vec<wire::Inventory> {
+    pub(crate) async fn collect_inventories(&self, from: &Seniority) -> Vec<wire::Inventory> {
         let mut all = self.inventory(from);
         let others = self
-            .everyone()
+            .live_addresses()
             .into_iter()
             .filter(|a| *a != self.options.address);
         let asked = others.map(|address| {
             let from = from.clone();
-            async move { answer(self.peers.inventory(&address, from)).await }
+            async move { with_timeout(self.peers.inventory(&address, from)).await }
         });
         let others = futures::future::join_all(asked).await;
         all.extend(others.into_iter().flatten().flatten());
         all
     }
 
-    fn find(&self, rack: &str) -> Owner {
+    fn locate(&self, rack: &str) -> RackOwner {
         let Some(address) = self.owner(rack) else {
-            return Owner::Nobody;
+            return RackOwner::Unowned;
         };
         if address != self.options.address {
-            return Owner::There(address);
+            return RackOwner::Remote(address);
         }
-        self.shard(rack).map_or(Owner::Nobody, Owner::Here)
+        self.shard(rack)
+            .map_or(RackOwner::Unowned, RackOwner::Local)
     }
 }
 
-async fn answer<T>(call: impl Future<Output = Result<T, Unreached>>) -> Option<T> {
-    tokio::time::timeout(ANSWER, call).await.ok()?.ok()
+async fn with_timeout<T>(call: impl Future<Output = Result<T, PeerError>>) -> Option<T> {
+    tokio::time::timeout(CALL_TIMEOUT, call).await.ok()?.ok()
 }
 
-async fn agreed(call: impl Future<Output = Result<bool, Unreached>>) -> bool {
-    answer(call).await == Some(true)
+async fn acknowledged(call: impl Future<Output = Result<bool, PeerError>>) -> bool {
+    with_timeout(call).await == Some(true)
 }
--- a/crates/placer/src/node/table_sync.rs
+++ b/crates/placer/src/node/table_sync.rs
@@ -7,49 +7,49 @@
 use futures::future::join_all;
 use platform::Transaction;
 
-use super::{DETACHED, Node, lock};
+use super::{ENTRY_TIMEOUT, Node, lock};
 use crate::Session;
 
 /// Rows that every placer reads.
-const PREFIXES: [&str; 3] = ["config/", Record::PREFIX, Session::PREFIX];
+const SYNCED_PREFIXES: [&str; 3] = ["config/", Record::PREFIX, Session::PREFIX];
 
 /// A process whose beats are this far apart was paused. Whoever accepts a configuration counts a
 /// process as dead only after a longer time.
-const PAUSED: Duration = Duration::from_secs(6);
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(6);
 
 /// Longest wait for another placer's configuration.
-const ASK: Duration = Duration::from_millis(800);
+const CONFIG_QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Beats until the placer ends.
 pub(super) async fn run(node: Arc<Node>) {
-    let mut beat = 0;
+    let mut heartbeat = 0;
     let mut last = node.now();
     loop {
-        beat += 1;
-        if node.now().saturating_sub(last) > PAUSED {
-            log::warn!("paused for more than {PAUSED:?}");
-            node.set_fresh(false);
+        heartbeat += 1;
+        if node.now().saturating_sub(last) > PAUSE_THRESHOLD {
+            log::warn!("paused for more than {PAUSE_THRESHOLD:?}");
+            node.set_config_confirmed(false);
         }
         last = node.now();
-        once(&node, beat).await;
+        sync(&node, heartbeat).await;
         tokio::select! {
-            () = tokio::time::sleep(node.options.beat) => {}
-            () = node.beat_now.notified() => {}
-            () = node.stop.ended() => break,
+            () = tokio::time::sleep(node.options.sync_interval) => {}
+            () = node.sync_now.notified() => {}
+            () = node.shutdown.ended() => break,
         }
     }
-    let farewell = Transaction::default().delete(Session::key(&node.options.name));
-    drop(node.table.commit(farewell).await);
+    let delete_session = Transaction::default().delete(Session::key(&node.options.name));
+    drop(node.table.commit(delete_session).await);
 }
 
-async fn once(node: &Arc<Node>, beat: u64) {
-    renew(node, beat).await;
-    read(node).await;
-    assign(node);
+async fn sync(node: &Arc<Node>, heartbeat: u64) {
+    renew_session(node, heartbeat).await;
+    read_table(node).await;
+    update_ownership(node);
 }
 
-async fn renew(node: &Node, beat: u64) {
-    let session = session(node, beat);
+async fn renew_session(node: &Node, heartbeat: u64) {
+    let session = session(node, heartbeat);
     let Ok(value) = serde_json::to_string(&session) else {
         return;
     };
@@ -63,10 +63,10 @@
     }
 }
 
-fn session(node: &Node, beat: u64) -> Session {
+fn session(node: &Node, heartbeat: u64) -> Session {
     let now = node.now();
     let mut attached = lock(&node.attached);
-    attached.retain(|_, entry| now.saturating_sub(entry.seen) < DETACHED);
+    attached.retain(|_, entry| now.saturating_sub(entry.last_seen) < ENTRY_TIMEOUT);
     let entries = attached
         .iter()
         .map(|(name, entry)| (name.clone(), entry.applied))
@@ -75,67 +75,71 @@
         address: node.options.address.clone(),
         region: node.options.region.clone(),
         data_centre: node.options.data_centre.clone(),
-        draining: node.stop.is_draining(),
-        applied: node.known().map_or(0, |a| a.version),
+        draining: node.shutdown.is_draining(),
+        applied: node.latest_config().map_or(0, |a| a.version),
         entries,
-        beat,
+        heartbeat,
     }
 }
 
-async fn read(node: &Arc<Node>) {
+async fn read_table(node: &Arc<Node>) {
     let since = node.view().version;
-    let scan = match node.table.scan(&PREFIXES, since).await {
+    let scan = match node.table.scan(&SYNCED_PREFIXES, since).await {
         Ok(scan) => scan,
         Err(error) => {
-            node.view().unreachable();
+            node.view().set_unreachable();
             log::warn!("the table was not read: {error}");
-            ask_peers(node).await;
+            query_peers_for_config(node).await;
             return;
         }
     };
     let now = node.now();
     let (changed, config) = {
         let mut view = node.view();
-        let changed = view.learn(&scan, now);
+        let changed = view.apply_scan(&scan, now);
         (changed, view.config.clone())
     };
     if let Some((version, raw)) = config {
         node.apply(version, raw);
-        node.set_fresh(true);
+        node.set_config_confirmed(true);
     }
     for rack in &changed {
-        depose(node, rack);
+        depose_if_superseded(node, rack);
     }
     if !changed.is_empty() {
-        node.doubt(&changed);
+        node.mark_unconfirmed(&changed);
     }
     node.health
-        .set_ready(!node.stop.is_draining() && node.applied().is_some());
+        .set_ready(!node.shutdown.is_draining() && node.active_config().is_some());
 }
 
 /// Learns the configuration from other placers while the table does not answer. The table may be
 /// down, in which case nothing can change; or it is only this placer that is cut off, and others
 /// have accepted a newer configuration.
-async fn ask_peers(node: &Arc<Node>) {
-    let mut known = node.everyone();
-    known.extend(node.options.peers.iter().cloned());
-    known.retain(|address| *address != node.options.address);
-    known.sort();
-    known.dedup();
-    let than = node.known().map_or(0, |a| a.version);
-    let asked = known.iter().map(|address| async {
-        let asked = node.peers.config(address, than);
-        tokio::time::timeout(ASK, asked).await.ok()?.ok().flatten()
+async fn query_peers_for_config(node: &Arc<Node>) {
+    let mut addresses = node.live_addresses();
+    addresses.extend(node.options.peers.iter().cloned());
+    addresses.retain(|address| *address != node.options.address);
+    addresses.sort();
+    addresses.dedup();
+    let min_version = node.latest_config().map_or(0, |a| a.version);
+    let asked = addresses.iter().map(|address| async {
+        let asked = node.peers.config(address, min_version);
+        tokio::time::timeout(CONFIG_QUERY_TIMEOUT, asked)
+            .await
+            .ok()?
+            .ok()
+            .flatten()
     });
     let newer = join_all(asked).await.into_iter().flatten();
     if let Some((version, raw)) = newer.max_by_key(|(version, _)| *version) {
         node.apply(version, raw);
-        node.set_fresh(true);
+        node.set_config_confirmed(true);
     }
 }
 
 /// Another owner has a rack that this placer holds.
-fn depose(node: &Node, rack: &str) {
+fn depose_if_superseded(node: &Node, rack: &str) {
     let Some(shard) = node.shard(rack) else {
         return;
     };
@@ -150,31 +154,40 @@
 }
 
 /// Takes the racks that fall to this placer, lets go of those that fall to others.
-fn assign(node: &Node) {
-    let Some(applied) = node.applied() else {
+fn update_ownership(node: &Node) {
+    let Some(applied) = node.active_config() else {
         return;
     };
     let now = node.now();
-    let ideals = node.view().ideals(&applied.cell, now, &node.options);
+    let desired_owners = node
+        .view()
+        .desired_owners(&applied.cell, now, &node.options);
     for shard in node.shards() {
-        let ideal = ideals.get(&shard.name);
+        let desired_owner = desired_owners.get(&shard.name);
         let view = node.view();
         let owner = view
             .records
             .get(&shard.name)
             .and_then(|(_, r)| r.owner.clone());
         let reachable = view.is_reachable();
-        let dead = owner
+        let owner_down = owner
             .as_ref()
             .is_none_or(|o| !view.is_live(o, now, &node.options));
         drop(view);
-        let mine = ideal == Some(&node.options.name);
+        let desired_here = desired_owner == Some(&node.options.name);
         let owned = owner.as_ref() == Some(&node.options.name);
         match shard.stage() {
-            Stage::Watching if mine && reachable && (dead || owned) && !node.stop.is_draining() => {
+            Stage::Watching
+                if desired_here
+                    && reachable
+                    && (owner_down || owned)
+                    && !node.shutdown.is_draining() =>
+            {
                 shard.handle(&Event::Wanted);
             }
-            Stage::Fencing | Stage::Active if !mine && reachable && ideal.is_some() => {
+            Stage::Fencing | Stage::Active
+                if !desired_here && reachable && desired_owner.is_some() =>
+            {
                 shard.handle(&Event::Unwanted);
             }
             _ => {}
--- a/crates/placer/src/options.rs
+++ b/crates/placer/src/options.rs
@@ -9,7 +9,7 @@
 /// ```
 /// use placer::Options;
 ///
-/// let options = Options::new("p1", "127.0.0.1:7100").place("north", "north-1");
+/// let options = Options::new("p1", "127.0.0.1:7100").with_location("north", "north-1");
 /// assert_eq!(options.region, "north");
 /// ```
 #[derive(Clone, Debug)]
@@ -26,19 +26,19 @@
     /// is down.
     pub peers: Vec<String>,
     /// How often its session row is renewed and the table is read.
-    pub beat: Duration,
+    pub sync_interval: Duration,
     /// A session row that has not changed for this long is taken for dead.
-    pub stale: Duration,
+    pub session_timeout: Duration,
     /// How often its workers get a heartbeat.
-    pub pulse: Duration,
+    pub heartbeat_interval: Duration,
     /// How often room in other placers' racks is asked for.
-    pub digest: Duration,
+    pub digest_interval: Duration,
     /// Claims that come within this time are written together.
-    pub gather: Duration,
+    pub claim_batch_delay: Duration,
     /// How long a claim, and the answer to its request, is remembered.
-    pub remember: Duration,
+    pub request_retention: Duration,
     /// How long stopping may take for what is in hand.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
 }
 
 impl Options {
@@ -51,19 +51,19 @@
             region: String::new(),
             data_centre: String::new(),
             peers: Vec::new(),
-            beat: Duration::from_millis(1_000),
-            stale: Duration::from_millis(3_500),
-            pulse: Duration::from_millis(500),
-            digest: Duration::from_millis(1_000),
-            gather: Duration::from_millis(20),
-            remember: Duration::from_secs(600),
-            drain: Duration::from_secs(10),
+            sync_interval: Duration::from_millis(1_000),
+            session_timeout: Duration::from_millis(3_500),
+            heartbeat_interval: Duration::from_millis(500),
+            digest_interval: Duration::from_millis(1_000),
+            claim_batch_delay: Duration::from_millis(20),
+            request_retention: Duration::from_secs(600),
+            drain_timeout: Duration::from_secs(10),
         }
     }
 
     /// Sets where it runs.
     #[must_use]
-    pub fn place(mut self, region: &str, data_centre: &str) -> Self {
+    pub fn with_location(mut self, region: &str, data_centre: &str) -> Self {
         region.clone_into(&mut self.region);
         data_centre.clone_into(&mut self.data_centre);
         self
--- a/crates/placer/src/peers.rs
+++ b/crates/placer/src/peers.rs
@@ -7,9 +7,9 @@
 
 /// A call to another placer brought no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Unreached {
+pub enum PeerError {
     /// Its port refuses connections: no process is there, and nothing was sent.
-    Gone,
+    ConnectionRefused,
     /// It may have had its effect.
     NoAnswer,
 }
@@ -18,7 +18,7 @@
 #[async_trait]
 pub trait Peers: Send + Sync {
     /// Places tasks on a rack.
-    async fn place(&self, address: &str, order: Order) -> Result<Placed, Unreached>;
+    async fn place(&self, address: &str, order: Order) -> Result<Placed, PeerError>;
     /// Starts a gang that was held.
     async fn commit(
         &self,
@@ -26,7 +26,7 @@
         rack: id::Rack,
         from: Seniority,
         gang: Gang,
-    ) -> Result<bool, Unreached>;
+    ) -> Result<bool, PeerError>;
     /// Gives up a gang.
     async fn undo(
         &self,
@@ -34,7 +34,7 @@
         rack: id::Rack,
         from: Seniority,
         gang: Gang,
-    ) -> Result<bool, Unreached>;
+    ) -> Result<bool, PeerError>;
     /// Stops all tasks of a job on a rack.
     async fn stop(
         &self,
@@ -42,24 +42,24 @@
         rack: id::Rack,
         from: Seniority,
         job: (id::Team, id::Job),
-    ) -> Result<bool, Unreached>;
+    ) -> Result<bool, PeerError>;
     /// Lists what the other's racks hold of the jobs of one home rack.
-    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, Unreached>;
+    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, PeerError>;
     /// Tells the owner of a home rack what became of its tasks.
     async fn report(
         &self,
         address: &str,
         home: id::Rack,
         events: Vec<Event>,
-    ) -> Result<bool, Unreached>;
+    ) -> Result<bool, PeerError>;
     /// The configuration that the other applies, if it is newer than this version.
     async fn config(
         &self,
         address: &str,
-        than: Version,
-    ) -> Result<Option<(Version, raw::Cell)>, Unreached>;
+        min_version: Version,
+    ) -> Result<Option<(Version, raw::Cell)>, PeerError>;
     /// Room in the other's racks.
-    async fn digests(&self, address: &str) -> Result<Vec<Digest>, Unreached>;
+    async fn digests(&self, address: &str) -> Result<Vec<Digest>, PeerError>;
     /// Writes claims to the table, together with those of others.
-    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, Unreached>;
+    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, PeerError>;
 }
--- a/crates/placer/src/request_cache.rs
+++ b/crates/placer/src/request_cache.rs
@@ -9,7 +9,7 @@
 
 /// What is to be done with a request.
 #[derive(Debug)]
-pub(crate) enum Entry {
+pub(crate) enum Lookup {
     /// It is new: run it, and tell the memory how it ended.
     New,
     /// It is under way: wait for its answer.
@@ -22,44 +22,44 @@
 
 /// Requests by team and id.
 #[derive(Debug)]
-pub(crate) struct Memory {
-    keep: Duration,
-    seen: HashMap<String, Seen>,
+pub(crate) struct RequestCache {
+    retention: Duration,
+    seen: HashMap<String, CachedRequest>,
 }
 
 #[derive(Debug)]
-struct Seen {
+struct CachedRequest {
     request: Request,
     answer: watch::Sender<Option<Answer>>,
     ended: Option<Now>,
 }
 
-impl Memory {
+impl RequestCache {
     /// Keeps answers for this long.
-    pub(crate) fn new(keep: Duration) -> Self {
+    pub(crate) fn new(retention: Duration) -> Self {
         Self {
-            keep,
+            retention,
             seen: HashMap::new(),
         }
     }
 
     /// Takes note of a request.
-    pub(crate) fn begin(&mut self, name: &str, request: &Request) -> Entry {
+    pub(crate) fn begin(&mut self, name: &str, request: &Request) -> Lookup {
         if let Some(seen) = self.seen.get(name) {
             if !seen.request.same(request) {
-                return Entry::Conflict;
+                return Lookup::Conflict;
             }
             let answer = seen.answer.subscribe();
             let ended = answer.borrow().clone();
-            return ended.map_or(Entry::Running(answer), Entry::Ended);
+            return ended.map_or(Lookup::Running(answer), Lookup::Ended);
         }
-        let seen = Seen {
+        let seen = CachedRequest {
             request: request.clone(),
             answer: watch::Sender::new(None),
             ended: None,
         };
         self.seen.insert(name.to_owned(), seen);
-        Entry::New
+        Lookup::New
     }
 
     /// A request has ended. One that certainly did not run may be asked again, and so may an
@@ -70,16 +70,16 @@
         };
         seen.answer.send_replace(Some(answer.clone()));
         seen.ended = Some(now);
-        let final_ = matches!(answer.class(), Class::Done | Class::MayHaveRun);
-        if !final_ || seen.request.idempotent {
+        let may_have_run = matches!(answer.class(), Class::Done | Class::MayHaveRun);
+        if !may_have_run || seen.request.idempotent {
             self.seen.remove(name);
         }
     }
 
     /// Forgets what has ended long ago.
-    pub(crate) fn tick(&mut self, now: Now) {
-        let keep = self.keep;
+    pub(crate) fn evict_expired(&mut self, now: Now) {
+        let retention = self.retention;
         self.seen
-            .retain(|_, seen| seen.ended.is_none_or(|ended| now < ended + keep));
+            .retain(|_, seen| seen.ended.is_none_or(|ended| now < ended + retention));
     }
 }
--- a/crates/placer/src/rpc.rs
+++ b/crates/placer/src/rpc.rs
@@ -12,10 +12,10 @@
 use wire::rpc::PlacerClient as _;
 use wire::{Claim, Digest, Event, Gang, Inventory, Order, Placed, Seniority, Verdict};
 
-use crate::{Peers, Unreached};
+use crate::{PeerError, Peers};
 
 /// Time limit of one call.
-const LIMIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Reaches placers over JSON-RPC; keeps one client for each address.
 #[derive(Debug, Default)]
@@ -24,16 +24,16 @@
 }
 
 impl Rpc {
-    fn client(&self, address: &str) -> Result<HttpClient, Unreached> {
+    fn client(&self, address: &str) -> Result<HttpClient, PeerError> {
         let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(client) = clients.get(address) {
             return Ok(client.clone());
         }
         let client = HttpClientBuilder::default()
-            .request_timeout(LIMIT)
-            .connect_timeout(LIMIT / 2)
+            .request_timeout(CALL_TIMEOUT)
+            .connect_timeout(CALL_TIMEOUT / 2)
             .build(format!("http://{address}"))
-            .map_err(|_| Unreached::NoAnswer)?;
+            .map_err(|_| PeerError::NoAnswer)?;
         clients.insert(address.to_owned(), client.clone());
         Ok(client)
     }
@@ -43,19 +43,19 @@
     clippy::needless_pass_by_value,
     reason = "the signature that map_err wants"
 )]
-fn unreached(error: ClientError) -> Unreached {
+fn peer_error(error: ClientError) -> PeerError {
     log::debug!("a placer was not reached: {error}");
     if wire::refused(&error) {
-        Unreached::Gone
+        PeerError::ConnectionRefused
     } else {
-        Unreached::NoAnswer
+        PeerError::NoAnswer
     }
 }
 
 #[async_trait]
 impl Peers for Rpc {
-    async fn place(&self, address: &str, order: Order) -> Result<Placed, Unreached> {
-        self.client(address)?.place(order).await.map_err(unreached)
+    async fn place(&self, address: &str, order: Order) -> Result<Placed, PeerError> {
+        self.client(address)?.place(order).await.map_err(peer_error)
     }
 
     async fn commit(
@@ -64,11 +64,11 @@
         rack: id::Rack,
         from: Seniority,
         gang: Gang,
-    ) -> Result<bool, Unreached> {
+    ) -> Result<bool, PeerError> {
         self.client(address)?
             .commit(rack, from, gang)
             .await
-            .map_err(unreached)
+            .map_err(peer_error)
     }
 
     async fn undo(
@@ -77,11 +77,11 @@
         rack: id::Rack,
         from: Seniority,
         gang: Gang,
-    ) -> Result<bool, Unreached> {
+    ) -> Result<bool, PeerError> {
         self.client(address)?
             .undo(rack, from, gang)
             .await
-            .map_err(unreached)
+            .map_err(peer_error)
     }
 
     async fn stop(
@@ -90,18 +90,18 @@
         rack: id::Rack,
         from: Seniority,
         job: (id::Team, id::Job),
-    ) -> Result<bool, Unreached> {
+    ) -> Result<bool, PeerError> {
         self.client(address)?
             .stop(rack, from, job.0, job.1)
             .await
-            .map_err(unreached)
+            .map_err(peer_error)
     }
 
-    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, Unreached> {
+    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, PeerError> {
         self.client(address)?
             .inventory(from)
             .await
-            .map_err(unreached)
+            .map_err(peer_error)
     }
 
     async fn report(
@@ -109,26 +109,32 @@
         address: &str,
         home: id::Rack,
         events: Vec<Event>,
-    ) -> Result<bool, Unreached> {
+    ) -> Result<bool, PeerError> {
         self.client(address)?
             .report(home, events)
             .await
-            .map_err(unreached)
+            .map_err(peer_error)
     }
 
     async fn config(
         &self,
         address: &str,
-        than: Version,
-    ) -> Result<Option<(Version, raw::Cell)>, Unreached> {
-        self.client(address)?.config(than).await.map_err(unreached)
+        min_version: Version,
+    ) -> Result<Option<(Version, raw::Cell)>, PeerError> {
+        self.client(address)?
+            .config(min_version)
+            .await
+            .map_err(peer_error)
     }
 
-    async fn digests(&self, address: &str) -> Result<Vec<Digest>, Unreached> {
-        self.client(address)?.digests().await.map_err(unreached)
+    async fn digests(&self, address: &str) -> Result<Vec<Digest>, PeerError> {
+        self.client(address)?.digests().await.map_err(peer_error)
     }
 
-    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, Unreached> {
-        self.client(address)?.claim(claims).await.map_err(unreached)
+    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, PeerError> {
+        self.client(address)?
+            .claim(claims)
+            .await
+            .map_err(peer_error)
     }
 }
--- a/crates/placer/src/server.rs
+++ b/crates/placer/src/server.rs
@@ -16,7 +16,7 @@
 use crate::{Node, Shard};
 
 /// The placer does not know whether its configuration is in force.
-const NOT_FRESH: i32 = -32_001;
+const CONFIG_NOT_CONFIRMED: i32 = -32_001;
 
 /// Serves one placer.
 pub struct Server {
@@ -30,8 +30,8 @@
         Self { node }
     }
 
-    fn at_home(&self, home: &str) -> Result<Arc<Shard>, Fault> {
-        if self.node.stop.is_draining() {
+    fn home_shard(&self, home: &str) -> Result<Arc<Shard>, Fault> {
+        if self.node.shutdown.is_draining() {
             return Err(Fault::new(Kind::Draining, "the placer is stopping"));
         }
         let shard = self.node.shard(home);
@@ -49,7 +49,7 @@
     }
 
     async fn submit(&self, home: id::Rack, job: Job) -> RpcResult<Result<State, Fault>> {
-        Ok(match self.at_home(&home) {
+        Ok(match self.home_shard(&home) {
             Ok(shard) => shard.submit(&self.node, job).await,
             Err(fault) => Err(fault),
         })
@@ -62,7 +62,7 @@
         job: id::Job,
     ) -> RpcResult<Result<State, Fault>> {
         Ok(self
-            .at_home(&home)
+            .home_shard(&home)
             .and_then(|shard| shard.watch(&team, &job)))
     }
 
@@ -72,7 +72,7 @@
         team: id::Team,
         job: id::Job,
     ) -> RpcResult<Result<State, Fault>> {
-        Ok(match self.at_home(&home) {
+        Ok(match self.home_shard(&home) {
             Ok(shard) => shard.cancel(&self.node, &team, &job).await,
             Err(fault) => Err(fault),
         })
@@ -80,7 +80,7 @@
 
     async fn routes(&self, ask: Ask) -> RpcResult<Routes> {
         let routes = self.node.routes(&ask);
-        routes.ok_or_else(|| ErrorObject::owned(NOT_FRESH, "not fresh", None::<()>))
+        routes.ok_or_else(|| ErrorObject::owned(CONFIG_NOT_CONFIRMED, "not fresh", None::<()>))
     }
 
     async fn place(&self, order: Order) -> RpcResult<Placed> {
@@ -122,19 +122,19 @@
 
     async fn report(&self, home: id::Rack, events: Vec<Event>) -> RpcResult<bool> {
         let shard = self.node.shard(&home);
-        Ok(shard.is_some_and(|shard| shard.hear(&events)))
+        Ok(shard.is_some_and(|shard| shard.receive_events(&events)))
     }
 
     async fn digests(&self) -> RpcResult<Vec<Digest>> {
-        Ok(self.node.own_digests())
+        Ok(self.node.local_digests())
     }
 
     async fn claim(&self, claims: Vec<Claim>) -> RpcResult<Vec<Verdict>> {
         Ok(self.node.claims.write(claims).await)
     }
 
-    async fn config(&self, than: Version) -> RpcResult<Option<(Version, raw::Cell)>> {
-        Ok(self.node.config_than(than))
+    async fn config(&self, min_version: Version) -> RpcResult<Option<(Version, raw::Cell)>> {
+        Ok(self.node.config_at_least(min_version))
     }
 
     async fn status(&self) -> RpcResult<Status> {
@@ -142,7 +142,7 @@
     }
 
     async fn drain(&self) -> RpcResult<bool> {
-        self.node.stop.drain();
+        self.node.shutdown.drain();
         Ok(true)
     }
 }
--- a/crates/placer/src/session.rs
+++ b/crates/placer/src/session.rs
@@ -24,7 +24,8 @@
     /// The same of the entries that ask it for routes.
     pub entries: BTreeMap<id::Entry, Version>,
     /// Rises at every beat.
-    pub beat: u64,
+    #[serde(rename = "beat")]
+    pub heartbeat: u64,
 }
 
 impl Session {
--- a/crates/placer/src/settings.rs
+++ b/crates/placer/src/settings.rs
@@ -62,20 +62,20 @@
 impl Settings {
     /// What the placer is told, for this life of the process.
     #[must_use]
-    pub fn options(&self, life: &str, address: SocketAddr) -> Options {
+    pub fn options(&self, incarnation: &str, address: SocketAddr) -> Options {
         let address = self.advertise.unwrap_or(address).to_string();
-        let usual = Options::new(&format!("{}.{life}", self.name), &address);
-        let beat = Duration::from_millis(self.beat_ms);
+        let defaults = Options::new(&format!("{}.{incarnation}", self.name), &address);
+        let sync_interval = Duration::from_millis(self.beat_ms);
         Options {
             peers: self.peers.iter().map(SocketAddr::to_string).collect(),
-            beat,
-            stale: beat * 7 / 2,
-            pulse: Duration::from_millis(self.pulse_ms),
-            gather: Duration::from_millis(self.gather_ms),
-            remember: Duration::from_secs(self.remember_s),
-            drain: Duration::from_millis(self.drain_ms),
-            ..usual
+            sync_interval,
+            session_timeout: sync_interval * 7 / 2,
+            heartbeat_interval: Duration::from_millis(self.pulse_ms),
+            claim_batch_delay: Duration::from_millis(self.gather_ms),
+            request_retention: Duration::from_secs(self.remember_s),
+            drain_timeout: Duration::from_millis(self.drain_ms),
+            ..defaults
         }
-        .place(&self.region, &self.data_centre)
+        .with_location(&self.region, &self.data_centre)
     }
 }
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -22,30 +22,30 @@
 
 use crate::Node;
 use crate::node::lock;
-use crate::request_cache::Memory;
+use crate::request_cache::RequestCache;
 
 /// One rack, owned or watched.
 pub struct Shard {
     pub(crate) name: id::Rack,
     state: Mutex<State>,
     /// The stage has changed.
-    stage_now: Notify,
+    stage_changed: Notify,
     /// There is news or waiting work.
-    jobs_now: Notify,
+    jobs_changed: Notify,
     /// The rack is not only watched any more.
     wanted: Notify,
 }
 
 /// A worker as the platform lists it.
 #[derive(Clone, Debug)]
-struct Listed {
+struct ListedWorker {
     address: String,
     leaving: bool,
 }
 
 /// A worker's life that was seen before ownership was confirmed.
 #[derive(Clone, Copy, Debug)]
-struct Greeted {
+struct GreetedWorker {
     incarnation: id::Incarnation,
 }
 
@@ -56,58 +56,58 @@
     rack: Option<Rack>,
     takeover: Takeover,
     desk: Option<Desk>,
-    memory: Memory,
-    starts: HashMap<Ticket, oneshot::Sender<Go>>,
-    budgets: BTreeMap<id::Team, RetryBudget>,
-    listed: BTreeMap<id::Worker, Listed>,
+    requests: RequestCache,
+    pending_starts: HashMap<Ticket, oneshot::Sender<Go>>,
+    retry_budgets: BTreeMap<id::Team, RetryBudget>,
+    listed: BTreeMap<id::Worker, ListedWorker>,
     listed_at: Now,
     /// Since when the list differs from the roster.
-    drift: Option<Now>,
+    roster_mismatch_since: Option<Now>,
     /// Workers of earlier rosters that the list does not show, and since when.
-    missing: BTreeMap<id::Worker, Now>,
-    greeted: BTreeMap<id::Worker, Greeted>,
+    unlisted_since: BTreeMap<id::Worker, Now>,
+    greeted: BTreeMap<id::Worker, GreetedWorker>,
     settings: cell::Settings,
 }
 
 impl Shard {
     /// A rack that is watched.
     #[must_use]
-    pub fn new(name: &str, remember: Duration) -> Self {
+    pub fn new(name: &str, request_retention: Duration) -> Self {
         let state = State {
             ownership: Ownership::new(),
             record: None,
             rack: None,
             takeover: Takeover::default(),
             desk: None,
-            memory: Memory::new(remember),
-            starts: HashMap::new(),
-            budgets: BTreeMap::new(),
+            requests: RequestCache::new(request_retention),
+            pending_starts: HashMap::new(),
+            retry_budgets: BTreeMap::new(),
             listed: BTreeMap::new(),
             listed_at: Now::ZERO,
-            drift: None,
-            missing: BTreeMap::new(),
+            roster_mismatch_since: None,
+            unlisted_since: BTreeMap::new(),
             greeted: BTreeMap::new(),
             settings: cell::Settings::default(),
         };
         Self {
             name: name.to_owned(),
             state: Mutex::new(state),
-            stage_now: Notify::new(),
-            jobs_now: Notify::new(),
+            stage_changed: Notify::new(),
+            jobs_changed: Notify::new(),
             wanted: Notify::new(),
         }
     }
 
     /// Starts the loops of this rack.
     pub(crate) fn spawn(self: &Arc<Self>, node: &Arc<Node>) {
-        if let Some(applied) = node.applied() {
+        if let Some(applied) = node.active_config() {
             self.configure(&applied.cell);
         }
-        node.stop
+        node.shutdown
             .spawn(ownership::run(Arc::clone(node), Arc::clone(self)));
-        node.stop
+        node.shutdown
             .spawn(heartbeat::run(Arc::clone(node), Arc::clone(self)));
-        node.stop
+        node.shutdown
             .spawn(jobs::run(Arc::clone(node), Arc::clone(self)));
     }
 
@@ -117,7 +117,7 @@
         let mut state = self.state();
         state.settings = settings.clone();
         state
-            .budgets
+            .retry_budgets
             .values_mut()
             .for_each(|b| b.set_share(cell.policy.retry_share));
         if let Some(rack) = &mut state.rack {
@@ -133,7 +133,7 @@
 
     /// Waits while the rack is only watched; `false` if the placer ends meanwhile. Most racks are
     /// watched all the time, so their loops must cost nothing.
-    async fn until_wanted(&self, node: &Node) -> bool {
+    async fn wait_while_watching(&self, node: &Node) -> bool {
         loop {
             let mut wanted = pin!(self.wanted.notified());
             wanted.as_mut().enable();
@@ -142,7 +142,7 @@
             }
             tokio::select! {
                 () = wanted => {}
-                () = node.stop.ended() => return false,
+                () = node.shutdown.ended() => return false,
             }
         }
     }
@@ -155,7 +155,7 @@
     /// Takes note of an event of ownership.
     pub(crate) fn handle(&self, event: &Event) {
         self.state().ownership.handle(event);
-        self.stage_now.notify_one();
+        self.stage_changed.notify_one();
         self.wanted.notify_waiters();
     }
 
@@ -168,7 +168,7 @@
         state.ownership.handle(&Event::Deposed);
         state.drop_rack();
         drop(state);
-        node.beat_now.notify_one();
+        node.sync_now.notify_one();
     }
 
     /// Room in the rack, if this placer owns it.
@@ -220,14 +220,14 @@
         let mut state = self.state();
         let State {
             rack: Some(rack),
-            starts,
+            pending_starts,
             ..
         } = &mut *state
         else {
             return;
         };
         while let Next::Start(go) = rack.next(now) {
-            let start = starts.remove(&go.ticket);
+            let start = pending_starts.remove(&go.ticket);
             let sent = start.is_some_and(|start| start.send(go.clone()).is_ok());
             if !sent {
                 rack.finish(&go, cell::Over::Refused, Duration::ZERO, now);
@@ -245,6 +245,6 @@
         self.takeover = Takeover::default();
         self.greeted.clear();
         // The waiting requests see their channels close, and answer that they did not run.
-        self.starts.clear();
+        self.pending_starts.clear();
     }
 }
--- a/crates/placer/src/shard/adopt.rs
+++ b/crates/placer/src/shard/adopt.rs
@@ -12,13 +12,13 @@
 use worker::call::{Adopt, Adopted};
 use worker::{Error, Refusal};
 
-use super::{Greeted, Listed, Shard};
+use super::{GreetedWorker, ListedWorker, Shard};
 use crate::Node;
 
 /// How often the host list is read.
-const LIST_EVERY: Duration = Duration::from_millis(1_000);
+const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 /// How long a worker that was not reached is left alone.
-const RETRY: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 impl Shard {
     /// Reads the host list, unless it was read a moment ago.
@@ -26,7 +26,7 @@
         let now = node.now();
         {
             let mut state = self.state();
-            let fresh = now.saturating_sub(state.listed_at) < LIST_EVERY;
+            let fresh = now.saturating_sub(state.listed_at) < LIST_INTERVAL;
             if fresh && !state.listed.is_empty() {
                 return;
             }
@@ -40,7 +40,7 @@
             let leaving = host.standing == Standing::Leaving;
             (
                 host.name,
-                Listed {
+                ListedWorker {
                     address: host.address,
                     leaving,
                 },
@@ -68,12 +68,12 @@
             let hello = node.workers.hello(&host.address).await.ok()?;
             Some((
                 name.clone(),
-                Greeted {
+                GreetedWorker {
                     incarnation: hello.incarnation,
                 },
             ))
         });
-        let greeted: BTreeMap<id::Worker, Greeted> =
+        let greeted: BTreeMap<id::Worker, GreetedWorker> =
             join_all(asked).await.into_iter().flatten().collect();
         // Without a majority this placer could never act, and would only keep an owner on the
         // other side of a cut link from going on.
@@ -87,31 +87,31 @@
 
     /// Adopts every listed worker that does not obey the present epoch yet.
     pub(super) async fn adopt_all(self: &Arc<Self>, node: &Arc<Node>) {
-        let (epoch, open) = {
+        let (epoch, workers) = {
             let state = self.state();
             let Some(rack) = &state.rack else {
                 return;
             };
-            let missing = |(name, _): &(&id::Worker, &Listed)| {
+            let not_adopted = |(name, _): &(&id::Worker, &ListedWorker)| {
                 rack.host(name).is_none() || !state.takeover.has(name)
             };
-            let open: Vec<(id::Worker, Listed)> = state
+            let workers: Vec<(id::Worker, ListedWorker)> = state
                 .listed
                 .iter()
-                .filter(missing)
+                .filter(not_adopted)
                 .map(|(name, host)| (name.clone(), host.clone()))
                 .collect();
-            (rack.epoch(), open)
+            (rack.epoch(), workers)
         };
-        if open.is_empty() {
+        if workers.is_empty() {
             return;
         }
-        let adopted = open
+        let adopted = workers
             .iter()
             .map(|(name, host)| self.adopt(node, name, host, epoch));
-        let any = join_all(adopted).await.into_iter().any(|done| !done);
-        if any {
-            tokio::time::sleep(RETRY).await;
+        let any_failed = join_all(adopted).await.into_iter().any(|done| !done);
+        if any_failed {
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -120,13 +120,13 @@
         self: &Arc<Self>,
         node: &Arc<Node>,
         name: &str,
-        listed: &Listed,
+        listed: &ListedWorker,
         epoch: id::Epoch,
     ) -> bool {
         let greeted = self.state().greeted.get(name).copied();
         let greeted = match greeted {
             Some(greeted) => greeted,
-            None => match self.greet_late(node, &listed.address, epoch).await {
+            None => match self.greet_owned(node, &listed.address, epoch).await {
                 Some(greeted) => greeted,
                 None => return false,
             },
@@ -142,17 +142,17 @@
         state.greeted.remove(name);
         match result {
             Ok(adopted) => {
-                state.adopted(name, listed, epoch, greeted, &adopted, (sent, now));
+                state.worker_adopted(name, listed, epoch, greeted, &adopted, (sent, now));
                 drop(state);
                 self.dispatch(now);
-                self.jobs_now.notify_one();
+                self.jobs_changed.notify_one();
                 true
             }
             Err(Error::Refused {
                 refusal: Refusal::Fenced { epoch: other },
             }) if other > epoch => {
                 drop(state);
-                node.beat_now.notify_one();
+                node.sync_now.notify_one();
                 false
             }
             Err(error) => {
@@ -167,7 +167,12 @@
     /// A restart has wiped the worker's slot. If this placer was deposed meanwhile without knowing
     /// it, its adoption would succeed at a worker that the new owner had fenced. So the row must
     /// still name this epoch after the life was seen.
-    async fn greet_late(&self, node: &Node, address: &str, epoch: id::Epoch) -> Option<Greeted> {
+    async fn greet_owned(
+        &self,
+        node: &Node,
+        address: &str,
+        epoch: id::Epoch,
+    ) -> Option<GreetedWorker> {
         let hello = node.workers.hello(address).await.ok()?;
         let key = Record::key(&self.name);
         let scan = node.table.scan(&[&key], 0).await.ok()?;
@@ -175,10 +180,10 @@
         let record: Record = serde_json::from_str(row.value.as_ref()?).ok()?;
         let mine = record.epoch == epoch && record.owner.as_ref() == Some(&node.options.name);
         if !mine {
-            node.beat_now.notify_one();
+            node.sync_now.notify_one();
             return None;
         }
-        Some(Greeted {
+        Some(GreetedWorker {
             incarnation: hello.incarnation,
         })
     }
@@ -186,19 +191,19 @@
 
 impl super::State {
     /// Takes note of a worker that obeys this epoch; `asked` is when it was asked and answered.
-    fn adopted(
+    fn worker_adopted(
         &mut self,
         name: &str,
-        listed: &Listed,
+        listed: &ListedWorker,
         epoch: id::Epoch,
-        greeted: Greeted,
+        greeted: GreetedWorker,
         adopted: &Adopted,
-        asked: (cell::Now, cell::Now),
+        times: (cell::Now, cell::Now),
     ) {
         let Some(rack) = self.rack.as_mut().filter(|rack| rack.epoch() == epoch) else {
             return;
         };
-        let (address, (sent, now)) = (&listed.address, asked);
+        let (address, (sent, now)) = (&listed.address, times);
         rack.adopt(name, address, greeted.incarnation, adopted, sent, now);
         rack.list(name, listed.leaving);
         self.takeover.fence(name, now);
--- a/crates/placer/src/shard/heartbeat.rs
+++ b/crates/placer/src/shard/heartbeat.rs
@@ -12,22 +12,29 @@
 
 /// Sends heartbeats until the placer ends.
 pub(super) async fn run(node: Arc<Node>, shard: Arc<Shard>) {
-    while shard.until_wanted(&node).await && node.stop.sleep(node.options.pulse).await {
+    while shard.wait_while_watching(&node).await
+        && node.shutdown.sleep(node.options.heartbeat_interval).await
+    {
         let workers: Vec<id::Worker> = match &shard.state().rack {
             Some(rack) => rack.hosts().map(|(name, _)| name.clone()).collect(),
             None => continue,
         };
-        join_all(workers.iter().map(|worker| shard.pulse(&node, worker))).await;
+        join_all(
+            workers
+                .iter()
+                .map(|worker| shard.send_heartbeat(&node, worker)),
+        )
+        .await;
         let now = node.now();
         let commands = shard.state().rack.as_mut().map(|rack| rack.tick(now));
-        shard.carry_out(&node, commands.unwrap_or_default());
+        shard.execute_commands(&node, commands.unwrap_or_default());
         shard.dispatch(now);
-        shard.jobs_now.notify_one();
+        shard.jobs_changed.notify_one();
     }
 }
 
 impl Shard {
-    async fn pulse(self: &Arc<Self>, node: &Arc<Node>, worker: &str) {
+    async fn send_heartbeat(self: &Arc<Self>, node: &Arc<Node>, worker: &str) {
         let sent = node.now();
         let next = self
             .state()
@@ -46,20 +53,20 @@
                 };
                 let commands = rack.pulsed(worker, &pulse, &report, sent, now);
                 drop(state);
-                self.carry_out(node, commands);
+                self.execute_commands(node, commands);
             }
             Err(Error::Refused {
                 refusal: Refusal::Fenced { epoch },
             }) if epoch > pulse.epoch => {
-                node.beat_now.notify_one();
+                node.sync_now.notify_one();
             }
             // It has begun a new life; it is adopted anew.
-            Err(Error::Refused { .. }) => self.restarted(worker, pulse.epoch),
+            Err(Error::Refused { .. }) => self.worker_restarted(worker, pulse.epoch),
             Err(error) => log::debug!(worker = worker; "no heartbeat: {error}"),
         }
     }
 
-    fn restarted(&self, worker: &str, epoch: id::Epoch) {
+    fn worker_restarted(&self, worker: &str, epoch: id::Epoch) {
         let mut state = self.state();
         let Some(rack) = state.rack.as_mut().filter(|rack| rack.epoch() == epoch) else {
             return;
@@ -69,16 +76,16 @@
     }
 
     /// Says to the workers what was decided.
-    pub(super) fn carry_out(self: &Arc<Self>, node: &Arc<Node>, commands: Vec<Command>) {
+    pub(super) fn execute_commands(self: &Arc<Self>, node: &Arc<Node>, commands: Vec<Command>) {
         for command in commands {
             let (node, shard) = (Arc::clone(node), Arc::clone(self));
-            node.stop
+            node.shutdown
                 .clone()
-                .spawn(async move { shard.command(&node, command).await });
+                .spawn(async move { shard.execute_command(&node, command).await });
         }
     }
 
-    async fn command(self: Arc<Self>, node: &Arc<Node>, command: Command) {
+    async fn execute_command(self: Arc<Self>, node: &Arc<Node>, command: Command) {
         match command {
             Command::Start { address, start } => {
                 let id = start.task.id.clone();
@@ -101,13 +108,13 @@
                     Some(rack) => rack.stop_outcome(&id, outcome, now),
                     None => Vec::new(),
                 };
-                self.carry_out(node, more);
+                self.execute_commands(node, more);
             }
             Command::Throttle { address, throttle } => {
                 drop(node.workers.throttle(&address, throttle).await);
             }
         }
-        self.jobs_now.notify_one();
+        self.jobs_changed.notify_one();
     }
 }
 
--- a/crates/placer/src/shard/jobs.rs
+++ b/crates/placer/src/shard/jobs.rs
@@ -18,44 +18,44 @@
 use crate::node::lock;
 
 /// How often jobs are looked at when nothing happens.
-const STEP: Duration = Duration::from_millis(400);
+const IDLE_INTERVAL: Duration = Duration::from_millis(400);
 /// Shortest time between two rounds of placing, so that what comes together is placed together.
-const ROUND: Duration = Duration::from_millis(5);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(5);
 /// How often rows of jobs are written.
-const SAVE_EVERY: Duration = Duration::from_millis(500);
+const SAVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Looks after jobs until the placer ends.
 pub(super) async fn run(node: Arc<Node>, shard: Arc<Shard>) {
     let mut saved_at = Duration::ZERO;
-    while shard.until_wanted(&node).await {
+    while shard.wait_while_watching(&node).await {
         tokio::select! {
-            () = tokio::time::sleep(STEP) => {}
-            () = shard.jobs_now.notified() => {}
-            () = node.stop.ended() => return,
+            () = tokio::time::sleep(IDLE_INTERVAL) => {}
+            () = shard.jobs_changed.notified() => {}
+            () = node.shutdown.ended() => return,
         }
-        shard.tell_news(&node).await;
+        shard.report_events(&node).await;
         if shard.state().desk.is_none() {
-            tokio::time::sleep(ROUND).await;
+            tokio::time::sleep(MIN_ROUND_INTERVAL).await;
             continue;
         }
-        shard.place_waiting(&node).await;
+        shard.place_tasks(&node).await;
         let now = node.now();
-        if now >= saved_at + SAVE_EVERY {
+        if now >= saved_at + SAVE_INTERVAL {
             saved_at = now;
-            shard.settle_doubts(&node).await;
+            shard.reconcile_inventory(&node).await;
             shard.stop_leftovers(&node).await;
             shard.save(&node).await;
         }
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(MIN_ROUND_INTERVAL).await;
     }
 }
 
 impl Shard {
-    async fn place_waiting(self: &Arc<Self>, node: &Arc<Node>) {
-        let Some(applied) = node.applied() else {
+    async fn place_tasks(self: &Arc<Self>, node: &Arc<Node>) {
+        let Some(applied) = node.active_config() else {
             return;
         };
-        for digest in node.own_digests() {
+        for digest in node.local_digests() {
             lock(&node.digests).learn(&digest);
         }
         let plans = {
@@ -69,7 +69,7 @@
             .into_iter()
             .partition(|plan| matches!(plan, Plan::Gang { .. }));
         let started = orders.into_iter().filter_map(|plan| match plan {
-            Plan::Start(order) => Some(self.order(node, order)),
+            Plan::Start(order) => Some(self.send_order(node, order)),
             Plan::Gang { .. } => None,
         });
         join_all(started).await;
@@ -81,7 +81,7 @@
     }
 
     /// Sends an order to the owner of its rack; `true` if every task was placed.
-    async fn order(self: &Arc<Self>, node: &Arc<Node>, order: Order) -> bool {
+    async fn send_order(self: &Arc<Self>, node: &Arc<Node>, order: Order) -> bool {
         let Some(placed) = node.place_at(&order).await else {
             self.with_desk(|desk| desk.doubt(&order.rack, node.now()));
             return false;
--- a/crates/placer/src/shard/jobs/events.rs
+++ b/crates/placer/src/shard/jobs/events.rs
@@ -14,27 +14,27 @@
 
 impl Shard {
     /// Takes note of what became of tasks of jobs at home here; `false` if they are not.
-    pub(crate) fn hear(&self, events: &[Event]) -> bool {
-        let heard = self.with_desk(|desk| events.iter().for_each(|event| desk.event(event)));
-        if heard.is_some() {
-            self.jobs_now.notify_one();
+    pub(crate) fn receive_events(&self, events: &[Event]) -> bool {
+        let accepted = self.with_desk(|desk| events.iter().for_each(|event| desk.event(event)));
+        if accepted.is_some() {
+            self.jobs_changed.notify_one();
         }
-        heard.is_some()
+        accepted.is_some()
     }
 
     /// Tells the owners of home racks what became of their tasks.
-    pub(super) async fn tell_news(self: &Arc<Self>, node: &Arc<Node>) {
+    pub(super) async fn report_events(self: &Arc<Self>, node: &Arc<Node>) {
         let mut by_home: BTreeMap<id::Rack, Vec<Event>> = BTreeMap::new();
         if let Some(rack) = &self.state().rack {
             for (home, event) in rack.news() {
                 by_home.entry(home.clone()).or_default().push(event.clone());
             }
         }
-        let told = by_home.into_iter().map(|(home, events)| async move {
-            let heard = node.report_to(&home, events.clone()).await;
-            heard.then_some((home, events))
+        let reports = by_home.into_iter().map(|(home, events)| async move {
+            let accepted = node.report_to(&home, events.clone()).await;
+            accepted.then_some((home, events))
         });
-        for (home, events) in join_all(told).await.into_iter().flatten() {
+        for (home, events) in join_all(reports).await.into_iter().flatten() {
             if let Some(rack) = &mut self.state().rack {
                 rack.confirmed(&home, &events);
             }
@@ -42,7 +42,7 @@
     }
 
     /// Asks all placers what their racks hold, if some of it is not known.
-    pub(super) async fn settle_doubts(self: &Arc<Self>, node: &Arc<Node>) {
+    pub(super) async fn reconcile_inventory(self: &Arc<Self>, node: &Arc<Node>) {
         let now = node.now();
         if self.with_desk(|desk| desk.doubtful(now)) != Some(true) {
             return;
@@ -50,10 +50,10 @@
         let Some(from) = self.with_desk(Desk::next_serial) else {
             return;
         };
-        for inventory in node.inventories(&from).await {
+        for inventory in node.collect_inventories(&from).await {
             self.with_desk(|desk| desk.counted(&inventory));
         }
-        self.jobs_now.notify_one();
+        self.jobs_changed.notify_one();
     }
 
     /// Stops what still runs of jobs that are over, and the rest of broken gangs.
--- a/crates/placer/src/shard/jobs/gang.rs
+++ b/crates/placer/src/shard/jobs/gang.rs
@@ -20,9 +20,9 @@
         let mut held = Vec::new();
         for order in &orders {
             held.push(order.rack.clone());
-            if !self.order(node, order.clone()).await {
+            if !self.send_order(node, order.clone()).await {
                 self.undo_gang(node, gang, &held).await;
-                self.return_gang(&orders);
+                self.requeue_gang(&orders);
                 return;
             }
         }
@@ -36,7 +36,7 @@
     }
 
     /// Members on racks that were not asked any more wait again.
-    fn return_gang(&self, orders: &[Order]) {
+    fn requeue_gang(&self, orders: &[Order]) {
         for order in orders {
             let placements = vec![Placement::Full; order.tasks.len()];
             let full = Placed {
--- a/crates/placer/src/shard/jobs/persistence.rs
+++ b/crates/placer/src/shard/jobs/persistence.rs
@@ -7,9 +7,9 @@
 use crate::Node;
 
 /// Rows of jobs that are written together, at most.
-const ROWS: usize = 128;
+const MAX_ROWS: usize = 128;
 /// Jobs that are over and still remembered.
-const KEEP_OVER: usize = 1_000;
+const MAX_FINISHED_JOBS: usize = 1_000;
 
 impl Shard {
     /// Writes the rows of jobs that have changed; `true` if nothing is left to write.
@@ -19,10 +19,10 @@
                 return false;
             };
             if rows.is_empty() {
-                self.forget(node).await;
+                self.delete_old_jobs(node).await;
                 return true;
             }
-            let later = rows.split_off(rows.len().min(ROWS));
+            let later = rows.split_off(rows.len().min(MAX_ROWS));
             self.with_desk(|desk| later.iter().for_each(|row| desk.not_saved(row)));
             if !self.save_rows(node, &rows).await {
                 self.with_desk(|desk| rows.iter().for_each(|row| desk.not_saved(row)));
@@ -47,14 +47,14 @@
     }
 
     /// Deletes the rows of jobs that were over long ago.
-    async fn forget(&self, node: &Node) {
-        let gone = self
-            .with_desk(|desk| desk.forget_over(KEEP_OVER))
+    async fn delete_old_jobs(&self, node: &Node) {
+        let deleted = self
+            .with_desk(|desk| desk.forget_over(MAX_FINISHED_JOBS))
             .unwrap_or_default();
-        if gone.is_empty() {
+        if deleted.is_empty() {
             return;
         }
-        let keys = gone.iter().map(|(team, job)| Saved::key(team, job));
+        let keys = deleted.iter().map(|(team, job)| Saved::key(team, job));
         let transaction = keys.fold(Transaction::default(), Transaction::delete);
         drop(node.table.commit(transaction).await);
     }
--- a/crates/placer/src/shard/jobs/placement.rs
+++ b/crates/placer/src/shard/jobs/placement.rs
@@ -23,7 +23,7 @@
         };
         let (placed, commands) = rack.place(order, now);
         drop(state);
-        self.carry_out(node, commands);
+        self.execute_commands(node, commands);
         placed
     }
 
@@ -34,12 +34,12 @@
         from: &Seniority,
         gang: &Gang,
     ) -> bool {
-        self.obey(node, from, |rack, now| rack.commit(gang, now))
+        self.execute_if_current(node, from, |rack, now| rack.commit(gang, now))
     }
 
     /// Gives up a gang on this rack.
     pub(crate) fn undo(self: &Arc<Self>, node: &Arc<Node>, from: &Seniority, gang: &Gang) -> bool {
-        self.obey(node, from, |rack, now| Some(rack.undo(gang, now)))
+        self.execute_if_current(node, from, |rack, now| Some(rack.undo(gang, now)))
     }
 
     /// Stops all tasks of a job on this rack.
@@ -50,12 +50,12 @@
         team: &str,
         job: &str,
     ) -> bool {
-        self.obey(node, from, |rack, now| Some(rack.stop(team, job, now)))
+        self.execute_if_current(node, from, |rack, now| Some(rack.stop(team, job, now)))
     }
 
     /// Does what the owner of a job asks, unless a later message of it was heard before; `false` if
     /// nothing was done.
-    fn obey(
+    fn execute_if_current(
         self: &Arc<Self>,
         node: &Arc<Node>,
         from: &Seniority,
@@ -73,7 +73,7 @@
             return false;
         };
         drop(state);
-        self.carry_out(node, commands);
+        self.execute_commands(node, commands);
         true
     }
 }
--- a/crates/placer/src/shard/jobs/submission.rs
+++ b/crates/placer/src/shard/jobs/submission.rs
@@ -6,7 +6,7 @@
 use platform::{Error, Transaction};
 use wire::{Fault, Job, Kind, State};
 
-use super::{SAVE_EVERY, Shard};
+use super::{SAVE_INTERVAL, Shard};
 use crate::Node;
 
 impl Shard {
@@ -16,33 +16,33 @@
         node: &Arc<Node>,
         job: Job,
     ) -> Result<State, Fault> {
-        let Some(applied) = node.applied() else {
+        let Some(applied) = node.active_config() else {
             return Err(Fault::new(Kind::NoOwner, "no configuration yet"));
         };
         Desk::admit(&job, &applied.cell)?;
         let known = self.with_desk(|desk| desk.find(&job));
         match known {
-            None => return Err(not_at_home()),
+            None => return Err(not_home_owner()),
             Some(Ok(Some(state))) => return Ok(state),
             Some(Err(fault)) => return Err(fault),
             Some(Ok(None)) => {}
         }
-        self.record_job(node, &job).await?;
+        self.write_job_row(node, &job).await?;
         let state = self
             .with_desk(|desk| desk.submit(job))
-            .ok_or_else(not_at_home)?;
-        self.jobs_now.notify_one();
+            .ok_or_else(not_home_owner)?;
+        self.jobs_changed.notify_one();
         Ok(state)
     }
 
     /// Writes the row of a new job. The rack's row is checked as well: a deposed owner must not
     /// say that it took a job which the new owner has not seen.
-    async fn record_job(self: &Arc<Self>, node: &Arc<Node>, job: &Job) -> Result<(), Fault> {
+    async fn write_job_row(self: &Arc<Self>, node: &Arc<Node>, job: &Job) -> Result<(), Fault> {
         let key = Saved::key(&job.team, &job.id);
         let value = serde_json::to_string(&Saved::new(job.clone()))
             .map_err(|e| Fault::new(Kind::BadInput, e.to_string()))?;
         let Some((version, _)) = self.state().record.clone() else {
-            return Err(not_at_home());
+            return Err(not_home_owner());
         };
         let transaction = Transaction::default()
             .check(cell::Record::key(&self.name), version)
@@ -60,15 +60,15 @@
                     Err(Fault::new(Kind::Conflict, "this id is taken"))
                 }
             }
-            Err(Error::Conflict { .. }) => Err(not_at_home()),
+            Err(Error::Conflict { .. }) => Err(not_home_owner()),
             Err(Error::Down { reason }) => Err(Fault::new(Kind::StoreDown, reason)),
-            Err(Error::Lost { .. }) => self.find_row(node, job, &key, &value).await,
+            Err(Error::Lost { .. }) => self.confirm_row(node, job, &key, &value).await,
         }
     }
 
     /// The answer to a new job's row was lost: reads whether it stands there. If that can't be
     /// told, the job may be taken, and this owner goes on asking so that it won't lie idle.
-    async fn find_row(
+    async fn confirm_row(
         self: &Arc<Self>,
         node: &Arc<Node>,
         job: &Job,
@@ -81,21 +81,21 @@
             Err(_) => {
                 let (shard, node) = (Arc::clone(self), Arc::clone(node));
                 let (job, key) = (job.clone(), key.to_owned());
-                node.stop
+                node.shutdown
                     .clone()
-                    .spawn(async move { shard.find_later(&node, job, &key).await });
+                    .spawn(async move { shard.confirm_row_later(&node, job, &key).await });
                 let reason = "the table took it or not; ask again with the same id";
                 Err(Fault::new(Kind::Lost, reason))
             }
         }
     }
 
-    async fn find_later(&self, node: &Node, job: Job, key: &str) {
-        while node.stop.sleep(SAVE_EVERY).await && self.state().desk.is_some() {
+    async fn confirm_row_later(&self, node: &Node, job: Job, key: &str) {
+        while node.shutdown.sleep(SAVE_INTERVAL).await && self.state().desk.is_some() {
             match read_row(node, key).await {
                 Ok(Some(_)) => {
                     self.with_desk(|desk| desk.submit(job));
-                    self.jobs_now.notify_one();
+                    self.jobs_changed.notify_one();
                     return;
                 }
                 Ok(None) => return,
@@ -108,7 +108,7 @@
     pub(crate) fn watch(&self, team: &str, job: &str) -> Result<State, Fault> {
         let state = self
             .with_desk(|desk| desk.state(team, job))
-            .ok_or_else(not_at_home)?;
+            .ok_or_else(not_home_owner)?;
         state.ok_or_else(|| Fault::new(Kind::UnknownJob, "there is no such job"))
     }
 
@@ -122,11 +122,11 @@
     ) -> Result<State, Fault> {
         let cancelled = self
             .with_desk(|desk| desk.cancel(team, job))
-            .ok_or_else(not_at_home)?;
+            .ok_or_else(not_home_owner)?;
         let Some((state, _)) = cancelled else {
             return Err(Fault::new(Kind::UnknownJob, "there is no such job"));
         };
-        self.jobs_now.notify_one();
+        self.jobs_changed.notify_one();
         self.stop_leftovers(node).await;
         if self.save(node).await {
             return Ok(state);
@@ -142,7 +142,7 @@
     Ok(row.and_then(|row| row.value))
 }
 
-fn not_at_home() -> Fault {
+fn not_home_owner() -> Fault {
     Fault::new(
         Kind::NotOwner,
         "this placer does not look after the team's jobs",
--- a/crates/placer/src/shard/ownership.rs
+++ b/crates/placer/src/shard/ownership.rs
@@ -11,33 +11,33 @@
 use crate::Node;
 
 /// How often a rack on its way to being owned is looked at.
-const STEP: Duration = Duration::from_millis(50);
+const TRANSITION_INTERVAL: Duration = Duration::from_millis(50);
 /// How often an owned rack is looked after; nothing there is urgent.
-const KEEP: Duration = Duration::from_millis(500);
+const ACTIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// A list that differs from the roster for this long is followed.
-const DRIFT: Duration = Duration::from_secs(5);
+const ROSTER_CHANGE_DELAY: Duration = Duration::from_secs(5);
 /// A worker that the platform has not listed for this long exists no more.
-const GONE: Duration = Duration::from_secs(15);
+const REMOVAL_DELAY: Duration = Duration::from_secs(15);
 
 /// Carries out the stages of ownership until the placer ends.
 pub(super) async fn run(node: Arc<Node>, shard: Arc<Shard>) {
-    while shard.until_wanted(&node).await {
-        let step = if shard.stage() == Stage::Active {
-            KEEP
+    while shard.wait_while_watching(&node).await {
+        let interval = if shard.stage() == Stage::Active {
+            ACTIVE_INTERVAL
         } else {
-            STEP
+            TRANSITION_INTERVAL
         };
         tokio::select! {
-            () = tokio::time::sleep(step) => {}
-            () = shard.stage_now.notified() => {}
-            () = node.stop.ended() => return,
+            () = tokio::time::sleep(interval) => {}
+            () = shard.stage_changed.notified() => {}
+            () = node.shutdown.ended() => return,
         }
         match shard.stage() {
             Stage::Watching => {}
             Stage::Greeting => shard.greet(&node).await,
             Stage::Taking => shard.take(&node).await,
             Stage::Fencing => shard.fence(&node).await,
-            Stage::Active => shard.keep(&node).await,
+            Stage::Active => shard.maintain(&node).await,
             Stage::Releasing => shard.release(&node).await,
         }
     }
@@ -55,18 +55,18 @@
             .unwrap_or_default();
         let roster: Roster = self.state().listed.keys().cloned().collect();
         let next = record.taken(&node.options.name, &node.options.address, roster);
-        let written = self.write(node, &key, version, &next).await;
+        let written = self.write_record(node, &key, version, &next).await;
         let Some(version) = written else {
             self.handle(&Event::Refused);
             return;
         };
         log::info!(rack = self.name.as_str(), epoch = next.epoch; "taken");
         metrics::counter!("lentilyoke_taken_total").increment(1);
-        self.taken(node, version, &record, next);
-        node.doubt(std::slice::from_ref(&self.name));
+        self.install_rack(node, version, &record, next);
+        node.mark_unconfirmed(std::slice::from_ref(&self.name));
     }
 
-    fn taken(&self, node: &Node, version: u64, before: &Record, next: Record) {
+    fn install_rack(&self, node: &Node, version: u64, before: &Record, next: Record) {
         let mut state = self.state();
         let epoch = next.epoch;
         let roster = next.rosters.last().cloned().unwrap_or_default();
@@ -86,14 +86,20 @@
         }
         state.takeover = Takeover::new(before.rosters.clone());
         state.record = Some((version, next));
-        state.drift = None;
+        state.roster_mismatch_since = None;
         state.ownership.handle(&Event::Taken(epoch));
         drop(state);
-        self.stage_now.notify_one();
+        self.stage_changed.notify_one();
     }
 
     /// Writes the rack's row; tells its version if it stands there.
-    async fn write(&self, node: &Node, key: &str, version: u64, next: &Record) -> Option<u64> {
+    async fn write_record(
+        &self,
+        node: &Node,
+        key: &str,
+        version: u64,
+        next: &Record,
+    ) -> Option<u64> {
         let value = serde_json::to_string(next).ok()?;
         let transaction = Transaction::default()
             .check(key, version)
@@ -105,19 +111,19 @@
                     version,
                     value: Some(value),
                 };
-                node.view().row(&row, node.now());
+                node.view().apply_row(&row, node.now());
                 Some(version)
             }
             Err(Error::Conflict { rows }) => {
                 rows.iter()
-                    .for_each(|row| drop(node.view().row(row, node.now())));
+                    .for_each(|row| drop(node.view().apply_row(row, node.now())));
                 None
             }
             // It may stand there all the same. Epoch, name and address make it unlike any other.
             Err(Error::Lost { .. }) => {
                 let rows = node.table.scan(&[key], 0).await.ok()?.rows;
                 let row = rows.into_iter().find(|row| row.key == key)?;
-                node.view().row(&row, node.now());
+                node.view().apply_row(&row, node.now());
                 (row.value.as_ref() == Some(&value)).then_some(row.version)
             }
             Err(Error::Down { .. }) => None,
@@ -128,7 +134,7 @@
     async fn fence(self: &Arc<Self>, node: &Arc<Node>) {
         self.refresh_list(node).await;
         self.adopt_all(node).await;
-        if !self.state().activate(node.now()) {
+        if !self.state().try_activate(node.now()) {
             return;
         }
         log::info!(rack = self.name.as_str(), epoch = self.epoch(); "active");
@@ -137,31 +143,31 @@
     }
 
     /// Looks after a rack that is owned.
-    async fn keep(self: &Arc<Self>, node: &Arc<Node>) {
+    async fn maintain(self: &Arc<Self>, node: &Arc<Node>) {
         self.refresh_list(node).await;
         self.adopt_all(node).await;
         if self.state().desk.is_none() {
             self.open_desk(node).await;
         }
-        self.settle(node).await;
+        self.write_settled_record(node).await;
         let now = node.now();
         let mut state = self.state();
-        state.memory.tick(now);
-        if state.drifted(now) && node.view().is_reachable() {
-            state.drift = None;
+        state.requests.evict_expired(now);
+        if state.roster_change_due(now) && node.view().is_reachable() {
+            state.roster_mismatch_since = None;
             state.ownership.handle(&Event::Wanted);
         }
     }
 
     /// Writes that earlier rosters count no more.
-    async fn settle(&self, node: &Node) {
+    async fn write_settled_record(&self, node: &Node) {
         let record = self.state().record.clone();
         let Some((version, record)) = record.filter(|(_, r)| r.rosters.len() > 1) else {
             return;
         };
         let next = record.settled();
         if let Some(version) = self
-            .write(node, &Record::key(&self.name), version, &next)
+            .write_record(node, &Record::key(&self.name), version, &next)
             .await
         {
             let mut state = self.state();
@@ -173,7 +179,7 @@
 
     /// Reads the jobs at home here.
     async fn open_desk(&self, node: &Node) {
-        let Some(applied) = node.applied() else {
+        let Some(applied) = node.active_config() else {
             return;
         };
         let cell = &applied.cell;
@@ -223,13 +229,13 @@
         if let Some((version, record)) = record {
             let key = Record::key(&self.name);
             if self
-                .write(node, &key, version, &record.released())
+                .write_record(node, &key, version, &record.released())
                 .await
                 .is_none()
             {
                 // The row could not be written; another placer takes the rack when this one's
                 // session has ended.
-                if !node.stop.is_draining() {
+                if !node.shutdown.is_draining() {
                     return;
                 }
             }
@@ -243,8 +249,8 @@
 
 impl super::State {
     /// Begins to act, if this owner is proved and no earlier one can act any more.
-    fn activate(&mut self, now: cell::Now) -> bool {
-        self.bury_gone(now);
+    fn try_activate(&mut self, now: cell::Now) -> bool {
+        self.fence_removed_workers(now);
         let ready = self.takeover.ready(now) && self.ownership.stage() == Stage::Fencing;
         let Some(rack) = self.rack.as_mut().filter(|rack| ready && rack.proved(now)) else {
             return false;
@@ -255,34 +261,35 @@
     }
 
     /// Whether the list has differed from the roster for long enough to follow it.
-    fn drifted(&mut self, now: cell::Now) -> bool {
+    fn roster_change_due(&mut self, now: cell::Now) -> bool {
         let listed: Roster = self.listed.keys().cloned().collect();
         let differs = self
             .rack
             .as_ref()
             .is_some_and(|rack| *rack.roster() != listed);
         if !differs || listed.is_empty() {
-            self.drift = None;
-        } else if self.drift.is_none() {
-            self.drift = Some(now);
+            self.roster_mismatch_since = None;
+        } else if self.roster_mismatch_since.is_none() {
+            self.roster_mismatch_since = Some(now);
         }
-        self.drift.is_some_and(|since| now >= since + DRIFT)
+        self.roster_mismatch_since
+            .is_some_and(|since| now >= since + ROSTER_CHANGE_DELAY)
     }
 
     /// Workers that the platform has not listed for long count as fenced.
-    fn bury_gone(&mut self, now: cell::Now) {
+    fn fence_removed_workers(&mut self, now: cell::Now) {
         let Some((_, record)) = &self.record else {
             return;
         };
         let expected: Roster = record.rosters.iter().flatten().cloned().collect();
-        self.missing
+        self.unlisted_since
             .retain(|worker, _| !self.listed.contains_key(worker));
         for worker in expected {
             if self.listed.contains_key(&worker) {
                 continue;
             }
-            let since = *self.missing.entry(worker.clone()).or_insert(now);
-            if now >= since + GONE {
+            let since = *self.unlisted_since.entry(worker.clone()).or_insert(now);
+            if now >= since + REMOVAL_DELAY {
                 self.takeover.fence(&worker, now);
             }
         }
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -13,21 +13,21 @@
 
 use super::Shard;
 use crate::Node;
-use crate::request_cache::Entry;
+use crate::request_cache::Lookup;
 
 /// Time for a message to a worker and back, beside the run.
-const TRAVEL: Duration = Duration::from_millis(200);
+const ROUND_TRIP_ALLOWANCE: Duration = Duration::from_millis(200);
 /// Retries that a team may save up.
-const SAVED_RETRIES: f64 = 16.0;
+const MAX_SAVED_RETRIES: f64 = 16.0;
 /// Attempts at one request, at most.
-const ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// How an attempt ended, if the request goes on.
-enum Next {
+enum AttemptResult {
     /// The caller gets this.
     Answer(Answer),
     /// It certainly did not run; it may be tried again, or this is the answer.
-    Again(Fault),
+    Retry(Fault),
 }
 
 impl Shard {
@@ -37,57 +37,57 @@
         if self.stage() != Stage::Active {
             return Answer::fault(Kind::NotOwner, "this placer does not own the rack");
         }
-        let entry = self.state().memory.begin(&name, &request);
+        let entry = self.state().requests.begin(&name, &request);
         match entry {
-            Entry::Conflict => {
+            Lookup::Conflict => {
                 Answer::fault(Kind::Conflict, "this id was used for another request")
             }
-            Entry::Ended(answer) => answer,
-            Entry::Running(mut answer) => {
+            Lookup::Ended(answer) => answer,
+            Lookup::Running(mut answer) => {
                 let ended = answer.wait_for(Option::is_some);
                 match tokio::time::timeout(request.budget(), ended).await {
-                    Ok(Ok(answer)) => answer.clone().unwrap_or_else(unknown),
-                    _ => unknown(),
+                    Ok(Ok(answer)) => answer.clone().unwrap_or_else(outcome_unknown),
+                    _ => outcome_unknown(),
                 }
             }
-            Entry::New => {
+            Lookup::New => {
                 let (done, answer) = oneshot::channel();
-                let stop = node.stop.clone();
+                let stop = node.shutdown.clone();
                 // A task of its own: if the connection to the entry breaks, this future is
                 // dropped, and with it the knowledge of what was started.
                 stop.spawn(async move {
                     let result = self.attempts(&node, &name, &request).await;
                     let now = node.now();
-                    self.state().memory.end(&name, &result, now);
+                    self.state().requests.end(&name, &result, now);
                     drop(done.send(result));
                 });
-                answer.await.unwrap_or_else(|_| unknown())
+                answer.await.unwrap_or_else(|_| outcome_unknown())
             }
         }
     }
 
     async fn attempts(self: &Arc<Self>, node: &Arc<Node>, name: &str, request: &Request) -> Answer {
         let expires = node.now() + request.budget();
-        let Some(applied) = node.applied() else {
+        let Some(applied) = node.active_config() else {
             return Answer::fault(Kind::NoOwner, "no configuration yet");
         };
         let Some(service) = applied.cell.service(&request.service) else {
             return Answer::fault(Kind::UnknownService, "there is no such service");
         };
-        self.pay(&request.team, applied.cell.policy.retry_share);
+        self.deposit_retry(&request.team, applied.cell.policy.retry_share);
         if !request.idempotent
             && let Err(fault) = self.claim(node, name).await
         {
             return fault.into();
         }
         let mut last = Fault::new(Kind::Deadline, "the deadline passed before it started");
-        for attempt in 0..ATTEMPTS {
+        for attempt in 0..MAX_ATTEMPTS {
             if attempt > 0 && !self.may_retry(&request.team) {
                 break;
             }
             match self.attempt(node, name, request, service, expires).await {
-                Next::Answer(answer) => return answer,
-                Next::Again(fault) => last = fault,
+                AttemptResult::Answer(answer) => return answer,
+                AttemptResult::Retry(fault) => last = fault,
             }
             if node.now() >= expires {
                 break;
@@ -114,16 +114,16 @@
             }
         };
         let epoch = claim.epoch;
-        let verdict = node.claims.hold(claim).await;
+        let verdict = node.claims.claim(claim).await;
         // A claim under an earlier epoch of this very placer does not allow a start under the
         // present one: an owner in between may have run it.
-        let still = self
+        let epoch_current = self
             .state()
             .record
             .as_ref()
             .is_some_and(|(_, r)| r.epoch == epoch);
         match verdict {
-            Verdict::Held if still => Ok(()),
+            Verdict::Held if epoch_current => Ok(()),
             Verdict::Held | Verdict::Fenced => Err(Fault::new(
                 Kind::NotOwner,
                 "another placer owns the rack now",
@@ -146,10 +146,10 @@
         request: &Request,
         service: &Service,
         expires: Now,
-    ) -> Next {
-        let go = match self.wait(node, request, service, expires).await {
+    ) -> AttemptResult {
+        let go = match self.wait_for_start(node, request, service, expires).await {
             Ok(go) => go,
-            Err(fault) => return Next::Answer(fault.into()),
+            Err(fault) => return AttemptResult::Answer(fault.into()),
         };
         let run = Run {
             epoch: go.epoch,
@@ -170,17 +170,17 @@
         );
         let result = node
             .workers
-            .run(&go.address, run, service.max_run + TRAVEL)
+            .run(&go.address, run, service.max_run + ROUND_TRIP_ALLOWANCE)
             .await;
         let took = node.now().saturating_sub(began);
         let (over, next) = match result {
-            Ok(ran) => ended(ran),
+            Ok(ran) => run_result(ran),
             Err(error) if error.had_no_effect() => {
                 let fault = Fault::new(Kind::NoWorker, format!("{}: {error}", go.worker));
-                (Over::Refused, Next::Again(fault))
+                (Over::Refused, AttemptResult::Retry(fault))
             }
             Err(error) => {
-                self.resolve(node, name, request, service, &go, &error)
+                self.resolve_attempt(node, name, request, service, &go, &error)
                     .await
             }
         };
@@ -193,23 +193,23 @@
     }
 
     /// Waits for a worker and for the key.
-    async fn wait(
+    async fn wait_for_start(
         &self,
         node: &Node,
         request: &Request,
         service: &Service,
         expires: Now,
     ) -> Result<Go, Fault> {
-        let (ticket, mut start) = self.queue(node, request, service, expires)?;
+        let (ticket, mut start) = self.enqueue(node, request, service, expires)?;
         self.dispatch(node.now());
-        let deadline = node.since.instant_at(expires);
+        let deadline = node.uptime.instant_at(expires);
         match tokio::time::timeout_at(deadline, &mut start).await {
             Ok(Ok(go)) => return Ok(go),
             Ok(Err(_)) => return Err(deposed()),
             Err(_) => {}
         }
         let mut state = self.state();
-        state.starts.remove(&ticket);
+        state.pending_starts.remove(&ticket);
         let withdrawn = state
             .rack
             .as_mut()
@@ -225,7 +225,7 @@
     }
 
     /// Lets a request wait; the start comes over the channel.
-    fn queue(
+    fn enqueue(
         &self,
         node: &Node,
         request: &Request,
@@ -238,12 +238,12 @@
         let rack = state.rack.as_mut().filter(|_| active).ok_or_else(deposed)?;
         let ticket = rack.enter(service.rank, &key, expires, node.now())?;
         let (sender, start) = oneshot::channel();
-        state.starts.insert(ticket, sender);
+        state.pending_starts.insert(ticket, sender);
         Ok((ticket, start))
     }
 
     /// No answer came from the worker: makes sure that the attempt is over, if that can be.
-    async fn resolve(
+    async fn resolve_attempt(
         &self,
         node: &Node,
         name: &str,
@@ -251,7 +251,7 @@
         service: &Service,
         go: &Go,
         error: &Error,
-    ) -> (Over, Next) {
+    ) -> (Over, AttemptResult) {
         log::warn!(request = name, worker = go.worker.as_str(); "no answer: {error}");
         let void = Void {
             epoch: go.epoch,
@@ -260,35 +260,38 @@
         };
         let lost = || Fault::new(Kind::Lost, format!("no answer from {}", go.worker));
         match node.workers.void(&go.address, void).await {
-            Ok(Voided::Ended(ran)) => ended(ran),
+            Ok(Voided::Ended(ran)) => run_result(ran),
             Ok(Voided::Never) => {
                 let fault = Fault::new(Kind::NoWorker, format!("{} did not start it", go.worker));
-                (Over::Refused, Next::Again(fault))
+                (Over::Refused, AttemptResult::Retry(fault))
             }
             Ok(Voided::Stopped) if request.idempotent => {
-                (Over::Known { failed: true }, Next::Again(lost()))
+                (Over::Known { failed: true }, AttemptResult::Retry(lost()))
             }
-            Ok(Voided::Stopped) => (Over::Known { failed: true }, Next::Answer(lost().into())),
+            Ok(Voided::Stopped) => (
+                Over::Known { failed: true },
+                AttemptResult::Answer(lost().into()),
+            ),
             Err(_) => (
                 Over::Unknown {
                     run: service.max_run,
                 },
-                Next::Answer(lost().into()),
+                AttemptResult::Answer(lost().into()),
             ),
         }
     }
 
-    fn pay(&self, team: &str, share: f64) {
+    fn deposit_retry(&self, team: &str, share: f64) {
         let mut state = self.state();
-        let budget = state.budgets.entry(team.to_owned());
+        let budget = state.retry_budgets.entry(team.to_owned());
         budget
-            .or_insert_with(|| RetryBudget::new(share, SAVED_RETRIES))
+            .or_insert_with(|| RetryBudget::new(share, MAX_SAVED_RETRIES))
             .deposit();
     }
 
     fn may_retry(&self, team: &str) -> bool {
         self.state()
-            .budgets
+            .retry_budgets
             .get_mut(team)
             .is_some_and(RetryBudget::try_withdraw)
     }
@@ -299,19 +302,19 @@
 }
 
 /// A whole answer came, or the worker says that it failed.
-fn ended(ran: Ran) -> (Over, Next) {
+fn run_result(ran: Ran) -> (Over, AttemptResult) {
     match ran.result {
         Ok(body) => (
             Over::Known { failed: false },
-            Next::Answer(Answer::Done(body)),
+            AttemptResult::Answer(Answer::Done(body)),
         ),
         Err(reason) => (
             Over::Known { failed: true },
-            Next::Answer(Answer::fault(Kind::Failed, reason)),
+            AttemptResult::Answer(Answer::fault(Kind::Failed, reason)),
         ),
     }
 }
 
-fn unknown() -> Answer {
+fn outcome_unknown() -> Answer {
     Answer::fault(Kind::Lost, "it is under way; its outcome is not known yet")
 }
--- a/crates/placer/src/table_view.rs
+++ b/crates/placer/src/table_view.rs
@@ -11,14 +11,14 @@
 
 /// Rows of the table as they were last read.
 #[derive(Debug, Default)]
-pub(crate) struct View {
+pub(crate) struct TableView {
     /// The transaction up to which it was read.
     pub(crate) version: Version,
     /// Rows of racks with their versions.
     pub(crate) records: BTreeMap<id::Rack, (Version, Record)>,
     /// The configuration's row.
     pub(crate) config: Option<(Version, config::raw::Cell)>,
-    sessions: BTreeMap<id::Placer, Seen>,
+    sessions: BTreeMap<id::Placer, SessionEntry>,
     reachable: bool,
     /// Rises whenever an owner changes.
     pub(crate) generation: u64,
@@ -26,16 +26,16 @@
 
 /// A placer's session and when it was last seen to change, by the clock of whoever looks.
 #[derive(Debug)]
-struct Seen {
+struct SessionEntry {
     session: Session,
     changed: Now,
     /// Its port refused connections since; it is not waited for until its session grows old.
-    gone: bool,
+    connection_refused: bool,
 }
 
-impl View {
+impl TableView {
     /// Takes note of rows that were read; tells which racks have new owners.
-    pub(crate) fn learn(&mut self, scan: &Scan, now: Now) -> Vec<id::Rack> {
+    pub(crate) fn apply_scan(&mut self, scan: &Scan, now: Now) -> Vec<id::Rack> {
         // While the table is down no session changes. The first read after that would show every
         // placer as dead, and all racks would change hands at once; so all begin anew.
         if !self.reachable {
@@ -48,13 +48,13 @@
         let changed: Vec<_> = scan
             .rows
             .iter()
-            .filter_map(|row| self.row(row, now))
+            .filter_map(|row| self.apply_row(row, now))
             .collect();
         changed
     }
 
     /// The table did not answer.
-    pub(crate) fn unreachable(&mut self) {
+    pub(crate) fn set_unreachable(&mut self) {
         self.reachable = false;
     }
 
@@ -64,12 +64,12 @@
     }
 
     /// Takes note of one row; tells the rack if its owner changed.
-    pub(crate) fn row(&mut self, row: &Row, now: Now) -> Option<id::Rack> {
+    pub(crate) fn apply_row(&mut self, row: &Row, now: Now) -> Option<id::Rack> {
         if let Some(rack) = row.key.strip_prefix(Record::PREFIX) {
-            return self.record(rack, row);
+            return self.apply_record(rack, row);
         }
         if let Some(placer) = row.key.strip_prefix(Session::PREFIX) {
-            self.session(placer, row, now);
+            self.apply_session(placer, row, now);
         } else if row.key == config::ROW
             && let Some(raw) = row
                 .value
@@ -85,7 +85,7 @@
         None
     }
 
-    fn record(&mut self, rack: &str, row: &Row) -> Option<id::Rack> {
+    fn apply_record(&mut self, rack: &str, row: &Row) -> Option<id::Rack> {
         let record: Record = serde_json::from_str(row.value.as_ref()?).ok()?;
         let known = self.records.get(rack);
         if known.is_some_and(|(version, _)| *version >= row.version) {
@@ -97,7 +97,7 @@
         (!same).then(|| rack.to_owned())
     }
 
-    fn session(&mut self, placer: &str, row: &Row, now: Now) {
+    fn apply_session(&mut self, placer: &str, row: &Row, now: Now) {
         let session = row
             .value
             .as_ref()
@@ -106,10 +106,10 @@
             Some(session) => {
                 self.sessions.insert(
                     placer.to_owned(),
-                    Seen {
+                    SessionEntry {
                         session,
                         changed: now,
-                        gone: false,
+                        connection_refused: false,
                     },
                 );
             }
@@ -121,43 +121,48 @@
 
     /// Live placers with their sessions.
     pub(crate) fn live(&self, now: Now, options: &Options) -> Vec<(&id::Placer, &Session)> {
-        let live = |seen: &Seen| !seen.gone && now.saturating_sub(seen.changed) < options.stale;
+        let live = |seen: &SessionEntry| {
+            !seen.connection_refused && now.saturating_sub(seen.changed) < options.session_timeout
+        };
         let sessions = self.sessions.iter().filter(|(_, seen)| live(seen));
         sessions.map(|(name, seen)| (name, &seen.session)).collect()
     }
 
     /// Which placer should own each rack; one of the rack's own region if any is live there.
-    pub(crate) fn ideals(
+    pub(crate) fn desired_owners(
         &self,
         cell: &Cell,
         now: Now,
         options: &Options,
     ) -> BTreeMap<id::Rack, id::Placer> {
         let live = self.live(now, options);
-        let able: Vec<_> = live.into_iter().filter(|(_, s)| !s.draining).collect();
-        let mut ideals = BTreeMap::new();
+        let candidates: Vec<_> = live.into_iter().filter(|(_, s)| !s.draining).collect();
+        let mut desired_owners = BTreeMap::new();
         let regions: BTreeSet<&str> = cell.racks.values().map(|r| r.region.as_str()).collect();
         for region in regions {
-            let near = able
+            let local = candidates
                 .iter()
                 .filter(|(_, s)| s.region == region)
                 .map(|(n, _)| *n);
-            let near: Vec<&id::Placer> = near.collect();
-            let all = able.iter().map(|(n, _)| *n).collect();
-            let members = if near.is_empty() { all } else { near };
+            let local: Vec<&id::Placer> = local.collect();
+            let all = candidates.iter().map(|(n, _)| *n).collect();
+            let members = if local.is_empty() { all } else { local };
             let owners = home::divide(cell.racks_in(region), &members);
-            ideals.extend(owners.into_iter().map(|(r, p)| (r.to_owned(), p.clone())));
+            desired_owners.extend(owners.into_iter().map(|(r, p)| (r.to_owned(), p.clone())));
         }
-        ideals
+        desired_owners
     }
 
     /// The placer that writes the claims of a data centre, with its address.
-    pub(crate) fn claimant(&self, now: Now, options: &Options) -> Option<(&id::Placer, &str)> {
+    pub(crate) fn claim_writer(&self, now: Now, options: &Options) -> Option<(&id::Placer, &str)> {
         let live = self.live(now, options);
-        let near = live
+        let local = live
             .iter()
             .filter(|(_, s)| s.data_centre == options.data_centre);
-        let names: Vec<&id::Placer> = near.filter(|(_, s)| !s.draining).map(|(n, _)| *n).collect();
+        let names: Vec<&id::Placer> = local
+            .filter(|(_, s)| !s.draining)
+            .map(|(n, _)| *n)
+            .collect();
         let name = home::rendezvous(names, &options.data_centre)?;
         Some((name, self.sessions.get(name)?.session.address.as_str()))
     }
@@ -178,12 +183,12 @@
 
     /// The placer at this address refuses connections: its process is gone. It counts as dead until
     /// its session changes again; if it lives after all, epochs keep it from doing harm.
-    pub(crate) fn gone(&mut self, address: &str) {
+    pub(crate) fn set_connection_refused(&mut self, address: &str) {
         let seen = self
             .sessions
             .values_mut()
             .filter(|seen| seen.session.address == address);
-        seen.for_each(|seen| seen.gone = true);
+        seen.for_each(|seen| seen.connection_refused = true);
     }
 
     /// Whether a placer is live.
--- a/crates/placer/tests/cluster/fault_injection.rs
+++ b/crates/placer/tests/cluster/fault_injection.rs
@@ -6,7 +6,7 @@
 
 use async_trait::async_trait;
 use config::{Version, raw};
-use placer::{Peers, Unreached};
+use placer::{PeerError, Peers};
 use platform::{Error as StoreError, Hosts, Scan, Table, Transaction};
 use resource::id;
 use standin::{Platform, Racks};
@@ -25,15 +25,15 @@
     /// Everything it says waits until it goes on.
     paused: watch::Sender<bool>,
     /// Workers that it can't reach.
-    unreached: Mutex<BTreeSet<String>>,
+    unreachable_workers: Mutex<BTreeSet<String>>,
     /// It can't reach the table.
     no_table: watch::Sender<bool>,
     /// Its beats can't read the table; single rows can be read.
-    no_beats: watch::Sender<bool>,
+    no_sync: watch::Sender<bool>,
     /// Its connections to workers break right after a run has begun.
-    breaking: watch::Sender<bool>,
+    break_runs: watch::Sender<bool>,
     /// Answers to its orders are lost.
-    losing: watch::Sender<bool>,
+    lose_placement_answers: watch::Sender<bool>,
     /// It can't reach other placers.
     no_peers: watch::Sender<bool>,
 }
@@ -42,11 +42,11 @@
     fn default() -> Self {
         Self {
             paused: watch::Sender::new(false),
-            unreached: Mutex::default(),
+            unreachable_workers: Mutex::default(),
             no_table: watch::Sender::new(false),
-            no_beats: watch::Sender::new(false),
-            losing: watch::Sender::new(false),
-            breaking: watch::Sender::new(false),
+            no_sync: watch::Sender::new(false),
+            lose_placement_answers: watch::Sender::new(false),
+            break_runs: watch::Sender::new(false),
             no_peers: watch::Sender::new(false),
         }
     }
@@ -59,7 +59,7 @@
     }
 
     /// Lets it go on.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.paused.send_replace(false);
     }
 
@@ -70,7 +70,10 @@
 
     /// Cuts it off from a worker.
     pub fn cut_worker(&self, address: &str) {
-        self.unreached.lock().unwrap().insert(address.to_owned());
+        self.unreachable_workers
+            .lock()
+            .unwrap()
+            .insert(address.to_owned());
     }
 
     /// Cuts it off from the table, or not.
@@ -79,18 +82,18 @@
     }
 
     /// Keeps its beats from reading the table, or not.
-    pub fn cut_beats(&self, cut: bool) {
-        self.no_beats.send_replace(cut);
+    pub fn cut_sync(&self, cut: bool) {
+        self.no_sync.send_replace(cut);
     }
 
     /// Breaks its connections to workers right after a run has begun, or not.
-    pub fn break_runs(&self, breaks: bool) {
-        self.breaking.send_replace(breaks);
+    pub fn break_runs(&self, enabled: bool) {
+        self.break_runs.send_replace(enabled);
     }
 
     /// Loses the answers to its orders, or not.
-    pub fn lose_orders(&self, loses: bool) {
-        self.losing.send_replace(loses);
+    pub fn lose_placement_answers(&self, enabled: bool) {
+        self.lose_placement_answers.send_replace(enabled);
     }
 
     /// Cuts it off from other placers, or not.
@@ -99,13 +102,13 @@
     }
 
     /// Waits until it goes on.
-    pub async fn pass(&self) {
+    pub async fn wait_while_paused(&self) {
         let mut paused = self.paused.subscribe();
         drop(paused.wait_for(|paused| !paused).await);
     }
 
     async fn table(&self) -> Result<(), StoreError> {
-        self.pass().await;
+        self.wait_while_paused().await;
         if *self.no_table.borrow() {
             return Err(StoreError::Down {
                 reason: "cut off".to_owned(),
@@ -115,8 +118,8 @@
     }
 
     async fn worker(&self, address: &str) -> Result<(), Error> {
-        self.pass().await;
-        if self.unreached.lock().unwrap().contains(address) {
+        self.wait_while_paused().await;
+        if self.unreachable_workers.lock().unwrap().contains(address) {
             tokio::time::sleep(worker::TIMEOUT).await;
             return Err(Error::NotSent {
                 reason: "cut off".to_owned(),
@@ -125,10 +128,10 @@
         Ok(())
     }
 
-    async fn peer(&self) -> Result<(), Unreached> {
-        self.pass().await;
+    async fn peer(&self) -> Result<(), PeerError> {
+        self.wait_while_paused().await;
         if *self.no_peers.borrow() {
-            Err(Unreached::NoAnswer)
+            Err(PeerError::NoAnswer)
         } else {
             Ok(())
         }
@@ -136,7 +139,7 @@
 }
 
 /// Everything that one placer talks to.
-pub struct Faulty {
+pub struct FaultyConnections {
     pub faults: Arc<Faults>,
     pub platform: Arc<Platform>,
     pub racks: Racks,
@@ -144,29 +147,29 @@
 }
 
 #[async_trait]
-impl Table for Faulty {
+impl Table for FaultyConnections {
     async fn commit(&self, transaction: Transaction) -> Result<platform::Version, StoreError> {
         self.faults.table().await?;
         let result = self.platform.commit(transaction).await;
-        self.faults.pass().await;
+        self.faults.wait_while_paused().await;
         result
     }
 
     async fn scan(&self, prefixes: &[&str], since: u64) -> Result<Scan, StoreError> {
         self.faults.table().await?;
-        if prefixes.len() > 1 && *self.faults.no_beats.borrow() {
+        if prefixes.len() > 1 && *self.faults.no_sync.borrow() {
             return Err(StoreError::Down {
                 reason: "cut off".to_owned(),
             });
         }
         let result = self.platform.scan(prefixes, since).await;
-        self.faults.pass().await;
+        self.faults.wait_while_paused().await;
         result
     }
 }
 
 #[async_trait]
-impl Hosts for Faulty {
+impl Hosts for FaultyConnections {
     async fn hosts(&self, racks: &[id::Rack]) -> Result<Vec<platform::Host>, StoreError> {
         self.faults.table().await?;
         self.platform.hosts(racks).await
@@ -174,7 +177,7 @@
 }
 
 #[async_trait]
-impl Host for Faulty {
+impl Host for FaultyConnections {
     async fn hello(&self, address: &str) -> Result<Hello, Error> {
         self.faults.worker(address).await?;
         self.racks.hello(address).await
@@ -192,7 +195,7 @@
 
     async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<Ran, Error> {
         self.faults.worker(address).await?;
-        if *self.faults.breaking.borrow() {
+        if *self.faults.break_runs.borrow() {
             let (racks, address) = (self.racks.clone(), address.to_owned());
             tokio::spawn(async move { racks.run(&address, run, limit).await });
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -201,13 +204,13 @@
             });
         }
         let result = self.racks.run(address, run, limit).await;
-        self.faults.pass().await;
+        self.faults.wait_while_paused().await;
         result
     }
 
     async fn void(&self, address: &str, void: Void) -> Result<Voided, Error> {
         self.faults.worker(address).await?;
-        if *self.faults.breaking.borrow() {
+        if *self.faults.break_runs.borrow() {
             return Err(Error::NoAnswer {
                 reason: "the connection broke".to_owned(),
             });
@@ -232,14 +235,14 @@
 }
 
 #[async_trait]
-impl Peers for Faulty {
-    async fn place(&self, address: &str, order: Order) -> Result<Placed, Unreached> {
+impl Peers for FaultyConnections {
+    async fn place(&self, address: &str, order: Order) -> Result<Placed, PeerError> {
         self.faults.peer().await?;
         let placed = self.net.reach(address).await?.place(order).await;
-        if *self.faults.losing.borrow() {
-            return Err(Unreached::NoAnswer);
+        if *self.faults.lose_placement_answers.borrow() {
+            return Err(PeerError::NoAnswer);
         }
-        placed.map_err(|_| Unreached::NoAnswer)
+        placed.map_err(|_| PeerError::NoAnswer)
     }
 
     async fn commit(
@@ -248,14 +251,14 @@
         rack: id::Rack,
         from: Seniority,
         gang: Gang,
-    ) -> Result<bool, Unreached> {
+    ) -> Result<bool, PeerError> {
         self.faults.peer().await?;
         self.net
             .reach(address)
             .await?
             .commit(rack, from, gang)
             .await
-            .map_err(|_| Unreached::NoAnswer)
+            .map_err(|_| PeerError::NoAnswer)
     }
 
     async fn undo(
@@ -264,14 +267,14 @@
         rack: id::Rack,
         from: Seniority,
         gang: Gang,
-    ) -> Result<bool, Unreached> {
+    ) -> Result<bool, PeerError> {
         self.faults.peer().await?;
         self.net
             .reach(address)
             .await?
             .undo(rack, from, gang)
             .await
-            .map_err(|_| Unreached::NoAnswer)
+            .map_err(|_| PeerError::NoAnswer)
     }
 
     async fn stop(
@@ -280,23 +283,23 @@
         rack: id::Rack,
         from: Seniority,
         job: (id::Team, id::Job),
-    ) -> Result<bool, Unreached> {
+    ) -> Result<bool, PeerError> {
         self.faults.peer().await?;
         let server = self.net.reach(address).await?;
         server
             .stop(rack, from, job.0, job.1)
             .await
-            .map_err(|_| Unreached::NoAnswer)
+            .map_err(|_| PeerError::NoAnswer)
     }
 
-    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, Unreached> {
+    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, PeerError> {
         self.faults.peer().await?;
         self.net
             .reach(address)
             .await?
             .inventory(from)
             .await
-            .map_err(|_| Unreached::NoAnswer)
+            .map_err(|_| PeerError::NoAnswer)
     }
 
     async fn report(
@@ -304,47 +307,47 @@
         address: &str,
         home: id::Rack,
         events: Vec<Event>,
-    ) -> Result<bool, Unreached> {
+    ) -> Result<bool, PeerError> {
         self.faults.peer().await?;
         self.net
             .reach(address)
             .await?
             .report(home, events)
             .await
-            .map_err(|_| Unreached::NoAnswer)
+            .map_err(|_| PeerError::NoAnswer)
     }
 
     async fn config(
         &self,
         address: &str,
-        than: Version,
-    ) -> Result<Option<(Version, raw::Cell)>, Unreached> {
+        min_version: Version,
+    ) -> Result<Option<(Version, raw::Cell)>, PeerError> {
         self.faults.peer().await?;
         self.net
             .reach(address)
             .await?
-            .config(than)
+            .config(min_version)
             .await
-            .map_err(|_| Unreached::NoAnswer)
+            .map_err(|_| PeerError::NoAnswer)
     }
 
-    async fn digests(&self, address: &str) -> Result<Vec<Digest>, Unreached> {
+    async fn digests(&self, address: &str) -> Result<Vec<Digest>, PeerError> {
         self.faults.peer().await?;
         self.net
             .reach(address)
             .await?
             .digests()
             .await
-            .map_err(|_| Unreached::NoAnswer)
+            .map_err(|_| PeerError::NoAnswer)
     }
 
-    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, Unreached> {
+    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, PeerError> {
         self.faults.peer().await?;
         self.net
             .reach(address)
             .await?
             .claim(claims)
             .await
-            .map_err(|_| Unreached::NoAnswer)
+            .map_err(|_| PeerError::NoAnswer)
     }
 }
--- a/crates/placer/tests/cluster/mod.rs
+++ b/crates/placer/tests/cluster/mod.rs
@@ -26,7 +26,7 @@
 use wire::{Answer, Job, Request, Shape, State};
 
 pub use fault_injection::Faults;
-use fault_injection::Faulty;
+use fault_injection::FaultyConnections;
 pub use net::Net;
 
 /// A team, a service and a key's usual names.
@@ -40,7 +40,7 @@
 }
 
 /// The cell.
-pub struct World {
+pub struct Cluster {
     pub platform: Arc<Platform>,
     pub racks: Racks,
     pub net: Arc<Net>,
@@ -62,24 +62,24 @@
         .into_raw()
 }
 
-impl World {
+impl Cluster {
     /// A cell with so many racks of so many workers, and no placer yet.
     pub async fn new(racks: usize, workers: u32) -> Self {
         let raw = cell_of(racks, workers);
-        let world = Self {
+        let cluster = Self {
             platform: Arc::default(),
             racks: Racks::default(),
             net: Arc::default(),
             placers: BTreeMap::new(),
             cell: Cell::try_from(raw.clone()).unwrap(),
         };
-        for rack in world.cell.racks.keys() {
+        for rack in cluster.cell.racks.keys() {
             for n in 0..workers {
-                world.add_worker(rack, n);
+                cluster.add_worker(rack, n);
             }
         }
-        world.configure(&raw).await;
-        world
+        cluster.configure(&raw).await;
+        cluster
     }
 
     /// Adds a worker to a rack and lists it.
@@ -105,19 +105,19 @@
 
     /// Starts a placer.
     pub fn start(&mut self, name: &str) -> Arc<Node> {
-        self.start_with(Options::new(name, name).place("north", "north-1"))
+        self.start_with(Options::new(name, name).with_location("north", "north-1"))
     }
 
     /// Starts a placer with options of its own.
     pub fn start_with(&mut self, options: Options) -> Arc<Node> {
         let faults = Arc::new(Faults::default());
-        let faulty = Arc::new(Faulty {
+        let faulty = Arc::new(FaultyConnections {
             faults: Arc::clone(&faults),
             platform: Arc::clone(&self.platform),
             racks: self.racks.clone(),
             net: Arc::clone(&self.net),
         });
-        let stop = Shutdown::default();
+        let shutdown = Shutdown::default();
         let name = options.name.clone();
         let node = Node::new(
             options,
@@ -125,7 +125,7 @@
             faulty.clone(),
             faulty.clone(),
             faulty,
-            stop,
+            shutdown,
         );
         self.net.add(&name, Arc::clone(&node), Arc::clone(&faults));
         node.spawn();
@@ -149,8 +149,8 @@
     /// Stops everything and joins it.
     pub async fn end(self) {
         for placer in self.placers.values() {
-            placer.faults.thaw();
-            placer.node.stop.join().await;
+            placer.faults.resume();
+            placer.node.shutdown.join().await;
         }
     }
 
@@ -172,41 +172,41 @@
     }
 
     /// Waits until every rack has an active owner; panics after so long.
-    pub async fn settle(&self, longest: Duration) {
+    pub async fn settle(&self, timeout: Duration) {
         let settled = || {
             self.cell
                 .racks
                 .keys()
                 .all(|rack| self.owner(rack).is_some())
         };
-        until(longest, settled).await;
+        wait_until(timeout, settled).await;
     }
 
     /// Asks the owner of the key's rack.
-    pub async fn ask(&self, request: Request) -> Answer {
-        let rack = self.home(&request.key);
+    pub async fn send(&self, request: Request) -> Answer {
+        let rack = self.home_rack(&request.key);
         let Some(owner) = self.owner(&rack) else {
             return Answer::fault(wire::Kind::NoOwner, "no owner");
         };
-        self.ask_at(&owner, request).await
+        self.send_to(&owner, request).await
     }
 
     /// Asks one placer.
-    pub async fn ask_at(&self, placer: &str, request: Request) -> Answer {
-        let rack = self.home(&request.key);
+    pub async fn send_to(&self, placer: &str, request: Request) -> Answer {
+        let rack = self.home_rack(&request.key);
         let node = Arc::clone(&self.placers[placer].node);
         Server::new(node).run(rack, request).await.unwrap()
     }
 
     /// Asks one placer, and does not wait for the answer.
-    pub fn ask_later(&self, placer: &str, request: Request) -> tokio::task::JoinHandle<Answer> {
+    pub fn spawn_send(&self, placer: &str, request: Request) -> tokio::task::JoinHandle<Answer> {
         let server = Server::new(Arc::clone(&self.placers[placer].node));
-        let rack = self.home(&request.key);
+        let rack = self.home_rack(&request.key);
         tokio::spawn(async move { server.run(rack, request).await.unwrap() })
     }
 
     /// The rack that a key is at home in.
-    pub fn home(&self, key: &str) -> String {
+    pub fn home_rack(&self, key: &str) -> String {
         let service = self.cell.service(SERVICE).unwrap();
         config::home::key(&self.cell, service, key)
             .unwrap()
@@ -214,15 +214,15 @@
     }
 
     /// The placer that looks after the team's jobs.
-    pub fn desk(&self) -> Server {
+    pub fn home_server(&self) -> Server {
         let owner = self
-            .owner(&self.team_home())
+            .owner(&self.team_home_rack())
             .expect("an owner of the team's home rack");
         Server::new(Arc::clone(&self.placers[&owner].node))
     }
 
     /// The rack that the team's jobs are at home in.
-    pub fn team_home(&self) -> String {
+    pub fn team_home_rack(&self) -> String {
         let team = self.cell.team(TEAM).unwrap();
         config::home::team(&self.cell, TEAM, team)
             .unwrap()
@@ -231,22 +231,25 @@
 
     /// Submits a job.
     pub async fn submit(&self, job: Job) -> Result<State, wire::Fault> {
-        self.desk().submit(self.team_home(), job).await.unwrap()
+        self.home_server()
+            .submit(self.team_home_rack(), job)
+            .await
+            .unwrap()
     }
 
     /// Tells where a job stands; `None` while nobody can tell.
-    pub async fn watch(&self, job: &str) -> Option<State> {
-        let owner = self.owner(&self.team_home())?;
+    pub async fn job_state(&self, job: &str) -> Option<State> {
+        let owner = self.owner(&self.team_home_rack())?;
         let server = Server::new(Arc::clone(&self.placers[&owner].node));
         server
-            .watch(self.team_home(), TEAM.to_owned(), job.to_owned())
+            .watch(self.team_home_rack(), TEAM.to_owned(), job.to_owned())
             .await
             .unwrap()
             .ok()
     }
 
     /// Panics if two attempts at one task run at this moment.
-    pub fn check_attempts(&self) {
+    pub fn check_no_duplicate_attempts(&self) {
         let held = self.racks.held();
         for (n, one) in held.iter().enumerate() {
             let other = held[n + 1..].iter().find(|other| other.same_task(one));
@@ -255,11 +258,16 @@
     }
 
     /// Waits until a job stands as wanted; panics after so long.
-    pub async fn await_job(&self, job: &str, longest: Duration, wanted: impl Fn(&State) -> bool) {
-        let deadline = tokio::time::Instant::now() + longest;
+    pub async fn wait_for_job(
+        &self,
+        job: &str,
+        timeout: Duration,
+        wanted: impl Fn(&State) -> bool,
+    ) {
+        let deadline = tokio::time::Instant::now() + timeout;
         loop {
-            let state = self.watch(job).await;
-            self.check_attempts();
+            let state = self.job_state(job).await;
+            self.check_no_duplicate_attempts();
             if state.as_ref().is_some_and(&wanted) {
                 return;
             }
@@ -293,7 +301,7 @@
     }
 
     /// Panics if two runs worked on one key at one time, or a worker held more than it has.
-    pub fn check(&self) {
+    pub fn check_invariants(&self) {
         let journal = self.journal();
         let mut by_key: BTreeMap<&str, Vec<(u64, u64)>> = BTreeMap::new();
         for run in &journal.runs {
@@ -320,12 +328,12 @@
 }
 
 /// Waits until something is so; panics after so long.
-pub async fn until(longest: Duration, so: impl Fn() -> bool) {
-    let deadline = tokio::time::Instant::now() + longest;
-    while !so() {
+pub async fn wait_until(timeout: Duration, condition: impl Fn() -> bool) {
+    let deadline = tokio::time::Instant::now() + timeout;
+    while !condition() {
         assert!(
             tokio::time::Instant::now() < deadline,
-            "not so within {longest:?}"
+            "not so within {timeout:?}"
         );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/placer/tests/cluster/net.rs
+++ b/crates/placer/tests/cluster/net.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-use placer::{Node, Server, Unreached};
+use placer::{Node, PeerError, Server};
 
 use super::Faults;
 
@@ -31,10 +31,10 @@
     }
 
     /// Reaches a placer; one that is paused answers when it goes on.
-    pub async fn reach(&self, address: &str) -> Result<Server, Unreached> {
+    pub async fn reach(&self, address: &str) -> Result<Server, PeerError> {
         let found = self.nodes.lock().unwrap().get(address).cloned();
-        let (node, faults) = found.ok_or(Unreached::Gone)?;
-        faults.pass().await;
+        let (node, faults) = found.ok_or(PeerError::ConnectionRefused)?;
+        faults.wait_while_paused().await;
         Ok(Server::new(node))
     }
 }
--- a/crates/placer/tests/configuration.rs
+++ b/crates/placer/tests/configuration.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use cluster::{World, cell_of, secs, until};
+use cluster::{Cluster, cell_of, secs, wait_until};
 use placer::Options;
 use standin::Faults;
 use wire::Ask;
@@ -28,45 +28,45 @@
 /// Operators see: a new version in every placer within 5 s.
 #[tokio::test(start_paused = true)]
 async fn a_new_version_is_in_force_everywhere_within_seconds() {
-    let mut world = World::new(1, 3).await;
+    let mut cluster = Cluster::new(1, 3).await;
     for n in 1..=5 {
-        world.start(&format!("p{n}"));
+        cluster.start(&format!("p{n}"));
     }
-    world.settle(secs(10)).await;
-    let version = world.configure(&queue(99)).await;
+    cluster.settle(secs(10)).await;
+    let version = cluster.configure(&queue(99)).await;
     let applied = || {
-        world
+        cluster
             .placers
             .values()
             .all(|p| p.node.status().config == version)
     };
-    until(secs(5), applied).await;
-    world.end().await;
+    wait_until(secs(5), applied).await;
+    cluster.end().await;
 }
 
 /// Callers see: service, after some seconds. p2 starts while the table is down; it learns the
 /// configuration from p1 and gives its entries none before that.
 #[tokio::test(start_paused = true)]
 async fn a_placer_that_starts_in_an_outage_learns_from_its_peers() {
-    let mut world = World::new(1, 3).await;
-    world.start("p1");
-    world.settle(secs(5)).await;
-    let version = world.configure(&queue(99)).await;
-    until(secs(5), || {
-        world.placers["p1"].node.status().config == version
+    let mut cluster = Cluster::new(1, 3).await;
+    cluster.start("p1");
+    cluster.settle(secs(5)).await;
+    let version = cluster.configure(&queue(99)).await;
+    wait_until(secs(5), || {
+        cluster.placers["p1"].node.status().config == version
     })
     .await;
-    world.platform.set(Faults {
+    cluster.platform.set(Faults {
         down: true,
         ..Faults::default()
     });
-    let mut options = Options::new("p2", "p2").place("north", "north-1");
+    let mut options = Options::new("p2", "p2").with_location("north", "north-1");
     options.peers = vec!["p1".to_owned()];
-    let second = world.start_with(options);
+    let second = cluster.start_with(options);
     assert!(second.routes(&ask(0)).is_none());
-    until(secs(5), || second.status().config == version).await;
+    wait_until(secs(5), || second.status().config == version).await;
     assert_eq!(second.routes(&ask(0)).unwrap().config.unwrap().0, version);
-    world.end().await;
+    cluster.end().await;
 }
 
 /// Callers see: no answer under the old configuration. p1 is paused, a new version is accepted
@@ -74,44 +74,44 @@
 /// away, until it has heard of it or of a newer one.
 #[tokio::test(start_paused = true)]
 async fn a_placer_that_was_paused_gives_nothing_away_until_it_has_heard() {
-    let mut world = World::new(1, 3).await;
-    let first = world.start("p1");
-    world.settle(secs(5)).await;
+    let mut cluster = Cluster::new(1, 3).await;
+    let first = cluster.start("p1");
+    cluster.settle(secs(5)).await;
     let old = first.status().config;
-    world.placers["p1"].faults.pause();
+    cluster.placers["p1"].faults.pause();
     tokio::time::sleep(secs(10)).await;
-    let version = world.configure(&queue(99)).await;
-    world.platform.set(Faults {
+    let version = cluster.configure(&queue(99)).await;
+    cluster.platform.set(Faults {
         down: true,
         ..Faults::default()
     });
-    world.placers["p1"].faults.thaw();
+    cluster.placers["p1"].faults.resume();
     tokio::time::sleep(secs(5)).await;
     assert_eq!(first.status().config, old);
     assert!(first.routes(&ask(0)).is_none());
-    assert!(first.config_than(0).is_none());
-    world.platform.set(Faults::default());
-    until(secs(5), || first.status().config == version).await;
+    assert!(first.config_at_least(0).is_none());
+    cluster.platform.set(Faults::default());
+    wait_until(secs(5), || first.status().config == version).await;
     assert!(first.routes(&ask(0)).is_some());
-    world.end().await;
+    cluster.end().await;
 }
 
 /// Operators see: the new version stays. p1 is cut off from the table when the new version is
 /// written; it learns it from p2, and neither ever goes back.
 #[tokio::test(start_paused = true)]
 async fn a_placer_that_is_cut_off_from_the_table_learns_from_others() {
-    let mut world = World::new(1, 3).await;
-    let first = world.start("p1");
-    let second = world.start("p2");
-    world.settle(secs(10)).await;
+    let mut cluster = Cluster::new(1, 3).await;
+    let first = cluster.start("p1");
+    let second = cluster.start("p2");
+    cluster.settle(secs(10)).await;
     tokio::time::sleep(secs(3)).await;
-    world.placers["p1"].faults.cut_table(true);
-    let version = world.configure(&queue(99)).await;
-    until(secs(5), || first.status().config == version).await;
-    until(secs(5), || second.status().config == version).await;
-    world.placers["p1"].faults.cut_table(false);
+    cluster.placers["p1"].faults.cut_table(true);
+    let version = cluster.configure(&queue(99)).await;
+    wait_until(secs(5), || first.status().config == version).await;
+    wait_until(secs(5), || second.status().config == version).await;
+    cluster.placers["p1"].faults.cut_table(false);
     tokio::time::sleep(secs(10)).await;
     assert_eq!(first.status().config, version);
     drop(Arc::clone(&first));
-    world.end().await;
+    cluster.end().await;
 }
--- a/crates/placer/tests/outages.rs
+++ b/crates/placer/tests/outages.rs
@@ -4,7 +4,7 @@
 
 mod cluster;
 
-use cluster::{World, request, secs, until};
+use cluster::{Cluster, request, secs, wait_until};
 use wire::Class;
 
 /// Callers see: the outage of the table does not touch what needs no claim. The table is down for
@@ -12,59 +12,61 @@
 /// the outage nor right after it, when every session looks old.
 #[tokio::test(start_paused = true)]
 async fn an_owner_goes_on_while_the_table_is_down() {
-    let mut world = World::new(4, 3).await;
-    world.start("p1");
-    world.start("p2");
-    world.settle(secs(12)).await;
+    let mut cluster = Cluster::new(4, 3).await;
+    cluster.start("p1");
+    cluster.start("p2");
+    cluster.settle(secs(12)).await;
     tokio::time::sleep(secs(5)).await;
     let racks = ["r1", "r2", "r3", "r4"];
-    let before: Vec<_> = racks.iter().map(|rack| world.owner(rack)).collect();
-    world.platform.set(standin::Faults {
+    let before: Vec<_> = racks.iter().map(|rack| cluster.owner(rack)).collect();
+    cluster.platform.set(standin::Faults {
         down: true,
         ..Default::default()
     });
     for n in 0..24 {
         let key = format!("k{n}");
-        let answer = world.ask(request(&format!("a{n}"), &key, true, 5)).await;
+        let answer = cluster.send(request(&format!("a{n}"), &key, true, 5)).await;
         assert_eq!(answer.class(), Class::Done);
-        let answer = world.ask(request(&format!("b{n}"), &key, false, 5)).await;
+        let answer = cluster
+            .send(request(&format!("b{n}"), &key, false, 5))
+            .await;
         assert_eq!(answer.class(), Class::NotRun);
-        assert_eq!(world.runs(&format!("b{n}")), 0);
+        assert_eq!(cluster.runs(&format!("b{n}")), 0);
         tokio::time::sleep(secs(5)).await;
     }
-    world.platform.set(standin::Faults::default());
+    cluster.platform.set(standin::Faults::default());
     tokio::time::sleep(secs(10)).await;
-    let after: Vec<_> = racks.iter().map(|rack| world.owner(rack)).collect();
+    let after: Vec<_> = racks.iter().map(|rack| cluster.owner(rack)).collect();
     assert_eq!(before, after);
-    let answer = world.ask(request("c", "k", false, 5)).await;
+    let answer = cluster.send(request("c", "k", false, 5)).await;
     assert_eq!(answer.class(), Class::Done);
-    world.check();
-    world.end().await;
+    cluster.check_invariants();
+    cluster.end().await;
 }
 
 /// Callers see: "not run" for the dead owner's racks until the table is back, and answers soon
 /// after. p1 dies while the table is down; nobody can take its racks without the table.
 #[tokio::test(start_paused = true)]
 async fn racks_of_an_owner_that_dies_in_an_outage_wait_for_the_table() {
-    let mut world = World::new(1, 3).await;
-    world.start("p1");
-    world.settle(secs(5)).await;
-    world.start("p2");
+    let mut cluster = Cluster::new(1, 3).await;
+    cluster.start("p1");
+    cluster.settle(secs(5)).await;
+    cluster.start("p2");
     tokio::time::sleep(secs(3)).await;
-    let owner = world.owner("r1").unwrap();
-    world.platform.set(standin::Faults {
+    let owner = cluster.owner("r1").unwrap();
+    cluster.platform.set(standin::Faults {
         down: true,
         ..Default::default()
     });
-    world.kill(&owner);
+    cluster.kill(&owner);
     tokio::time::sleep(secs(60)).await;
-    assert_eq!(world.owner("r1"), None);
-    world.platform.set(standin::Faults::default());
-    world.settle(secs(10)).await;
-    let answer = world.ask(request("a", "k", false, 5)).await;
+    assert_eq!(cluster.owner("r1"), None);
+    cluster.platform.set(standin::Faults::default());
+    cluster.settle(secs(10)).await;
+    let answer = cluster.send(request("a", "k", false, 5)).await;
     assert_eq!(answer.class(), Class::Done);
-    world.check();
-    world.end().await;
+    cluster.check_invariants();
+    cluster.end().await;
 }
 
 /// Callers see: in each region, answers to what needs no table, all along; and no change of owner
@@ -73,7 +75,7 @@
 /// it could never act, and would only depose the south when the link is back.
 #[tokio::test(start_paused = true)]
 async fn a_region_that_is_cut_off_keeps_its_racks() {
-    let mut world = World::new(1, 3).await;
+    let mut cluster = Cluster::new(1, 3).await;
     let mut raw = cluster::cell_of(1, 3);
     raw.regions.push(config::raw::Region {
         name: "south".to_owned(),
@@ -82,45 +84,47 @@
             racks: vec!["s1".to_owned()],
         }],
     });
-    world.configure(&raw).await;
-    world.cell = config::Cell::try_from(raw).unwrap();
+    cluster.configure(&raw).await;
+    cluster.cell = config::Cell::try_from(raw).unwrap();
     for n in 0..3 {
-        world.add_worker("s1", n);
+        cluster.add_worker("s1", n);
     }
-    world.start("p1");
-    world.start_with(placer::Options::new("p2", "p2").place("south", "south-1"));
-    until(secs(20), || {
-        world.active("p1", "r1") && world.active("p2", "s1")
+    cluster.start("p1");
+    cluster.start_with(placer::Options::new("p2", "p2").with_location("south", "south-1"));
+    wait_until(secs(20), || {
+        cluster.active("p1", "r1") && cluster.active("p2", "s1")
     })
     .await;
     let cut = |cut| {
-        world.placers["p2"].faults.cut_table(cut);
-        world.placers["p2"].faults.cut_peers(cut);
+        cluster.placers["p2"].faults.cut_table(cut);
+        cluster.placers["p2"].faults.cut_peers(cut);
     };
     cut(true);
     for n in 0..3 {
-        world.placers["p1"].faults.cut_worker(&format!("s1-{n}"));
+        cluster.placers["p1"].faults.cut_worker(&format!("s1-{n}"));
     }
     let epoch = |node: &placer::Node| node.status().racks[0].epoch;
-    let before = epoch(&world.placers["p2"].node);
+    let before = epoch(&cluster.placers["p2"].node);
     for n in 0..24 {
-        let near = world
-            .ask_at("p1", request(&format!("a{n}"), "k", false, 5))
+        let near = cluster
+            .send_to("p1", request(&format!("a{n}"), "k", false, 5))
             .await;
         assert_eq!(near.class(), Class::Done);
-        let far = world
-            .ask_at("p2", request(&format!("b{n}"), "south:k", true, 5))
+        let far = cluster
+            .send_to("p2", request(&format!("b{n}"), "south:k", true, 5))
             .await;
         assert_eq!(far.class(), Class::Done);
         tokio::time::sleep(secs(5)).await;
     }
     cut(false);
     tokio::time::sleep(secs(10)).await;
-    assert_eq!(epoch(&world.placers["p2"].node), before);
-    let far = world.ask_at("p2", request("c", "south:k", false, 5)).await;
+    assert_eq!(epoch(&cluster.placers["p2"].node), before);
+    let far = cluster
+        .send_to("p2", request("c", "south:k", false, 5))
+        .await;
     assert_eq!(far.class(), Class::Done);
-    world.check();
-    world.end().await;
+    cluster.check_invariants();
+    cluster.end().await;
 }
 
 /// Callers see: for keys at home in the lost data centre "not run, come back", all along; for the
@@ -130,63 +134,65 @@
 /// are when it is back.
 #[tokio::test(start_paused = true)]
 async fn the_loss_of_a_data_centre_is_not_the_loss_of_the_region() {
-    let mut world = World::new(1, 3).await;
+    let mut cluster = Cluster::new(1, 3).await;
     let mut raw = cluster::cell_of(1, 3);
     raw.regions[0].data_centres.push(config::raw::DataCentre {
         name: "north-2".to_owned(),
         racks: vec!["z1".to_owned()],
     });
-    world.configure(&raw).await;
-    world.cell = config::Cell::try_from(raw).unwrap();
+    cluster.configure(&raw).await;
+    cluster.cell = config::Cell::try_from(raw).unwrap();
     for n in 0..3 {
-        world.add_worker("z1", n);
+        cluster.add_worker("z1", n);
     }
-    world.start("p1");
-    world.start_with(placer::Options::new("p2", "p2").place("north", "north-2"));
-    world.settle(secs(20)).await;
+    cluster.start("p1");
+    cluster.start_with(placer::Options::new("p2", "p2").with_location("north", "north-2"));
+    cluster.settle(secs(20)).await;
     tokio::time::sleep(secs(6)).await;
     let key = |rack: &str| {
         (0..100)
             .map(|n| format!("k{n}"))
-            .find(|k| world.home(k) == rack)
+            .find(|k| cluster.home_rack(k) == rack)
     };
     let (near, lost) = (key("r1").unwrap(), key("z1").unwrap());
-    world
+    cluster
         .submit(cluster::job("watch", wire::Shape::Service, 6, 2, 0))
         .await
         .unwrap();
-    world.await_job("watch", secs(10), |s| s.running == 6).await;
+    cluster
+        .wait_for_job("watch", secs(10), |s| s.running == 6)
+        .await;
     let freeze = |frozen| {
         for n in 0..3 {
             let mischief = standin::Mischief {
                 frozen,
                 ..standin::Mischief::default()
             };
-            world.racks.set(&format!("z1-{n}"), mischief);
+            cluster.racks.set(&format!("z1-{n}"), mischief);
         }
     };
     freeze(true);
-    world.placers["p2"].faults.kill();
-    world.net.remove("p2");
-    until(secs(5), || world.active("p1", "r1")).await;
+    cluster.placers["p2"].faults.kill();
+    cluster.net.remove("p2");
+    wait_until(secs(5), || cluster.active("p1", "r1")).await;
     for n in 0..20 {
-        let answer = world
-            .ask_at("p1", request(&format!("a{n}"), &near, false, 5))
+        let answer = cluster
+            .send_to("p1", request(&format!("a{n}"), &near, false, 5))
             .await;
         assert_eq!(answer.class(), Class::Done);
-        let answer = world
-            .ask_at("p1", request(&format!("b{n}"), &lost, false, 5))
+        let answer = cluster
+            .send_to("p1", request(&format!("b{n}"), &lost, false, 5))
             .await;
         assert_eq!(answer.class(), Class::NotRun);
         tokio::time::sleep(secs(2)).await;
-        world.check_attempts();
+        cluster.check_no_duplicate_attempts();
     }
     freeze(false);
-    until(secs(15), || world.active("p1", "z1")).await;
-    let answer = world.ask_at("p1", request("c", &lost, false, 5)).await;
+    wait_until(secs(15), || cluster.active("p1", "z1")).await;
+    let answer = cluster.send_to("p1", request("c", &lost, false, 5)).await;
     assert_eq!(answer.class(), Class::Done);
-    until(secs(30), || world.racks.held().len() == 6).await;
-    world.check_attempts();
-    world.check();
-    world.end().await;
+    wait_until(secs(30), || cluster.racks.held().len() == 6).await;
+    cluster.check_no_duplicate_attempts();
+    cluster.check_invariants();
+    cluster.end().await;
 }
--- a/crates/placer/tests/schedules.rs
+++ b/crates/placer/tests/schedules.rs
@@ -9,7 +9,7 @@
 
 use std::sync::Arc;
 
-use cluster::{World, job, ms, request, secs};
+use cluster::{Cluster, job, ms, request, secs};
 use placer::Server;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -28,7 +28,7 @@
     Wait { time: u64 },
     Kill { at: usize },
     Pause { at: usize },
-    Thaw { at: usize },
+    Resume { at: usize },
     CutTable { at: usize, cut: bool },
     CutPeers { at: usize, cut: bool },
     CutWorker { at: usize, worker: u32 },
@@ -48,7 +48,7 @@
         6 => (50..4_000_u64).prop_map(|time| Step::Wait { time }),
         1 => at.clone().prop_map(|at| Step::Kill { at }),
         2 => at.clone().prop_map(|at| Step::Pause { at }),
-        2 => at.clone().prop_map(|at| Step::Thaw { at }),
+        2 => at.clone().prop_map(|at| Step::Resume { at }),
         1 => (at.clone(), any::<bool>()).prop_map(|(at, cut)| Step::CutTable { at, cut }),
         1 => (at.clone(), any::<bool>()).prop_map(|(at, cut)| Step::CutPeers { at, cut }),
         2 => (at, worker.clone()).prop_map(|(at, worker)| Step::CutWorker { at, worker }),
@@ -64,28 +64,28 @@
 
 /// The answers to one id.
 #[derive(Default)]
-struct Told {
+struct Answers {
     classes: Vec<Class>,
     open: Vec<tokio::task::JoinHandle<Option<Class>>>,
 }
 
-struct Play {
-    world: World,
-    told: Vec<Told>,
+struct Scenario {
+    cluster: Cluster,
+    answers: Vec<Answers>,
     started: u32,
 }
 
-impl Play {
+impl Scenario {
     async fn new() -> Self {
-        let mut world = World::new(2, WORKERS).await;
+        let mut cluster = Cluster::new(2, WORKERS).await;
         for name in ["p1", "p2", "p3"] {
-            world.start(name);
+            cluster.start(name);
         }
-        world.settle(secs(15)).await;
-        let told = (0..IDS).map(|_| Told::default()).collect();
+        cluster.settle(secs(15)).await;
+        let answers = (0..IDS).map(|_| Answers::default()).collect();
         Self {
-            world,
-            told,
+            cluster,
+            answers,
             started: 3,
         }
     }
@@ -97,19 +97,19 @@
             Step::Wait { time } => tokio::time::sleep(ms(time)).await,
             Step::Kill { at } => {
                 let name = self.name(at);
-                self.world.kill(&name);
+                self.cluster.kill(&name);
                 self.started += 1;
-                self.world.start(&format!("p{}", self.started));
+                self.cluster.start(&format!("p{}", self.started));
             }
             Step::Pause { at } => self.faults(at).pause(),
-            Step::Thaw { at } => self.faults(at).thaw(),
+            Step::Resume { at } => self.faults(at).resume(),
             Step::CutTable { at, cut } => self.faults(at).cut_table(cut),
             Step::CutPeers { at, cut } => self.faults(at).cut_peers(cut),
             Step::CutWorker { at, worker } => self.faults(at).cut_worker(&name_of(worker)),
             Step::Down { down } => self.platform(|faults| faults.down = down),
             Step::Lose { n } => self.platform(|faults| faults.lose = n),
             Step::Restart { worker } => {
-                self.world
+                self.cluster
                     .racks
                     .with(&name_of(worker), standin::Machine::restart);
             }
@@ -123,21 +123,21 @@
     }
 
     fn name(&self, at: usize) -> String {
-        self.world.placers.keys().nth(at).unwrap().clone()
+        self.cluster.placers.keys().nth(at).unwrap().clone()
     }
 
     fn faults(&self, at: usize) -> Arc<cluster::Faults> {
-        Arc::clone(&self.world.placers.values().nth(at).unwrap().faults)
+        Arc::clone(&self.cluster.placers.values().nth(at).unwrap().faults)
     }
 
     fn platform(&self, change: impl FnOnce(&mut Faults)) {
-        let mut faults = self.world.platform.faults();
+        let mut faults = self.cluster.platform.faults();
         change(&mut faults);
-        self.world.platform.set(faults);
+        self.cluster.platform.set(faults);
     }
 
     fn mischief(&self, worker: u32, change: impl FnOnce(&mut Mischief)) {
-        self.world.racks.with(&name_of(worker), |machine| {
+        self.cluster.racks.with(&name_of(worker), |machine| {
             let mut mischief = machine.mischief();
             change(&mut mischief);
             machine.set(mischief);
@@ -152,20 +152,20 @@
             id.is_multiple_of(2),
             120,
         );
-        let rack = self.world.home(&asked.key);
-        let server = Server::new(Arc::clone(&self.world.placers[&self.name(at)].node));
+        let rack = self.cluster.home_rack(&asked.key);
+        let server = Server::new(Arc::clone(&self.cluster.placers[&self.name(at)].node));
         let open = tokio::spawn(async move {
             let answer: Answer = server.run(rack, asked).await.ok()?;
             Some(answer.class())
         });
-        self.told[id as usize].open.push(open);
+        self.answers[id as usize].open.push(open);
     }
 
     async fn submit(&self, id: u32, shape: u8) {
         let shape = [Shape::Batch, Shape::Gang, Shape::Service][usize::from(shape)];
         let asked = job(&format!("j{id}"), shape, 3, 6, 2_500);
-        if self.world.owner(&self.world.team_home()).is_some() {
-            let submitted = self.world.submit(asked);
+        if self.cluster.owner(&self.cluster.team_home_rack()).is_some() {
+            let submitted = self.cluster.submit(asked);
             drop(tokio::time::timeout(secs(3), submitted).await);
         }
     }
@@ -173,8 +173,8 @@
     /// Heals everything, waits until all is at rest, and checks what must hold.
     async fn end(mut self) {
         self.platform(|faults| *faults = Faults::default());
-        for placer in self.world.placers.values() {
-            placer.faults.thaw();
+        for placer in self.cluster.placers.values() {
+            placer.faults.resume();
             placer.faults.cut_table(false);
             placer.faults.cut_peers(false);
         }
@@ -182,23 +182,23 @@
             self.mischief(worker, |mischief| *mischief = Mischief::default());
         }
         tokio::time::sleep(secs(30)).await;
-        for told in &mut self.told {
-            for open in told.open.drain(..) {
+        for answers in &mut self.answers {
+            for open in answers.open.drain(..) {
                 let answered = tokio::time::timeout(ms(1), open).await;
                 // A killed placer never answers; its caller can't conclude anything.
                 let class = answered.ok().and_then(Result::ok).flatten();
-                told.classes.push(class.unwrap_or(Class::MayHaveRun));
+                answers.classes.push(class.unwrap_or(Class::MayHaveRun));
             }
         }
-        self.world.check();
-        for (id, told) in self.told.iter().enumerate() {
-            let runs = self.world.runs(&format!("a{id}"));
-            let only_not_run = told.classes.iter().all(|class| *class == Class::NotRun);
+        self.cluster.check_invariants();
+        for (id, answers) in self.answers.iter().enumerate() {
+            let runs = self.cluster.runs(&format!("a{id}"));
+            let only_not_run = answers.classes.iter().all(|class| *class == Class::NotRun);
             assert!(
                 !only_not_run || runs == 0,
                 "a{id} was told not run, and ran"
             );
-            let done = told.classes.contains(&Class::Done);
+            let done = answers.classes.contains(&Class::Done);
             assert!(!done || runs > 0, "a{id} was told done, and did not run");
             assert!(id.is_multiple_of(2) || runs <= 1, "a{id} ran {runs} times");
         }
@@ -226,11 +226,11 @@
             .build()
             .unwrap();
         runtime.block_on(async {
-            let mut play = Play::new().await;
+            let mut scenario = Scenario::new().await;
             for step in &steps {
-                play.step(step).await;
+                scenario.step(step).await;
             }
-            play.end().await;
+            scenario.end().await;
         });
     }
 }
--- a/crates/placer/tests/settings.rs
+++ b/crates/placer/tests/settings.rs
@@ -56,5 +56,5 @@
     let settings = Settings::try_parse_from(GOOD.iter().chain(&["--beat-ms", "2000"])).unwrap();
     let options = settings.options("life", "127.0.0.1:1".parse().unwrap());
     assert_eq!(options.name, "p1.life");
-    assert_eq!(options.stale.as_millis(), 7_000);
+    assert_eq!(options.session_timeout.as_millis(), 7_000);
 }
