--- a/crates/placer/src/bin/lentilyoke-placer.rs
+++ b/crates/placer/src/bin/lentilyoke-placer.rs
@@ -1,4 +1,4 @@
-//! Owns racks and decides.
+//! Runs a placer.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use telemetry::{Shutdown, logs};
 use wire::rpc::PlacerServer as _;
 
-/// Connections from entries, other placers and operators, at most.
+/// Upper bound on connections from entries, other placers and operators.
 const MAX_CONNECTIONS: u32 = 4_096;
 
 #[tokio::main]
@@ -62,7 +62,8 @@
     Ok(())
 }
 
-/// Tells this life of the process from all others: the time in seconds, folded.
+/// Low 32 bits of the time in milliseconds, to distinguish this incarnation of the process from
+/// others.
 fn folded_time() -> u32 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |d| (d.as_millis() as u64 & u64::from(u32::MAX)) as u32)
--- a/crates/placer/src/claims.rs
+++ b/crates/placer/src/claims.rs
@@ -1,8 +1,8 @@
-//! Claims: the record in the table that a non-idempotent request is about to start.
+//! Claims: rows in the table that record that a non-idempotent request is about to start.
 //!
-//! Each placer gathers its claims and passes them to one writer in its data centre, which puts
-//! those of all into one transaction. So the table sees the same number of writes for one claim
-//! and for a thousand, however many placers there are.
+//! Each placer batches its claims and forwards them to one writer in its data centre, which puts
+//! the claims of all placers into one transaction. The number of writes to the table therefore
+//! depends neither on the number of claims nor on the number of placers.
 
 mod writer;
 
@@ -16,23 +16,23 @@
 
 pub(crate) use writer::Writer;
 
-/// Claims that wait to be written, at most.
+/// Upper bound on claims that wait to be written.
 const QUEUE_CAPACITY: usize = 8_192;
-/// Claims in one transaction, at most.
+/// Upper bound on claims in one transaction.
 const MAX_BATCH: usize = 256;
-/// Longest wait for a verdict. The table may be down; the caller is told so at once instead.
+/// Time limit for a verdict: if the table is down, the caller is to learn it soon.
 const VERDICT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 type PendingClaim = (Claim, oneshot::Sender<Verdict>);
 
-/// Hands claims to the writer of the data centre.
+/// Sends claims to the writer of the data centre.
 #[derive(Debug)]
 pub struct Claims {
     outbox: mpsc::Sender<PendingClaim>,
     inbox: mpsc::Sender<PendingClaim>,
 }
 
-/// The receiving ends of a placer's [`Claims`].
+/// The receiving ends of the queues of [`Claims`].
 #[derive(Debug)]
 pub(crate) struct ClaimQueues {
     outbox: mpsc::Receiver<PendingClaim>,
@@ -52,12 +52,12 @@
         )
     }
 
-    /// Claims a request of a rack of this placer.
+    /// Claims a request on a rack of this placer.
     pub(crate) async fn claim(&self, claim: Claim) -> Verdict {
         request_verdict(&self.outbox, claim).await
     }
 
-    /// Writes claims that this or another placer passes on.
+    /// Writes claims forwarded by this or another placer.
     pub(crate) async fn write(&self, claims: Vec<Claim>) -> Vec<Verdict> {
         let asked = claims
             .into_iter()
@@ -77,7 +77,7 @@
     }
 }
 
-/// Passes on this placer's claims until it ends.
+/// Forwards this placer's claims to the writer until the placer ends.
 pub(crate) async fn forward(node: Arc<Node>, mut queues: ClaimQueues) {
     let writer = Writer::new(Arc::clone(&node), queues.inbox);
     node.shutdown.spawn(writer.run());
@@ -99,7 +99,7 @@
     let verdicts = match node.claim_writer() {
         Some(address) => match node.peers.claim(&address, claims.clone()).await {
             Ok(verdicts) if verdicts.len() == claims.len() => verdicts,
-            // The same claims can be written again by anyone: they name the epoch.
+            // Any placer can safely write the same claims again, since they contain the epoch.
             _ => node.claims.write(claims).await,
         },
         None => node.claims.write(claims).await,
--- a/crates/placer/src/claims/writer.rs
+++ b/crates/placer/src/claims/writer.rs
@@ -11,20 +11,20 @@
 use super::{MAX_BATCH, PendingClaim};
 use crate::Node;
 
-/// Tries to write one batch; each shows which claims can't be held.
+/// Attempts to write one batch; each conflict shows which claims must be left out of the next.
 const MAX_WRITE_ATTEMPTS: usize = 4;
-/// Old claims that are deleted together with new ones, at most.
+/// Upper bound on expired claims deleted in one transaction with new ones.
 const MAX_DELETIONS: usize = MAX_BATCH;
 
-/// Gathers claims for a moment and writes them together.
+/// Batches claims and writes each batch in one transaction.
 pub(crate) struct Writer {
     node: Arc<Node>,
     inbox: mpsc::Receiver<PendingClaim>,
-    /// Rows that were written, and when; they are deleted once they need not be remembered.
+    /// Keys of written rows with the time of writing; deleted after the retention period.
     written: VecDeque<(Now, String)>,
 }
 
-/// Claims on their way into the table.
+/// Claims that are being written in one transaction.
 struct Batch {
     pending: Vec<(Claim, Option<oneshot::Sender<Verdict>>)>,
 }
@@ -72,8 +72,8 @@
                     return;
                 }
                 Err(Error::Conflict { rows }) => batch.resolve_conflicts(&rows),
-                // It may have been written. Writing it again shows: a row that names the same
-                // epoch is this very claim.
+                // The batch may have been written. Writing it again shows whether it was: a row
+                // with the same epoch is this very claim.
                 Err(Error::Lost { .. }) => {}
                 Err(Error::Down { .. }) => break,
             }
@@ -87,7 +87,7 @@
             .extend(batch.pending.iter().map(|(claim, _)| (now, claim.row())));
     }
 
-    /// Adds the deletion of old claims.
+    /// Adds the deletion of expired claims.
     fn delete_expired(&mut self, mut transaction: Transaction) -> Transaction {
         let now = self.node.uptime.elapsed();
         let retention = self.node.options.request_retention;
@@ -105,7 +105,7 @@
 }
 
 impl Batch {
-    /// Every rack must still have its owner, and no claim may stand there yet.
+    /// A transaction that succeeds only if no rack's record has changed and no claim exists yet.
     fn transaction(&self) -> Transaction {
         let claims = || self.pending.iter().map(|(claim, _)| claim);
         let racks: BTreeMap<&str, u64> = claims()
@@ -122,7 +122,8 @@
         transaction
     }
 
-    /// Answers the claims that can't be held, going by the rows that were not as expected.
+    /// Answers the claims that the conflicting rows decide, and keeps the others for the next
+    /// attempt.
     fn resolve_conflicts(&mut self, rows: &[Row]) {
         let rows: BTreeMap<&str, &Row> = rows.iter().map(|r| (r.key.as_str(), r)).collect();
         self.pending.retain_mut(|(claim, answer)| {
@@ -145,7 +146,7 @@
     }
 }
 
-/// What the rows say of a claim; `None` if it is to be written again.
+/// The verdict that the conflicting rows imply for a claim; `None` if it is to be written again.
 fn verdict(claim: &mut Claim, rows: &BTreeMap<&str, &Row>) -> Option<Verdict> {
     if let Some(row) = rows.get(Record::key(&claim.rack).as_str()) {
         let record: Option<Record> = row
@@ -155,7 +156,7 @@
         if record.is_none_or(|r| r.epoch != claim.epoch) {
             return Some(Verdict::Fenced);
         }
-        // The same owner has changed the row for another reason.
+        // The same owner has changed the record for another reason.
         claim.rack_version = row.version;
     }
     let row = rows.get(claim.row().as_str())?;
--- a/crates/placer/src/lib.rs
+++ b/crates/placer/src/lib.rs
@@ -1,9 +1,9 @@
-//! The process that owns racks and decides.
+//! The placer: owns racks and schedules quick requests, tasks and jobs on them.
 //!
-//! * [`Options`]: what a placer is told at its start.
-//! * [`Node`]: one placer; [`Node::spawn`] starts all that it does.
-//! * [`Peers`]: how it reaches other placers; [`Rpc`] does so over JSON-RPC.
-//! * [`Server`]: what it offers to others.
+//! * [`Options`]: start-up options of a placer.
+//! * [`Node`]: one placer; [`Node::spawn`] starts its background tasks.
+//! * [`Peers`]: calls to other placers; [`Rpc`] makes them over JSON-RPC.
+//! * [`Server`]: the API of a placer.
 //! * [`Session`]: its row in the platform's table.
 
 mod claims;
--- a/crates/placer/src/node.rs
+++ b/crates/placer/src/node.rs
@@ -1,4 +1,4 @@
-//! One placer: what it knows, and the loops that keep it going.
+//! One placer: its shared state and background tasks.
 
 mod digest_exchange;
 mod rack_calls;
@@ -22,14 +22,14 @@
 use crate::table_view::TableView;
 use crate::{Claims, Options, Peers, Shard};
 
-/// A configuration that is applied.
+/// A configuration that has been applied.
 #[derive(Debug)]
 pub(crate) struct AppliedConfig {
     pub(crate) version: Version,
     pub(crate) cell: Cell,
 }
 
-/// An entry that asks for routes.
+/// An entry that fetches its routes from this placer.
 #[derive(Debug)]
 struct AttachedEntry {
     applied: Version,
@@ -38,17 +38,17 @@
 
 /// One placer.
 pub struct Node {
-    /// What it was told at its start.
+    /// Start-up options.
     pub options: Options,
     pub(crate) table: Arc<dyn Table>,
     pub(crate) hosts: Arc<dyn Hosts>,
     pub(crate) workers: Arc<dyn worker::Host>,
     pub(crate) peers: Arc<dyn Peers>,
-    /// Time since its start.
+    /// Clock that counts from the start of the placer.
     pub uptime: Uptime,
-    /// Its end.
+    /// Signals draining and the end of the process.
     pub shutdown: Shutdown,
-    /// Whether it is ready for work.
+    /// Readiness for work.
     pub health: Health,
     pub(crate) claims: Claims,
     pub(crate) digests: Mutex<Digests>,
@@ -58,15 +58,15 @@
     view: Mutex<TableView>,
     shards: RwLock<BTreeMap<id::Rack, Arc<Shard>>>,
     attached: Mutex<BTreeMap<id::Entry, AttachedEntry>>,
-    /// Whether the configuration was heard of since the process last was paused.
+    /// Whether the configuration has been confirmed since the process was last paused.
     config_confirmed: AtomicBool,
 }
 
-/// An entry that has not asked for this long is not there any more.
+/// An entry that has not asked for routes for this long counts as detached.
 const ENTRY_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Node {
-    /// A placer that does nothing yet.
+    /// Creates a placer; [`Node::spawn`] starts its background tasks.
     #[must_use]
     pub fn new(
         options: Options,
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Starts all that the placer does; it ends with the [`Shutdown`] that it was given.
+    /// Starts the background tasks, which end with the [`Shutdown`] passed to [`Node::new`].
     pub fn spawn(self: &Arc<Self>) {
         let claim_queues = lock(&self.claim_queues).take();
         if let Some(claim_queues) = claim_queues {
@@ -109,7 +109,7 @@
         self.shutdown.spawn(digest_exchange::run(Arc::clone(self)));
     }
 
-    /// Stops in good order: takes nothing new, finishes what is in hand, hands over all racks.
+    /// Drains the placer: accepts nothing new, finishes work in progress and hands over all racks.
     pub async fn drain(&self) {
         self.shutdown.drain();
         self.health.set_ready(false);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Time since the start.
+    /// Time since the start of the placer.
     #[must_use]
     pub fn now(&self) -> Now {
         self.uptime.elapsed()
@@ -135,19 +135,19 @@
 
     /// The configuration to act on, with its version.
     ///
-    /// `None` after a pause, until it was heard of again: others may have counted this process as
-    /// dead meanwhile, and accepted a newer configuration without it.
+    /// `None` after a pause of the process until the configuration is confirmed: meanwhile others
+    /// may have counted this process as crashed and accepted a newer configuration without it.
     pub(crate) fn active_config(&self) -> Option<Arc<AppliedConfig>> {
         self.latest_config()
             .filter(|_| self.config_confirmed.load(Ordering::Acquire))
     }
 
-    /// The configuration that was last applied, even if there may be a newer one.
+    /// The configuration that was last applied, whether or not it is confirmed.
     pub(crate) fn latest_config(&self) -> Option<Arc<AppliedConfig>> {
         self.config.load_full()
     }
 
-    /// Says whether the configuration was heard of since the last pause.
+    /// Sets whether the configuration has been confirmed since the last pause.
     pub(crate) fn set_config_confirmed(&self, confirmed: bool) {
         self.config_confirmed.store(confirmed, Ordering::Release);
     }
@@ -171,7 +171,7 @@
             .cloned()
     }
 
-    /// Address of the placer that owns a rack, as far as is known.
+    /// Address of the owner of a rack according to the cached table.
     pub(crate) fn owner(&self, rack: &str) -> Option<String> {
         let view = self.view();
         let (_, record) = view.records.get(rack)?;
@@ -185,7 +185,7 @@
         (*name != self.options.name).then(|| address.to_owned())
     }
 
-    /// Addresses of the live placers of this region, without this one.
+    /// Addresses of the other running placers of this region.
     pub(crate) fn region_peers(&self) -> Vec<String> {
         let mut peers =
             self.view()
@@ -194,13 +194,13 @@
         peers
     }
 
-    /// Addresses of all live placers.
+    /// Addresses of all running placers, including this one.
     pub(crate) fn live_addresses(&self) -> Vec<String> {
         self.view().addresses(None, self.now(), &self.options)
     }
 
-    /// What an entry needs to know, apart from what it has; `None` if this placer does not know
-    /// whether its own configuration is in force.
+    /// Routes and configuration that an entry does not have yet; `None` if this placer has not
+    /// confirmed its own configuration.
     pub fn routes(&self, ask: &Ask) -> Option<Routes> {
         self.active_config()?;
         let last_seen = self.now();
@@ -211,8 +211,8 @@
         lock(&self.attached).insert(ask.entry.clone(), attached);
         let config = self.config_at_least(ask.applied + 1);
         let view = self.view();
-        // Generations of different placers, or of different lives, can't be compared; an entry
-        // that changes to another placer asks with generation 0.
+        // Generations of different placers or incarnations can't be compared, so an entry that
+        // switches to another placer asks with generation 0.
         let generation = view.generation;
         if ask.generation == generation {
             return Some(Routes {
@@ -243,13 +243,13 @@
         })
     }
 
-    /// The configuration that is applied, if it is this version or a newer one.
+    /// The confirmed configuration, if it has at least this version.
     pub fn config_at_least(&self, min_version: Version) -> Option<(Version, config::raw::Cell)> {
         let applied = self.active_config().filter(|a| a.version >= min_version)?;
         Some((applied.version, applied.cell.to_raw().clone()))
     }
 
-    /// Room in the racks of this placer.
+    /// Free capacity of the racks that this placer owns.
     pub fn local_digests(&self) -> Vec<Digest> {
         let now = self.now();
         self.shards()
@@ -258,7 +258,7 @@
             .collect()
     }
 
-    /// What the racks of this placer hold of the jobs of one home rack.
+    /// The tasks that the racks of this placer hold for the jobs of one home rack.
     pub fn inventory(&self, from: &Seniority) -> Vec<Inventory> {
         let now = self.now();
         self.shards()
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Applies a configuration, if it is newer than the present one.
+    /// Applies a configuration if it is newer than the present one.
     pub(crate) fn apply(self: &Arc<Self>, version: Version, raw: config::raw::Cell) {
         if self.latest_config().is_some_and(|a| a.version >= version) {
             return;
@@ -291,7 +291,7 @@
         let cell = match Cell::try_from(raw) {
             Ok(cell) => cell,
             Err(error) => {
-                log::error!("configuration {version} is not accepted: {error}");
+                log::error!("configuration {version} rejected: {error}");
                 return;
             }
         };
@@ -307,7 +307,7 @@
         self.watch_racks(&applied.cell);
     }
 
-    /// Watches every rack of the configuration.
+    /// Creates a shard for every new rack and passes the configuration to the existing ones.
     fn watch_racks(self: &Arc<Self>, cell: &Cell) {
         let mut shards = self.shards.write().unwrap_or_else(PoisonError::into_inner);
         for rack in cell.racks.keys() {
@@ -321,7 +321,7 @@
         }
     }
 
-    /// A desk hears of every rack that has a new owner: what it holds is not known.
+    /// Marks the content of racks with a new owner as unknown in all desks.
     pub(crate) fn mark_unconfirmed(&self, racks: &[id::Rack]) {
         let now = self.now();
         for shard in self.shards() {
@@ -330,8 +330,8 @@
     }
 }
 
-/// A poisoned lock means that a thread panicked; the process is about to end, and what the lock
-/// guards is changed in one step everywhere.
+/// Locks a mutex and ignores poisoning: poisoning means that a thread panicked, so the process is
+/// about to end, and the guarded state is always changed in one step.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/placer/src/node/digest_exchange.rs
+++ b/crates/placer/src/node/digest_exchange.rs
@@ -1,4 +1,4 @@
-//! Keeps what is known of the room in all racks of the region.
+//! Collects the free capacity of all racks of the region.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use super::{Node, lock};
 use crate::PeerError;
 
-/// A refused connection is tried again after this long.
+/// Delay before a refused connection is tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Asks the other placers of the region until this one ends.
+/// Polls the other placers of the region until this one ends.
 pub(super) async fn run(node: Arc<Node>) {
     while node.shutdown.sleep(node.options.digest_interval).await {
         store_digests(&node, &node.local_digests());
@@ -22,8 +22,10 @@
     }
 }
 
-/// Asks one placer for the room in its racks. One whose port refuses connections, twice, is gone:
-/// its racks need not wait until its session has grown old.
+/// Fetches the free capacity of one placer's racks.
+///
+/// A placer whose port refuses connections twice has crashed: its racks can be taken over before
+/// its session times out.
 async fn fetch_digests(node: &Node, address: String) {
     match node.peers.digests(&address).await {
         Ok(digests) => store_digests(node, &digests),
@@ -31,7 +33,10 @@
         Err(PeerError::ConnectionRefused) => {
             tokio::time::sleep(RETRY_DELAY).await;
             if node.peers.digests(&address).await == Err(PeerError::ConnectionRefused) {
-                log::warn!(address = address.as_str(); "a placer is gone");
+                log::warn!(
+                    address = address.as_str();
+                    "placer refuses connections; counted as crashed"
+                );
                 node.view().set_connection_refused(&address);
                 node.sync_now.notify_one();
             }
--- a/crates/placer/src/node/rack_calls.rs
+++ b/crates/placer/src/node/rack_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the owner of a rack, here or elsewhere.
+//! Calls to the owner of a rack, local or remote.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -10,10 +10,10 @@
 use super::Node;
 use crate::{PeerError, Shard};
 
-/// A call that is not answered by then is in doubt.
+/// Timeout after which the outcome of a call counts as unknown.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Where a rack's owner is.
+/// Owner of a rack.
 enum RackOwner {
     Unowned,
     Local(Arc<Shard>),
@@ -21,7 +21,7 @@
 }
 
 impl Node {
-    /// Places the tasks of an order; `None` if there was no answer.
+    /// Places the tasks of an order; `None` if no answer came.
     pub(crate) async fn place_at(self: &Arc<Self>, order: &Order) -> Option<Placed> {
         match self.locate(&order.rack) {
             RackOwner::Unowned => {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Starts a gang that is held on a rack.
+    /// Starts a gang for which a rack has reserved capacity.
     pub(crate) async fn commit_at(
         self: &Arc<Self>,
         rack: &str,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Gives up a gang on a rack.
+    /// Cancels a gang on a rack.
     pub(crate) async fn undo_at(
         self: &Arc<Self>,
         rack: &str,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Tells the owner of a home rack what became of its tasks; `true` if it has taken note.
+    /// Reports task events to the owner of a home rack; `true` if it accepted them.
     pub(crate) async fn report_to(self: &Arc<Self>, home: &str, events: Vec<Event>) -> bool {
         match self.locate(home) {
             RackOwner::Unowned => false,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// What the racks of all placers hold of the jobs of one home rack.
+    /// The tasks that the racks of all placers hold for the jobs of one home rack.
     pub(crate) async fn collect_inventories(&self, from: &Seniority) -> Vec<wire::Inventory> {
         let mut all = self.inventory(from);
         let others = self
--- a/crates/placer/src/node/table_sync.rs
+++ b/crates/placer/src/node/table_sync.rs
@@ -1,4 +1,5 @@
-//! The beat: renews the session row, reads the table, decides which racks to own.
+//! Periodic sync with the platform's table: renews the session row, reads the rows that changed and
+//! decides which racks to own.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,24 +11,24 @@
 use super::{ENTRY_TIMEOUT, Node, lock};
 use crate::Session;
 
-/// Rows that every placer reads.
+/// Key prefixes of the rows that every placer reads.
 const SYNCED_PREFIXES: [&str; 3] = ["config/", Record::PREFIX, Session::PREFIX];
 
-/// A process whose beats are this far apart was paused. Whoever accepts a configuration counts a
-/// process as dead only after a longer time.
+/// A process with a longer gap between two syncs was paused. Must be less than the time after which
+/// a process counts as crashed when a new configuration is accepted.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(6);
 
-/// Longest wait for another placer's configuration.
+/// Time limit for another placer's answer with its configuration.
 const CONFIG_QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Beats until the placer ends.
+/// Syncs until the placer ends, then deletes the session row.
 pub(super) async fn run(node: Arc<Node>) {
     let mut heartbeat = 0;
     let mut last = node.now();
     loop {
         heartbeat += 1;
         if node.now().saturating_sub(last) > PAUSE_THRESHOLD {
-            log::warn!("paused for more than {PAUSE_THRESHOLD:?}");
+            log::warn!("process was paused for more than {PAUSE_THRESHOLD:?}");
             node.set_config_confirmed(false);
         }
         last = node.now();
@@ -59,7 +60,7 @@
         .commit(Transaction::default().put(key, value))
         .await
     {
-        log::warn!("the session was not renewed: {error}");
+        log::warn!("session renewal failed: {error}");
     }
 }
 
@@ -88,7 +89,7 @@
         Ok(scan) => scan,
         Err(error) => {
             node.view().set_unreachable();
-            log::warn!("the table was not read: {error}");
+            log::warn!("reading the table failed: {error}");
             query_peers_for_config(node).await;
             return;
         }
@@ -113,9 +114,10 @@
         .set_ready(!node.shutdown.is_draining() && node.active_config().is_some());
 }
 
-/// Learns the configuration from other placers while the table does not answer. The table may be
-/// down, in which case nothing can change; or it is only this placer that is cut off, and others
-/// have accepted a newer configuration.
+/// Fetches the configuration from other placers while the table does not answer.
+///
+/// If the table is down, the configuration can't change. If only this placer is cut off from it,
+/// others may have accepted a newer one.
 async fn query_peers_for_config(node: &Arc<Node>) {
     let mut addresses = node.live_addresses();
     addresses.extend(node.options.peers.iter().cloned());
@@ -138,7 +140,7 @@
     }
 }
 
-/// Another owner has a rack that this placer holds.
+/// Gives up a rack if its record has a higher epoch than the one under which this placer owns it.
 fn depose_if_superseded(node: &Node, rack: &str) {
     let Some(shard) = node.shard(rack) else {
         return;
@@ -153,7 +155,7 @@
     }
 }
 
-/// Takes the racks that fall to this placer, lets go of those that fall to others.
+/// Requests ownership of the racks that this placer should own, and releases the others.
 fn update_ownership(node: &Node) {
     let Some(applied) = node.active_config() else {
         return;
--- a/crates/placer/src/options.rs
+++ b/crates/placer/src/options.rs
@@ -1,10 +1,10 @@
-//! What a placer is told at its start.
+//! Start-up options of a placer.
 
 use std::time::Duration;
 
 use resource::id;
 
-/// Names, places and intervals of one placer.
+/// Identity, location and intervals of one placer.
 ///
 /// ```
 /// use placer::Options;
@@ -14,35 +14,35 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Name of this life of the process: no other life may have had it.
+    /// Name of this incarnation of the process; must never be reused.
     pub name: id::Placer,
     /// Address at which entries and other placers reach it.
     pub address: String,
-    /// Its region.
+    /// Region of its host.
     pub region: id::Region,
-    /// Its data centre.
+    /// Data centre of its host.
     pub data_centre: id::DataCentre,
-    /// Addresses of other placers, to learn the configuration from when it starts while the table
+    /// Addresses of other placers, which it asks for the configuration if it starts while the table
     /// is down.
     pub peers: Vec<String>,
-    /// How often its session row is renewed and the table is read.
+    /// Interval at which its session row is renewed and the table is read.
     pub sync_interval: Duration,
-    /// A session row that has not changed for this long is taken for dead.
+    /// A placer whose session row has not changed for this long counts as crashed.
     pub session_timeout: Duration,
-    /// How often its workers get a heartbeat.
+    /// Interval of heartbeats to its workers.
     pub heartbeat_interval: Duration,
-    /// How often room in other placers' racks is asked for.
+    /// Interval at which other placers are asked for the free capacity of their racks.
     pub digest_interval: Duration,
-    /// Claims that come within this time are written together.
+    /// Claims that arrive within this time are written in one transaction.
     pub claim_batch_delay: Duration,
-    /// How long a claim, and the answer to its request, is remembered.
+    /// How long a claim, and the answer to its request, is retained.
     pub request_retention: Duration,
-    /// How long stopping may take for what is in hand.
+    /// Time limit for work in progress when the placer stops.
     pub drain_timeout: Duration,
 }
 
 impl Options {
-    /// A placer with the usual intervals, in no place yet.
+    /// Options with the default intervals and no location.
     #[must_use]
     pub fn new(name: &str, address: &str) -> Self {
         Self {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sets where it runs.
+    /// Sets region and data centre.
     #[must_use]
     pub fn with_location(mut self, region: &str, data_centre: &str) -> Self {
         region.clone_into(&mut self.region);
--- a/crates/placer/src/peers.rs
+++ b/crates/placer/src/peers.rs
@@ -1,25 +1,25 @@
-//! How a placer reaches other placers.
+//! Calls from a placer to other placers.
 
 use async_trait::async_trait;
 use config::{Version, raw};
 use resource::id;
 use wire::{Claim, Digest, Event, Gang, Inventory, Order, Placed, Seniority, Verdict};
 
-/// A call to another placer brought no answer.
+/// Why a call to another placer brought no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PeerError {
-    /// Its port refuses connections: no process is there, and nothing was sent.
+    /// Its port refuses connections: no process listens there, and nothing was sent.
     ConnectionRefused,
-    /// It may have had its effect.
+    /// No answer arrived; the call may have taken effect.
     NoAnswer,
 }
 
-/// The calls that placers make to each other; `address` is the other's `ip:port`.
+/// Calls between placers; `address` is the `ip:port` of the other one.
 #[async_trait]
 pub trait Peers: Send + Sync {
     /// Places tasks on a rack.
     async fn place(&self, address: &str, order: Order) -> Result<Placed, PeerError>;
-    /// Starts a gang that was held.
+    /// Starts a gang for which capacity is reserved.
     async fn commit(
         &self,
         address: &str,
@@ -27,7 +27,7 @@
         from: Seniority,
         gang: Gang,
     ) -> Result<bool, PeerError>;
-    /// Gives up a gang.
+    /// Cancels a gang and releases its capacity.
     async fn undo(
         &self,
         address: &str,
@@ -43,23 +43,23 @@
         from: Seniority,
         job: (id::Team, id::Job),
     ) -> Result<bool, PeerError>;
-    /// Lists what the other's racks hold of the jobs of one home rack.
+    /// Lists the tasks that the other's racks hold for the jobs of one home rack.
     async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, PeerError>;
-    /// Tells the owner of a home rack what became of its tasks.
+    /// Reports task events to the owner of the jobs' home rack; `true` if it accepted them.
     async fn report(
         &self,
         address: &str,
         home: id::Rack,
         events: Vec<Event>,
     ) -> Result<bool, PeerError>;
-    /// The configuration that the other applies, if it is newer than this version.
+    /// The configuration that the other has confirmed, if it has at least this version.
     async fn config(
         &self,
         address: &str,
         min_version: Version,
     ) -> Result<Option<(Version, raw::Cell)>, PeerError>;
-    /// Room in the other's racks.
+    /// Free capacity of the other's racks.
     async fn digests(&self, address: &str) -> Result<Vec<Digest>, PeerError>;
-    /// Writes claims to the table, together with those of others.
+    /// Writes claims to the table, batched with those of other placers.
     async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, PeerError>;
 }
--- a/crates/placer/src/request_cache.rs
+++ b/crates/placer/src/request_cache.rs
@@ -1,4 +1,4 @@
-//! Requests that this owner has seen: the same request asked again gets the same answer.
+//! Deduplicates requests: a request that is sent again gets the answer of its first execution.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 use tokio::sync::watch;
 use wire::{Answer, Class, Request};
 
-/// What is to be done with a request.
+/// State of a request when it arrives.
 #[derive(Debug)]
 pub(crate) enum Lookup {
-    /// It is new: run it, and tell the memory how it ended.
+    /// New: the caller runs it and passes the answer to [`RequestCache::end`].
     New,
-    /// It is under way: wait for its answer.
+    /// In progress: its answer will be sent over this channel.
     Running(watch::Receiver<Option<Answer>>),
-    /// It has ended with this answer.
+    /// Ended with this answer.
     Ended(Answer),
-    /// Another request has this id.
+    /// A different request has this id.
     Conflict,
 }
 
-/// Requests by team and id.
+/// Requests of one rack by `team/id`.
 #[derive(Debug)]
 pub(crate) struct RequestCache {
     retention: Duration,
@@ -35,7 +35,7 @@
 }
 
 impl RequestCache {
-    /// Keeps answers for this long.
+    /// Creates an empty cache that retains answers for this long.
     pub(crate) fn new(retention: Duration) -> Self {
         Self {
             retention,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes note of a request.
+    /// Looks up a request and records it if it is new.
     pub(crate) fn begin(&mut self, name: &str, request: &Request) -> Lookup {
         if let Some(seen) = self.seen.get(name) {
             if !seen.request.same(request) {
@@ -62,8 +62,10 @@
         Lookup::New
     }
 
-    /// A request has ended. One that certainly did not run may be asked again, and so may an
-    /// idempotent one; of a non-idempotent one the answer is kept, since it must not run again.
+    /// Records the answer to a request and sends it to those that wait for it.
+    ///
+    /// A request that certainly did not run, or that is idempotent, is removed and may run again.
+    /// The answer to a non-idempotent request is retained, since the request must not run twice.
     pub(crate) fn end(&mut self, name: &str, answer: &Answer, now: Now) {
         let Some(seen) = self.seen.get_mut(name) else {
             return;
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Forgets what has ended long ago.
+    /// Removes requests that ended longer ago than the retention period.
     pub(crate) fn evict_expired(&mut self, now: Now) {
         let retention = self.retention;
         self.seen
--- a/crates/placer/src/rpc.rs
+++ b/crates/placer/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Other placers over JSON-RPC.
+//! Calls to other placers over JSON-RPC.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -14,10 +14,10 @@
 
 use crate::{PeerError, Peers};
 
-/// Time limit of one call.
+/// Timeout of one call; half of it applies to connecting.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reaches placers over JSON-RPC; keeps one client for each address.
+/// Calls placers over JSON-RPC, with one client per address.
 #[derive(Debug, Default)]
 pub struct Rpc {
     clients: Mutex<HashMap<String, HttpClient>>,
@@ -41,10 +41,10 @@
 
 #[allow(
     clippy::needless_pass_by_value,
-    reason = "the signature that map_err wants"
+    reason = "signature required by map_err"
 )]
 fn peer_error(error: ClientError) -> PeerError {
-    log::debug!("a placer was not reached: {error}");
+    log::debug!("call to another placer failed: {error}");
     if wire::refused(&error) {
         PeerError::ConnectionRefused
     } else {
--- a/crates/placer/src/server.rs
+++ b/crates/placer/src/server.rs
@@ -1,4 +1,4 @@
-//! What a placer offers to entries, to other placers and to operators.
+//! The API of a placer for entries, other placers and operators.
 
 use std::sync::Arc;
 
@@ -15,16 +15,16 @@
 
 use crate::{Node, Shard};
 
-/// The placer does not know whether its configuration is in force.
+/// Error code: the placer has not confirmed that its configuration is in force.
 const CONFIG_NOT_CONFIRMED: i32 = -32_001;
 
-/// Serves one placer.
+/// Serves the calls to one placer.
 pub struct Server {
     node: Arc<Node>,
 }
 
 impl Server {
-    /// Serves this placer.
+    /// Creates the server of this placer.
     #[must_use]
     pub const fn new(node: Arc<Node>) -> Self {
         Self { node }
--- a/crates/placer/src/session.rs
+++ b/crates/placer/src/session.rs
@@ -6,33 +6,33 @@
 use resource::id;
 use serde::{Deserialize, Serialize};
 
-/// What a placer says of itself, renewed at every beat.
+/// Published state of a placer, renewed at every sync interval.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Session {
-    /// Its address, `ip:port`.
+    /// Its address as `ip:port`.
     pub address: String,
-    /// Its region.
+    /// Region of its host.
     pub region: id::Region,
-    /// Its data centre.
+    /// Data centre of its host.
     pub data_centre: id::DataCentre,
-    /// Whether it is stopping.
+    /// Whether it is draining.
     #[serde(default, skip_serializing_if = "is_false")]
     pub draining: bool,
-    /// Version of the configuration that it applies.
+    /// Version of the configuration that it has applied.
     pub applied: Version,
-    /// The same of the entries that ask it for routes.
+    /// Configuration versions applied by the entries that fetch their routes from it.
     pub entries: BTreeMap<id::Entry, Version>,
-    /// Rises at every beat.
+    /// Incremented at every renewal.
     #[serde(rename = "beat")]
     pub heartbeat: u64,
 }
 
 impl Session {
-    /// Prefix of the rows of all placers.
+    /// Key prefix of the session rows of all placers.
     pub const PREFIX: &str = "session/";
 
-    /// Key of a placer's row.
+    /// Key of the session row of a placer.
     #[must_use]
     pub fn key(placer: &str) -> String {
         format!("{}{placer}", Self::PREFIX)
@@ -41,7 +41,7 @@
 
 #[allow(
     clippy::trivially_copy_pass_by_ref,
-    reason = "the signature that serde wants"
+    reason = "signature required by serde"
 )]
 fn is_false(value: &bool) -> bool {
     !*value
--- a/crates/placer/src/settings.rs
+++ b/crates/placer/src/settings.rs
@@ -8,11 +8,11 @@
 
 use crate::Options;
 
-/// Owns racks and decides: runs quick requests, places tasks, looks after jobs.
+/// Owns racks: runs quick requests, places tasks and manages jobs.
 #[derive(Clone, Debug, Parser)]
 #[command(name = "lentilyoke-placer", version)]
 pub struct Settings {
-    /// Name of this host's placer; each start adds a part of its own.
+    /// Name of this host's placer; each start appends a suffix of its own.
     #[arg(long, env = "LENTILYOKE_NAME")]
     pub name: String,
     /// Region of this host.
@@ -24,33 +24,34 @@
     /// Address to listen on for entries and other placers; port 0 takes any free one.
     #[arg(long, env = "LENTILYOKE_LISTEN", default_value = "127.0.0.1:0")]
     pub listen: SocketAddr,
-    /// Address that others are told, if it is not the one listened on.
+    /// Address advertised to others, if it differs from the listen address.
     #[arg(long, env = "LENTILYOKE_ADVERTISE")]
     pub advertise: Option<SocketAddr>,
     /// Address of the platform.
     #[arg(long, env = "LENTILYOKE_PLATFORM")]
     pub platform: SocketAddr,
-    /// Addresses of other placers, separated by commas: asked for the configuration if the platform
-    /// is down at the start.
+    /// Comma-separated addresses of other placers, asked for the configuration if the platform is
+    /// down at the start.
     #[arg(long, env = "LENTILYOKE_PEERS", value_delimiter = ',')]
     pub peers: Vec<SocketAddr>,
-    /// How often the session is renewed, in milliseconds (100 to 10000).
+    /// Interval at which the session is renewed, in milliseconds (100 to 10000).
     #[arg(long, env = "LENTILYOKE_BEAT_MS", default_value_t = 1_000,
           value_parser = RangedU64ValueParser::<u64>::new().range(100..=10_000))]
     pub beat_ms: u64,
-    /// How often workers get a heartbeat, in milliseconds (100 to 1000).
+    /// Interval of heartbeats to workers, in milliseconds (100 to 1000).
     #[arg(long, env = "LENTILYOKE_PULSE_MS", default_value_t = 500,
           value_parser = RangedU64ValueParser::<u64>::new().range(100..=1_000))]
     pub pulse_ms: u64,
-    /// Claims that come within this time are written together, in milliseconds (1 to 200).
+    /// Claims that arrive within this time are written together, in milliseconds (1 to 200).
     #[arg(long, env = "LENTILYOKE_GATHER_MS", default_value_t = 20,
           value_parser = RangedU64ValueParser::<u64>::new().range(1..=200))]
     pub gather_ms: u64,
-    /// How long a non-idempotent request is remembered, in seconds (60 to 86400).
+    /// How long claims and answers of non-idempotent requests are retained, in seconds (60 to
+    /// 86400).
     #[arg(long, env = "LENTILYOKE_REMEMBER_S", default_value_t = 600,
           value_parser = RangedU64ValueParser::<u64>::new().range(60..=86_400))]
     pub remember_s: u64,
-    /// How long stopping may take for what is in hand, in milliseconds (100 to 60000).
+    /// Time limit for work in progress when the placer stops, in milliseconds (100 to 60000).
     #[arg(long, env = "LENTILYOKE_DRAIN_MS", default_value_t = 10_000,
           value_parser = RangedU64ValueParser::<u64>::new().range(100..=60_000))]
     pub drain_ms: u64,
@@ -60,7 +61,7 @@
 }
 
 impl Settings {
-    /// What the placer is told, for this life of the process.
+    /// The options of this incarnation of the process.
     #[must_use]
     pub fn options(&self, incarnation: &str, address: SocketAddr) -> Options {
         let address = self.advertise.unwrap_or(address).to_string();
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -1,5 +1,5 @@
-//! One rack as a placer sees it: whether it owns the rack, and if so, all of the rack's state.
-//! Each rack has its own lock.
+//! A placer's state of one rack: the stage of its ownership and, if the placer owns the rack, the
+//! rack's scheduling state. Each rack has its own lock.
 
 mod adopt;
 mod heartbeat;
@@ -24,26 +24,26 @@
 use crate::node::lock;
 use crate::request_cache::RequestCache;
 
-/// One rack, owned or watched.
+/// One rack, owned or only watched.
 pub struct Shard {
     pub(crate) name: id::Rack,
     state: Mutex<State>,
-    /// The stage has changed.
+    /// Signals a change of the ownership stage.
     stage_changed: Notify,
-    /// There is news or waiting work.
+    /// Signals new task events or jobs to place.
     jobs_changed: Notify,
-    /// The rack is not only watched any more.
+    /// Signals that the rack is no longer only watched.
     wanted: Notify,
 }
 
-/// A worker as the platform lists it.
+/// A worker as listed by the platform.
 #[derive(Clone, Debug)]
 struct ListedWorker {
     address: String,
     leaving: bool,
 }
 
-/// A worker's life that was seen before ownership was confirmed.
+/// The incarnation of a worker as seen before ownership of the rack was confirmed.
 #[derive(Clone, Copy, Debug)]
 struct GreetedWorker {
     incarnation: id::Incarnation,
@@ -51,7 +51,7 @@
 
 pub(crate) struct State {
     ownership: Ownership,
-    /// The rack's row as this placer wrote it.
+    /// The ownership record as this placer wrote it, with its row version.
     record: Option<(u64, Record)>,
     rack: Option<Rack>,
     takeover: Takeover,
@@ -61,16 +61,16 @@
     retry_budgets: BTreeMap<id::Team, RetryBudget>,
     listed: BTreeMap<id::Worker, ListedWorker>,
     listed_at: Now,
-    /// Since when the list differs from the roster.
+    /// Since when the platform's host list differs from the roster.
     roster_mismatch_since: Option<Now>,
-    /// Workers of earlier rosters that the list does not show, and since when.
+    /// Workers of recorded rosters that the host list lacks, and since when.
     unlisted_since: BTreeMap<id::Worker, Now>,
     greeted: BTreeMap<id::Worker, GreetedWorker>,
     settings: cell::Settings,
 }
 
 impl Shard {
-    /// A rack that is watched.
+    /// Creates the shard of a rack that is only watched.
     #[must_use]
     pub fn new(name: &str, request_retention: Duration) -> Self {
         let state = State {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Starts the loops of this rack.
+    /// Starts the background tasks of this rack.
     pub(crate) fn spawn(self: &Arc<Self>, node: &Arc<Node>) {
         if let Some(applied) = node.active_config() {
             self.configure(&applied.cell);
@@ -111,7 +111,7 @@
             .spawn(jobs::run(Arc::clone(node), Arc::clone(self)));
     }
 
-    /// Follows a change of configuration.
+    /// Applies the settings of a new configuration.
     pub(crate) fn configure(&self, cell: &Cell) {
         let settings = cell::Settings::from(&cell.policy);
         let mut state = self.state();
@@ -125,14 +125,14 @@
         }
     }
 
-    /// The stage of ownership.
+    /// The stage of this placer's ownership of the rack.
     #[must_use]
     pub fn stage(&self) -> Stage {
         self.state().ownership.stage()
     }
 
     /// Waits while the rack is only watched; `false` if the placer ends meanwhile. Most racks are
-    /// watched all the time, so their loops must cost nothing.
+    /// only watched, so their background tasks must not wake up.
     async fn wait_while_watching(&self, node: &Node) -> bool {
         loop {
             let mut wanted = pin!(self.wanted.notified());
@@ -152,17 +152,22 @@
         self.state().ownership.epoch()
     }
 
-    /// Takes note of an event of ownership.
+    /// Applies an ownership event and wakes the background tasks.
     pub(crate) fn handle(&self, event: &Event) {
         self.state().ownership.handle(event);
         self.stage_changed.notify_one();
         self.wanted.notify_waiters();
     }
 
-    /// Another owner has the rack under this epoch. What waits is told so; what runs at workers is
-    /// answered by them, or is not known.
+    /// Gives up the rack to another owner, which holds it under this epoch.
+    ///
+    /// Queued requests fail with "not owner". Requests that already run end with their workers'
+    /// answers, or with an unknown outcome.
     pub(crate) fn depose(&self, node: &Node, epoch: id::Epoch) {
-        log::warn!(rack = self.name.as_str(), epoch = epoch; "deposed");
+        log::warn!(
+            rack = self.name.as_str(), epoch = epoch;
+            "rack ownership lost to another placer"
+        );
         metrics::counter!("lentilyoke_deposed_total").increment(1);
         let mut state = self.state();
         state.ownership.handle(&Event::Deposed);
@@ -171,7 +176,7 @@
         node.sync_now.notify_one();
     }
 
-    /// Room in the rack, if this placer owns it.
+    /// Free capacity of the rack, if this placer is its active owner.
     pub(crate) fn digest(&self, now: Now) -> Option<Digest> {
         let state = self.state();
         if state.ownership.stage() != Stage::Active {
@@ -180,7 +185,7 @@
         state.rack.as_ref().map(|rack| rack.digest(now))
     }
 
-    /// What the rack holds of the jobs of one home rack, if this placer owns it.
+    /// The tasks that the rack holds for the jobs of one home rack, if this placer owns it.
     pub(crate) fn inventory(&self, from: &Seniority, now: Now) -> Option<Inventory> {
         let mut state = self.state();
         let complete = state.takeover.complete(now);
@@ -206,7 +211,8 @@
         status
     }
 
-    /// Does something with the jobs at home here, if this placer looks after them.
+    /// Calls a function with the desk, which manages the jobs whose home is this rack; `None` if it
+    /// is not open.
     pub(crate) fn with_desk<T>(&self, change: impl FnOnce(&mut Desk) -> T) -> Option<T> {
         self.state().desk.as_mut().map(change)
     }
@@ -215,7 +221,7 @@
         lock(&self.state)
     }
 
-    /// Starts as many waiting requests as can be.
+    /// Starts queued requests until none can start.
     fn dispatch(&self, now: Now) {
         let mut state = self.state();
         let State {
@@ -237,14 +243,14 @@
 }
 
 impl State {
-    /// Lets go of all that belongs to an owner.
+    /// Drops all state that only an owner of the rack has.
     fn drop_rack(&mut self) {
         self.rack = None;
         self.desk = None;
         self.record = None;
         self.takeover = Takeover::default();
         self.greeted.clear();
-        // The waiting requests see their channels close, and answer that they did not run.
+        // Queued requests see their channels close, and answer that they did not run.
         self.pending_starts.clear();
     }
 }
--- a/crates/placer/src/shard/adopt.rs
+++ b/crates/placer/src/shard/adopt.rs
@@ -1,4 +1,4 @@
-//! Reads the host list, greets and adopts workers.
+//! Reads the platform's host list; greets and adopts the workers of a rack.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,13 +15,13 @@
 use super::{GreetedWorker, ListedWorker, Shard};
 use crate::Node;
 
-/// How often the host list is read.
+/// Minimum interval between reads of the host list.
 const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How long a worker that was not reached is left alone.
+/// Delay before workers whose adoption failed are tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 impl Shard {
-    /// Reads the host list, unless it was read a moment ago.
+    /// Reads the host list, unless it was read within the last [`LIST_INTERVAL`].
     pub(super) async fn refresh_list(&self, node: &Node) {
         let now = node.now();
         {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Asks the workers for their present lives, before the rack is taken.
+    /// Asks the workers for their incarnations, before the rack is taken.
     pub(super) async fn greet(&self, node: &Node) {
         self.state().listed_at = cell::Now::ZERO;
         self.refresh_list(node).await;
@@ -75,8 +75,8 @@
         });
         let greeted: BTreeMap<id::Worker, GreetedWorker> =
             join_all(asked).await.into_iter().flatten().collect();
-        // Without a majority this placer could never act, and would only keep an owner on the
-        // other side of a cut link from going on.
+        // Without a majority this placer could never become active. It would only depose an owner
+        // on the other side of a network partition that can still act.
         if greeted.len() < majority(listed.len()) {
             self.handle(&Event::Refused);
             return;
@@ -85,7 +85,7 @@
         self.handle(&Event::Greeted);
     }
 
-    /// Adopts every listed worker that does not obey the present epoch yet.
+    /// Adopts every listed worker that has not accepted the present epoch yet.
     pub(super) async fn adopt_all(self: &Arc<Self>, node: &Arc<Node>) {
         let (epoch, workers) = {
             let state = self.state();
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Adopts one worker; `false` if it was not reached.
+    /// Adopts one worker; `false` if that failed.
     async fn adopt(
         self: &Arc<Self>,
         node: &Arc<Node>,
@@ -156,17 +156,17 @@
                 false
             }
             Err(error) => {
-                log::debug!(worker = name, epoch = epoch; "not adopted: {error}");
+                log::debug!(worker = name, epoch = epoch; "adoption failed: {error}");
                 false
             }
         }
     }
 
-    /// Asks a worker for its present life when the rack is owned already.
+    /// Asks a worker for its incarnation when the rack is already owned.
     ///
-    /// A restart has wiped the worker's slot. If this placer was deposed meanwhile without knowing
-    /// it, its adoption would succeed at a worker that the new owner had fenced. So the row must
-    /// still name this epoch after the life was seen.
+    /// A restart clears the epoch that a worker has accepted. If this placer was deposed and does
+    /// not know it yet, it could adopt a restarted worker that the new owner had fenced. The rack's
+    /// record must therefore still contain this epoch after the incarnation was read.
     async fn greet_owned(
         &self,
         node: &Node,
@@ -190,7 +190,7 @@
 }
 
 impl super::State {
-    /// Takes note of a worker that obeys this epoch; `asked` is when it was asked and answered.
+    /// Records that a worker has accepted this epoch; `times` are those of the call and its answer.
     fn worker_adopted(
         &mut self,
         name: &str,
--- a/crates/placer/src/shard/heartbeat.rs
+++ b/crates/placer/src/shard/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to the workers of a rack, and the commands that follow from them.
+//! Sends heartbeats to the workers of a rack and executes the commands that result from them.
 
 use std::sync::Arc;
 
@@ -60,9 +60,9 @@
             }) if epoch > pulse.epoch => {
                 node.sync_now.notify_one();
             }
-            // It has begun a new life; it is adopted anew.
+            // The worker has restarted, so it must be adopted again.
             Err(Error::Refused { .. }) => self.worker_restarted(worker, pulse.epoch),
-            Err(error) => log::debug!(worker = worker; "no heartbeat: {error}"),
+            Err(error) => log::debug!(worker = worker; "heartbeat failed: {error}"),
         }
     }
 
@@ -71,11 +71,11 @@
         let Some(rack) = state.rack.as_mut().filter(|rack| rack.epoch() == epoch) else {
             return;
         };
-        log::warn!(worker = worker; "restarted");
+        log::warn!(worker = worker; "worker restarted");
         rack.bury(worker);
     }
 
-    /// Says to the workers what was decided.
+    /// Sends commands to the workers, each in a task of its own.
     pub(super) fn execute_commands(self: &Arc<Self>, node: &Arc<Node>, commands: Vec<Command>) {
         for command in commands {
             let (node, shard) = (Arc::clone(node), Arc::clone(self));
--- a/crates/placer/src/shard/jobs.rs
+++ b/crates/placer/src/shard/jobs.rs
@@ -1,4 +1,4 @@
-//! Places tasks on the rack, and looks after the jobs that are at home in it.
+//! Places tasks on the rack and manages the jobs whose home it is.
 
 mod events;
 mod gang;
@@ -17,14 +17,14 @@
 use crate::Node;
 use crate::node::lock;
 
-/// How often jobs are looked at when nothing happens.
+/// Interval of the job loop when nothing wakes it.
 const IDLE_INTERVAL: Duration = Duration::from_millis(400);
-/// Shortest time between two rounds of placing, so that what comes together is placed together.
+/// Minimum time between two rounds, so that jobs that arrive together are placed together.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(5);
-/// How often rows of jobs are written.
+/// Minimum interval between writes of job rows.
 const SAVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Looks after jobs until the placer ends.
+/// Manages jobs until the placer ends.
 pub(super) async fn run(node: Arc<Node>, shard: Arc<Shard>) {
     let mut saved_at = Duration::ZERO;
     while shard.wait_while_watching(&node).await {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Sends an order to the owner of its rack; `true` if every task was placed.
+    /// Sends an order to the owner of its rack; `true` if all its tasks were placed.
     async fn send_order(self: &Arc<Self>, node: &Arc<Node>, order: Order) -> bool {
         let Some(placed) = node.place_at(&order).await else {
             self.with_desk(|desk| desk.doubt(&order.rack, node.now()));
--- a/crates/placer/src/shard/jobs/events.rs
+++ b/crates/placer/src/shard/jobs/events.rs
@@ -1,5 +1,5 @@
-//! What became of tasks: told to the owners of their jobs, heard from the owners of racks, asked
-//! after where it is not known.
+//! Task events: reports them to the owners of jobs, receives them from the owners of racks, and
+//! asks for inventories where the state of tasks is unknown.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,7 +13,8 @@
 use crate::Node;
 
 impl Shard {
-    /// Takes note of what became of tasks of jobs at home here; `false` if they are not.
+    /// Applies events of tasks of the jobs managed here; `false` if this placer does not manage
+    /// them.
     pub(crate) fn receive_events(&self, events: &[Event]) -> bool {
         let accepted = self.with_desk(|desk| events.iter().for_each(|event| desk.event(event)));
         if accepted.is_some() {
@@ -22,7 +23,7 @@
         accepted.is_some()
     }
 
-    /// Tells the owners of home racks what became of their tasks.
+    /// Reports task events to the owners of the jobs' home racks.
     pub(super) async fn report_events(self: &Arc<Self>, node: &Arc<Node>) {
         let mut by_home: BTreeMap<id::Rack, Vec<Event>> = BTreeMap::new();
         if let Some(rack) = &self.state().rack {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Asks all placers what their racks hold, if some of it is not known.
+    /// Asks all placers for the inventories of their racks if the content of some rack is unknown.
     pub(super) async fn reconcile_inventory(self: &Arc<Self>, node: &Arc<Node>) {
         let now = node.now();
         if self.with_desk(|desk| desk.doubtful(now)) != Some(true) {
@@ -56,7 +57,7 @@
         self.jobs_changed.notify_one();
     }
 
-    /// Stops what still runs of jobs that are over, and the rest of broken gangs.
+    /// Stops the tasks of finished jobs and the remaining members of broken gangs.
     pub(super) async fn stop_leftovers(self: &Arc<Self>, node: &Arc<Node>) {
         let broken = self.with_desk(Desk::broken_gangs).unwrap_or_default();
         for (gang, racks) in broken {
--- a/crates/placer/src/shard/jobs/gang.rs
+++ b/crates/placer/src/shard/jobs/gang.rs
@@ -1,4 +1,4 @@
-//! Starts gangs whole, or not at all.
+//! Starts gangs all-or-nothing.
 
 use std::sync::Arc;
 
@@ -10,7 +10,8 @@
 use crate::Node;
 
 impl Shard {
-    /// Holds room on all racks of a gang, then starts it; or lets go of everything.
+    /// Reserves capacity on all racks of a gang, then starts the gang. If a rack refuses, cancels
+    /// the gang on all racks.
     pub(super) async fn start_gang(
         self: &Arc<Self>,
         node: &Arc<Node>,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Members on racks that were not asked any more wait again.
+    /// Puts the members of a gang that was not placed back into the queue.
     fn requeue_gang(&self, orders: &[Order]) {
         for order in orders {
             let placements = vec![Placement::Full; order.tasks.len()];
--- a/crates/placer/src/shard/jobs/persistence.rs
+++ b/crates/placer/src/shard/jobs/persistence.rs
@@ -1,4 +1,4 @@
-//! Keeps the rows of jobs up to date.
+//! Persists jobs in the platform's table.
 
 use cell::{Desk, Saved};
 use platform::Transaction;
@@ -6,13 +6,13 @@
 use super::Shard;
 use crate::Node;
 
-/// Rows of jobs that are written together, at most.
+/// Upper bound on job rows in one transaction.
 const MAX_ROWS: usize = 128;
-/// Jobs that are over and still remembered.
+/// Number of finished jobs that are retained.
 const MAX_FINISHED_JOBS: usize = 1_000;
 
 impl Shard {
-    /// Writes the rows of jobs that have changed; `true` if nothing is left to write.
+    /// Writes the rows of changed jobs; `true` if nothing is left to write.
     pub(super) async fn save(&self, node: &Node) -> bool {
         loop {
             let Some(mut rows) = self.with_desk(Desk::unsaved) else {
@@ -35,7 +35,7 @@
         let Some((version, _)) = self.state().record.clone() else {
             return false;
         };
-        // Checked, so that a deposed owner can't bring back what the new one has overwritten.
+        // Checks the rack's record, so that a deposed owner can't overwrite rows of the new one.
         let mut transaction = Transaction::default().check(cell::Record::key(&self.name), version);
         for row in rows {
             let Ok(value) = serde_json::to_string(row) else {
@@ -46,7 +46,7 @@
         node.table.commit(transaction).await.is_ok()
     }
 
-    /// Deletes the rows of jobs that were over long ago.
+    /// Deletes the rows of finished jobs beyond [`MAX_FINISHED_JOBS`].
     async fn delete_old_jobs(&self, node: &Node) {
         let deleted = self
             .with_desk(|desk| desk.forget_over(MAX_FINISHED_JOBS))
--- a/crates/placer/src/shard/jobs/placement.rs
+++ b/crates/placer/src/shard/jobs/placement.rs
@@ -1,4 +1,4 @@
-//! What the owners of jobs ask of this rack.
+//! Requests from the owners of jobs to this rack.
 
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
         placed
     }
 
-    /// Starts a gang that is held on this rack.
+    /// Starts a gang for which this rack has reserved capacity.
     pub(crate) fn commit(
         self: &Arc<Self>,
         node: &Arc<Node>,
@@ -37,7 +37,7 @@
         self.execute_if_current(node, from, |rack, now| rack.commit(gang, now))
     }
 
-    /// Gives up a gang on this rack.
+    /// Cancels a gang on this rack.
     pub(crate) fn undo(self: &Arc<Self>, node: &Arc<Node>, from: &Seniority, gang: &Gang) -> bool {
         self.execute_if_current(node, from, |rack, now| Some(rack.undo(gang, now)))
     }
@@ -53,8 +53,8 @@
         self.execute_if_current(node, from, |rack, now| Some(rack.stop(team, job, now)))
     }
 
-    /// Does what the owner of a job asks, unless a later message of it was heard before; `false` if
-    /// nothing was done.
+    /// Executes a request of a job's owner, unless a later message of that owner was received
+    /// before; `false` if nothing was done.
     fn execute_if_current(
         self: &Arc<Self>,
         node: &Arc<Node>,
--- a/crates/placer/src/shard/jobs/submission.rs
+++ b/crates/placer/src/shard/jobs/submission.rs
@@ -1,4 +1,4 @@
-//! Takes jobs, tells where they stand, withdraws them.
+//! Accepts jobs, reports their state and cancels them.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::Node;
 
 impl Shard {
-    /// Takes a job, once its row is written.
+    /// Accepts a job once its row is written.
     pub(crate) async fn submit(
         self: &Arc<Self>,
         node: &Arc<Node>,
@@ -35,8 +35,8 @@
         Ok(state)
     }
 
-    /// Writes the row of a new job. The rack's row is checked as well: a deposed owner must not
-    /// say that it took a job which the new owner has not seen.
+    /// Writes the row of a new job. The transaction also checks the rack's record: a deposed owner
+    /// must not accept a job that the new owner has not read.
     async fn write_job_row(self: &Arc<Self>, node: &Arc<Node>, job: &Job) -> Result<(), Fault> {
         let key = Saved::key(&job.team, &job.id);
         let value = serde_json::to_string(&Saved::new(job.clone()))
@@ -66,8 +66,9 @@
         }
     }
 
-    /// The answer to a new job's row was lost: reads whether it stands there. If that can't be
-    /// told, the job may be taken, and this owner goes on asking so that it won't lie idle.
+    /// Reads whether a new job's row was written when the answer of the table was lost. If that
+    /// fails as well, the job may have been accepted, so this owner keeps reading in the
+    /// background: otherwise the job might never be scheduled.
     async fn confirm_row(
         self: &Arc<Self>,
         node: &Arc<Node>,
@@ -84,7 +85,8 @@
                 node.shutdown
                     .clone()
                     .spawn(async move { shard.confirm_row_later(&node, job, &key).await });
-                let reason = "the table took it or not; ask again with the same id";
+                let reason =
+                    "the table may or may not have the job; submit it again with the same id";
                 Err(Fault::new(Kind::Lost, reason))
             }
         }
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Where a job stands.
+    /// The state of a job.
     pub(crate) fn watch(&self, team: &str, job: &str) -> Result<State, Fault> {
         let state = self
             .with_desk(|desk| desk.state(team, job))
@@ -112,8 +114,8 @@
         state.ok_or_else(|| Fault::new(Kind::UnknownJob, "there is no such job"))
     }
 
-    /// Withdraws a job. Nothing more of it starts from now on; the answer is given once the row
-    /// says so as well, since a later owner goes by the row.
+    /// Cancels a job. Nothing more of it starts from now on. The answer is sent once the row shows
+    /// it too, since a later owner relies on the row.
     pub(crate) async fn cancel(
         self: &Arc<Self>,
         node: &Arc<Node>,
@@ -131,7 +133,7 @@
         if self.save(node).await {
             return Ok(state);
         }
-        let reason = "it is being stopped, but the table did not take the note; ask again";
+        let reason = "the job is being stopped, but its row was not written; cancel it again";
         Err(Fault::new(Kind::StoreDown, reason))
     }
 }
@@ -145,6 +147,6 @@
 fn not_home_owner() -> Fault {
     Fault::new(
         Kind::NotOwner,
-        "this placer does not look after the team's jobs",
+        "this placer does not manage the team's jobs",
     )
 }
--- a/crates/placer/src/shard/ownership.rs
+++ b/crates/placer/src/shard/ownership.rs
@@ -1,4 +1,4 @@
-//! Takes a rack, keeps it, lets go of it.
+//! Acquires, maintains and releases the ownership of a rack.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 use super::Shard;
 use crate::Node;
 
-/// How often a rack on its way to being owned is looked at.
+/// Interval of the ownership loop while the rack is being acquired or released.
 const TRANSITION_INTERVAL: Duration = Duration::from_millis(50);
-/// How often an owned rack is looked after; nothing there is urgent.
+/// Interval of the ownership loop while the rack is active; nothing there is urgent.
 const ACTIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// A list that differs from the roster for this long is followed.
+/// The roster is replaced once the host list has differed from it for this long.
 const ROSTER_CHANGE_DELAY: Duration = Duration::from_secs(5);
-/// A worker that the platform has not listed for this long exists no more.
+/// A worker that the platform has not listed for this long counts as removed.
 const REMOVAL_DELAY: Duration = Duration::from_secs(15);
 
-/// Carries out the stages of ownership until the placer ends.
+/// Executes the stages of ownership until the placer ends.
 pub(super) async fn run(node: Arc<Node>, shard: Arc<Shard>) {
     while shard.wait_while_watching(&node).await {
         let interval = if shard.stage() == Stage::Active {
@@ -44,7 +44,7 @@
 }
 
 impl Shard {
-    /// Asks the table for the rack.
+    /// Tries to write the rack's record with this placer as its owner.
     async fn take(self: &Arc<Self>, node: &Node) {
         let key = Record::key(&self.name);
         let (version, record) = node
@@ -60,7 +60,7 @@
             self.handle(&Event::Refused);
             return;
         };
-        log::info!(rack = self.name.as_str(), epoch = next.epoch; "taken");
+        log::info!(rack = self.name.as_str(), epoch = next.epoch; "rack ownership acquired");
         metrics::counter!("lentilyoke_taken_total").increment(1);
         self.install_rack(node, version, &record, next);
         node.mark_unconfirmed(std::slice::from_ref(&self.name));
@@ -76,8 +76,9 @@
             Some(rack) if same && rack.epoch() == before.epoch => rack.retake(epoch, roster),
             _ => state.rack = Some(Rack::new(&self.name, epoch, roster, settings)),
         }
-        // An order from the former owner of a home rack may be under way to here. The rows that
-        // were read when this rack was taken tell who is its present owner.
+        // An order from a former owner of a home rack may still be in transit to this rack. The
+        // records that were read before the rack was taken give the home racks' present epochs;
+        // messages with lower ones are rejected.
         let records = node.view().records.clone();
         if let Some(rack) = &mut state.rack {
             for (home, (_, record)) in records {
@@ -92,7 +93,7 @@
         self.stage_changed.notify_one();
     }
 
-    /// Writes the rack's row; tells its version if it stands there.
+    /// Writes the rack's record; returns its row version if it was written.
     async fn write_record(
         &self,
         node: &Node,
@@ -119,7 +120,8 @@
                     .for_each(|row| drop(node.view().apply_row(row, node.now())));
                 None
             }
-            // It may stand there all the same. Epoch, name and address make it unlike any other.
+            // The row may have been written all the same. Epoch, name and address make it
+            // distinguishable from the row of any other writer.
             Err(Error::Lost { .. }) => {
                 let rows = node.table.scan(&[key], 0).await.ok()?.rows;
                 let row = rows.into_iter().find(|row| row.key == key)?;
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Adopts the workers; becomes active when no earlier owner can act any more.
+    /// Adopts the workers; becomes active once no earlier owner can act.
     async fn fence(self: &Arc<Self>, node: &Arc<Node>) {
         self.refresh_list(node).await;
         self.adopt_all(node).await;
@@ -142,7 +144,7 @@
         self.dispatch(node.now());
     }
 
-    /// Looks after a rack that is owned.
+    /// Periodic work on a rack whose active owner this placer is.
     async fn maintain(self: &Arc<Self>, node: &Arc<Node>) {
         self.refresh_list(node).await;
         self.adopt_all(node).await;
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Writes that earlier rosters count no more.
+    /// Removes the rosters of earlier owners from the rack's record.
     async fn write_settled_record(&self, node: &Node) {
         let record = self.state().record.clone();
         let Some((version, record)) = record.filter(|(_, r)| r.rosters.len() > 1) else {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Reads the jobs at home here.
+    /// Reads the jobs whose home is this rack and opens the desk that manages them.
     async fn open_desk(&self, node: &Node) {
         let Some(applied) = node.active_config() else {
             return;
@@ -195,7 +197,7 @@
             match node.table.scan(&prefixes, 0).await {
                 Ok(scan) => scan.rows,
                 Err(error) => {
-                    log::warn!(rack = self.name.as_str(); "jobs were not read: {error}");
+                    log::warn!(rack = self.name.as_str(); "reading the jobs failed: {error}");
                     return;
                 }
             }
@@ -215,7 +217,7 @@
         state.desk = Some(desk);
     }
 
-    /// Lets go of the rack once no quick request is in hand.
+    /// Releases the rack once no quick request is in progress.
     async fn release(&self, node: &Node) {
         let (busy, record) = {
             let mut state = self.state();
@@ -233,14 +235,14 @@
                 .await
                 .is_none()
             {
-                // The row could not be written; another placer takes the rack when this one's
-                // session has ended.
+                // The record could not be written. If this placer is stopping, another one takes
+                // the rack when its session has ended.
                 if !node.shutdown.is_draining() {
                     return;
                 }
             }
         }
-        log::info!(rack = self.name.as_str(); "released");
+        log::info!(rack = self.name.as_str(); "rack ownership released");
         let mut state = self.state();
         state.ownership.handle(&Event::Released);
         state.drop_rack();
@@ -248,7 +250,7 @@
 }
 
 impl super::State {
-    /// Begins to act, if this owner is proved and no earlier one can act any more.
+    /// Becomes active if a majority of the workers confirms this owner and no earlier one can act.
     fn try_activate(&mut self, now: cell::Now) -> bool {
         self.fence_removed_workers(now);
         let ready = self.takeover.ready(now) && self.ownership.stage() == Stage::Fencing;
@@ -260,7 +262,7 @@
         true
     }
 
-    /// Whether the list has differed from the roster for long enough to follow it.
+    /// Whether the host list has differed from the roster for [`ROSTER_CHANGE_DELAY`].
     fn roster_change_due(&mut self, now: cell::Now) -> bool {
         let listed: Roster = self.listed.keys().cloned().collect();
         let differs = self
@@ -276,7 +278,7 @@
             .is_some_and(|since| now >= since + ROSTER_CHANGE_DELAY)
     }
 
-    /// Workers that the platform has not listed for long count as fenced.
+    /// Counts workers as fenced that the platform has not listed for [`REMOVAL_DELAY`].
     fn fence_removed_workers(&mut self, now: cell::Now) {
         let Some((_, record)) = &self.record else {
             return;
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -15,23 +15,24 @@
 use crate::Node;
 use crate::request_cache::Lookup;
 
-/// Time for a message to a worker and back, beside the run.
+/// Time allowed for a message to a worker and its answer, in addition to the run.
 const ROUND_TRIP_ALLOWANCE: Duration = Duration::from_millis(200);
-/// Retries that a team may save up.
+/// Upper bound on the retries that a team may accumulate.
 const MAX_SAVED_RETRIES: f64 = 16.0;
-/// Attempts at one request, at most.
+/// Upper bound on the attempts at one request.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// How an attempt ended, if the request goes on.
+/// Result of one attempt at a request.
 enum AttemptResult {
-    /// The caller gets this.
+    /// The answer for the caller.
     Answer(Answer),
-    /// It certainly did not run; it may be tried again, or this is the answer.
+    /// The request did not run or is idempotent, so it may be tried again; this is the answer if
+    /// it is not.
     Retry(Fault),
 }
 
 impl Shard {
-    /// Runs a request and tells the one answer to it. The work goes on if the caller goes away.
+    /// Runs a request and returns its answer. The work continues if the caller disconnects.
     pub(crate) async fn run(self: Arc<Self>, node: Arc<Node>, request: Request) -> Answer {
         let name = format!("{}/{}", request.team, request.id);
         if self.stage() != Stage::Active {
@@ -53,8 +54,8 @@
             Lookup::New => {
                 let (done, answer) = oneshot::channel();
                 let stop = node.shutdown.clone();
-                // A task of its own: if the connection to the entry breaks, this future is
-                // dropped, and with it the knowledge of what was started.
+                // Runs in a task of its own: if the connection to the entry breaks, this future is
+                // dropped, and the record of what was started would be lost with it.
                 stop.spawn(async move {
                     let result = self.attempts(&node, &name, &request).await;
                     let now = node.now();
@@ -96,7 +97,7 @@
         last.into()
     }
 
-    /// Claims a request before it is started, so that a later owner knows that it may have run.
+    /// Writes a claim before a request starts, so that a later owner knows that it may have run.
     async fn claim(&self, node: &Node, name: &str) -> Result<(), Fault> {
         let claim = {
             let state = self.state();
@@ -115,8 +116,8 @@
         };
         let epoch = claim.epoch;
         let verdict = node.claims.claim(claim).await;
-        // A claim under an earlier epoch of this very placer does not allow a start under the
-        // present one: an owner in between may have run it.
+        // A claim under an earlier epoch of this same placer does not permit a start under the
+        // present one: an owner in between may have run the request.
         let epoch_current = self
             .state()
             .record
@@ -192,7 +193,7 @@
         next
     }
 
-    /// Waits for a worker and for the key.
+    /// Waits until a worker and the request's key are free.
     async fn wait_for_start(
         &self,
         node: &Node,
@@ -224,7 +225,7 @@
         ))
     }
 
-    /// Lets a request wait; the start comes over the channel.
+    /// Queues a request; the channel delivers its start.
     fn enqueue(
         &self,
         node: &Node,
@@ -242,7 +243,8 @@
         Ok((ticket, start))
     }
 
-    /// No answer came from the worker: makes sure that the attempt is over, if that can be.
+    /// Voids an attempt whose worker did not answer, to find out how it ended or to prevent its
+    /// start.
     async fn resolve_attempt(
         &self,
         node: &Node,
@@ -252,7 +254,7 @@
         go: &Go,
         error: &Error,
     ) -> (Over, AttemptResult) {
-        log::warn!(request = name, worker = go.worker.as_str(); "no answer: {error}");
+        log::warn!(request = name, worker = go.worker.as_str(); "worker did not answer: {error}");
         let void = Void {
             epoch: go.epoch,
             id: name.to_owned(),
@@ -301,7 +303,7 @@
     Fault::new(Kind::NotOwner, "another placer owns the rack now")
 }
 
-/// A whole answer came, or the worker says that it failed.
+/// Result of a run whose outcome the worker reported.
 fn run_result(ran: Ran) -> (Over, AttemptResult) {
     match ran.result {
         Ok(body) => (
--- a/crates/placer/src/table_view.rs
+++ b/crates/placer/src/table_view.rs
@@ -1,4 +1,4 @@
-//! What a placer knows of the platform's table.
+//! A placer's cached view of the platform's table.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,35 +9,36 @@
 
 use crate::{Options, Session};
 
-/// Rows of the table as they were last read.
+/// Rows of the table as last read.
 #[derive(Debug, Default)]
 pub(crate) struct TableView {
-    /// The transaction up to which it was read.
+    /// Version of the last transaction that is included.
     pub(crate) version: Version,
-    /// Rows of racks with their versions.
+    /// Ownership records of racks with their row versions.
     pub(crate) records: BTreeMap<id::Rack, (Version, Record)>,
-    /// The configuration's row.
+    /// The configuration with its row version.
     pub(crate) config: Option<(Version, config::raw::Cell)>,
     sessions: BTreeMap<id::Placer, SessionEntry>,
     reachable: bool,
-    /// Rises whenever an owner changes.
+    /// Incremented whenever the owner of a rack changes.
     pub(crate) generation: u64,
 }
 
-/// A placer's session and when it was last seen to change, by the clock of whoever looks.
+/// A placer's session and when it was last seen to change, by the clock of this process.
 #[derive(Debug)]
 struct SessionEntry {
     session: Session,
     changed: Now,
-    /// Its port refused connections since; it is not waited for until its session grows old.
+    /// Its port has refused connections since then, so it counts as crashed before the session
+    /// timeout.
     connection_refused: bool,
 }
 
 impl TableView {
-    /// Takes note of rows that were read; tells which racks have new owners.
+    /// Applies rows that were read; returns the racks whose owner changed.
     pub(crate) fn apply_scan(&mut self, scan: &Scan, now: Now) -> Vec<id::Rack> {
-        // While the table is down no session changes. The first read after that would show every
-        // placer as dead, and all racks would change hands at once; so all begin anew.
+        // No session changes while the table is down. Without this reset, the first read after an
+        // outage would show every placer as crashed and all racks would change owner at once.
         if !self.reachable {
             self.sessions
                 .values_mut()
@@ -53,17 +54,17 @@
         changed
     }
 
-    /// The table did not answer.
+    /// Records that the table did not answer.
     pub(crate) fn set_unreachable(&mut self) {
         self.reachable = false;
     }
 
-    /// Whether the table answered last time.
+    /// Whether the last read of the table succeeded.
     pub(crate) const fn is_reachable(&self) -> bool {
         self.reachable
     }
 
-    /// Takes note of one row; tells the rack if its owner changed.
+    /// Applies one row; returns the rack if its owner changed.
     pub(crate) fn apply_row(&mut self, row: &Row, now: Now) -> Option<id::Rack> {
         if let Some(rack) = row.key.strip_prefix(Record::PREFIX) {
             return self.apply_record(rack, row);
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Live placers with their sessions.
+    /// Running placers with their sessions.
     pub(crate) fn live(&self, now: Now, options: &Options) -> Vec<(&id::Placer, &Session)> {
         let live = |seen: &SessionEntry| {
             !seen.connection_refused && now.saturating_sub(seen.changed) < options.session_timeout
@@ -128,7 +129,7 @@
         sessions.map(|(name, seen)| (name, &seen.session)).collect()
     }
 
-    /// Which placer should own each rack; one of the rack's own region if any is live there.
+    /// The placer that should own each rack: one of the rack's own region if any runs there.
     pub(crate) fn desired_owners(
         &self,
         cell: &Cell,
@@ -153,7 +154,7 @@
         desired_owners
     }
 
-    /// The placer that writes the claims of a data centre, with its address.
+    /// The placer that writes the claims of this data centre, with its address.
     pub(crate) fn claim_writer(&self, now: Now, options: &Options) -> Option<(&id::Placer, &str)> {
         let live = self.live(now, options);
         let local = live
@@ -167,7 +168,7 @@
         Some((name, self.sessions.get(name)?.session.address.as_str()))
     }
 
-    /// Addresses of the live placers, of one region or of all.
+    /// Addresses of the running placers of one region, or of all regions.
     pub(crate) fn addresses(
         &self,
         region: Option<&str>,
@@ -181,8 +182,10 @@
         wanted.map(|(_, s)| s.address.clone()).collect()
     }
 
-    /// The placer at this address refuses connections: its process is gone. It counts as dead until
-    /// its session changes again; if it lives after all, epochs keep it from doing harm.
+    /// Records that the placer at this address refuses connections.
+    ///
+    /// It counts as crashed until its session changes again. If it runs after all, the epochs fence
+    /// it off.
     pub(crate) fn set_connection_refused(&mut self, address: &str) {
         let seen = self
             .sessions
@@ -191,7 +194,7 @@
         seen.for_each(|seen| seen.connection_refused = true);
     }
 
-    /// Whether a placer is live.
+    /// Whether a placer counts as running.
     pub(crate) fn is_live(&self, placer: &str, now: Now, options: &Options) -> bool {
         self.live(now, options)
             .iter()
