--- a/crates/placer/src/claims.rs
+++ b/crates/placer/src/claims.rs
@@ -59,10 +59,10 @@
 
     /// Writes claims forwarded by this or another placer.
     pub(crate) async fn write(&self, claims: Vec<Claim>) -> Vec<Verdict> {
-        let asked = claims
+        let verdicts = claims
             .into_iter()
             .map(|claim| request_verdict(&self.inbox, claim));
-        futures::future::join_all(asked).await
+        futures::future::join_all(verdicts).await
     }
 }
 
--- a/crates/placer/src/node/digest_exchange.rs
+++ b/crates/placer/src/node/digest_exchange.rs
@@ -13,11 +13,11 @@
 pub(super) async fn run(node: Arc<Node>) {
     while node.shutdown.sleep(node.options.digest_interval).await {
         store_digests(&node, &node.local_digests());
-        let asked = node
+        let fetches = node
             .region_peers()
             .into_iter()
             .map(|address| fetch_digests(&node, address));
-        futures::future::join_all(asked).await;
+        futures::future::join_all(fetches).await;
         update_gauges(&node);
     }
 }
--- a/crates/placer/src/node/rack_calls.rs
+++ b/crates/placer/src/node/rack_calls.rs
@@ -116,11 +116,11 @@
             .live_addresses()
             .into_iter()
             .filter(|a| *a != self.options.address);
-        let asked = others.map(|address| {
+        let calls = others.map(|address| {
             let from = from.clone();
             async move { with_timeout(self.peers.inventory(&address, from)).await }
         });
-        let others = futures::future::join_all(asked).await;
+        let others = futures::future::join_all(calls).await;
         all.extend(others.into_iter().flatten().flatten());
         all
     }
--- a/crates/placer/src/node/table_sync.rs
+++ b/crates/placer/src/node/table_sync.rs
@@ -84,8 +84,8 @@
 }
 
 async fn read_table(node: &Arc<Node>) {
-    let since = node.view().version;
-    let scan = match node.table.scan(&SYNCED_PREFIXES, since).await {
+    let last_version = node.view().version;
+    let scan = match node.table.scan(&SYNCED_PREFIXES, last_version).await {
         Ok(scan) => scan,
         Err(error) => {
             node.view().set_unreachable();
@@ -125,15 +125,15 @@
     addresses.sort();
     addresses.dedup();
     let min_version = node.latest_config().map_or(0, |a| a.version);
-    let asked = addresses.iter().map(|address| async {
-        let asked = node.peers.config(address, min_version);
-        tokio::time::timeout(CONFIG_QUERY_TIMEOUT, asked)
+    let queries = addresses.iter().map(|address| async {
+        let call = node.peers.config(address, min_version);
+        tokio::time::timeout(CONFIG_QUERY_TIMEOUT, call)
             .await
             .ok()?
             .ok()
             .flatten()
     });
-    let newer = join_all(asked).await.into_iter().flatten();
+    let newer = join_all(queries).await.into_iter().flatten();
     if let Some((version, raw)) = newer.max_by_key(|(version, _)| *version) {
         node.apply(version, raw);
         node.set_config_confirmed(true);
--- a/crates/placer/src/request_cache.rs
+++ b/crates/placer/src/request_cache.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) struct RequestCache {
     retention: Duration,
-    seen: HashMap<String, CachedRequest>,
+    entries: HashMap<String, CachedRequest>,
 }
 
 #[derive(Debug)]
@@ -39,13 +39,13 @@
     pub(crate) fn new(retention: Duration) -> Self {
         Self {
             retention,
-            seen: HashMap::new(),
+            entries: HashMap::new(),
         }
     }
 
     /// Looks up a request and records it if it is new.
     pub(crate) fn begin(&mut self, name: &str, request: &Request) -> Lookup {
-        if let Some(seen) = self.seen.get(name) {
+        if let Some(seen) = self.entries.get(name) {
             if !seen.request.same(request) {
                 return Lookup::Conflict;
             }
@@ -58,7 +58,7 @@
             answer: watch::Sender::new(None),
             ended: None,
         };
-        self.seen.insert(name.to_owned(), seen);
+        self.entries.insert(name.to_owned(), seen);
         Lookup::New
     }
 
@@ -67,21 +67,21 @@
     /// A request that certainly did not run, or that is idempotent, is removed and may run again.
     /// The answer to a non-idempotent request is retained, since the request must not run twice.
     pub(crate) fn end(&mut self, name: &str, answer: &Answer, now: Now) {
-        let Some(seen) = self.seen.get_mut(name) else {
+        let Some(seen) = self.entries.get_mut(name) else {
             return;
         };
         seen.answer.send_replace(Some(answer.clone()));
         seen.ended = Some(now);
         let may_have_run = matches!(answer.class(), Class::Done | Class::MayHaveRun);
         if !may_have_run || seen.request.idempotent {
-            self.seen.remove(name);
+            self.entries.remove(name);
         }
     }
 
     /// Removes requests that ended longer ago than the retention period.
     pub(crate) fn evict_expired(&mut self, now: Now) {
         let retention = self.retention;
-        self.seen
+        self.entries
             .retain(|_, seen| seen.ended.is_none_or(|ended| now < ended + retention));
     }
 }
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -33,7 +33,7 @@
     /// Signals new task events or jobs to place.
     jobs_changed: Notify,
     /// Signals that the rack is no longer only watched.
-    wanted: Notify,
+    left_watching: Notify,
 }
 
 /// A worker as listed by the platform.
@@ -94,7 +94,7 @@
             state: Mutex::new(state),
             stage_changed: Notify::new(),
             jobs_changed: Notify::new(),
-            wanted: Notify::new(),
+            left_watching: Notify::new(),
         }
     }
 
@@ -135,13 +135,13 @@
     /// only watched, so their background tasks must not wake up.
     async fn wait_while_watching(&self, node: &Node) -> bool {
         loop {
-            let mut wanted = pin!(self.wanted.notified());
-            wanted.as_mut().enable();
+            let mut left = pin!(self.left_watching.notified());
+            left.as_mut().enable();
             if self.stage() != Stage::Watching {
                 return true;
             }
             tokio::select! {
-                () = wanted => {}
+                () = left => {}
                 () = node.shutdown.ended() => return false,
             }
         }
@@ -156,7 +156,7 @@
     pub(crate) fn handle(&self, event: &Event) {
         self.state().ownership.handle(event);
         self.stage_changed.notify_one();
-        self.wanted.notify_waiters();
+        self.left_watching.notify_waiters();
     }
 
     /// Gives up the rack to another owner, which holds it under this epoch.
--- a/crates/placer/src/shard/adopt.rs
+++ b/crates/placer/src/shard/adopt.rs
@@ -64,7 +64,7 @@
             self.handle(&Event::Refused);
             return;
         }
-        let asked = listed.iter().map(|(name, host)| async {
+        let calls = listed.iter().map(|(name, host)| async {
             let hello = node.workers.hello(&host.address).await.ok()?;
             Some((
                 name.clone(),
@@ -74,7 +74,7 @@
             ))
         });
         let greeted: BTreeMap<id::Worker, GreetedWorker> =
-            join_all(asked).await.into_iter().flatten().collect();
+            join_all(calls).await.into_iter().flatten().collect();
         // Without a majority this placer could never become active. It would only depose an owner
         // on the other side of a network partition that can still act.
         if greeted.len() < majority(listed.len()) {
--- a/crates/placer/tests/cluster/fault_injection.rs
+++ b/crates/placer/tests/cluster/fault_injection.rs
@@ -1,4 +1,4 @@
-//! What goes wrong between one placer and everything else.
+//! Faults between one placer and everything that it calls.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -20,21 +20,21 @@
 
 use super::Net;
 
-/// Switches of one placer.
+/// Fault switches of one placer.
 pub struct Faults {
-    /// Everything it says waits until it goes on.
+    /// All its calls wait until it is resumed.
     paused: watch::Sender<bool>,
-    /// Workers that it can't reach.
+    /// Addresses of workers that it can't reach.
     unreachable_workers: Mutex<BTreeSet<String>>,
-    /// It can't reach the table.
+    /// The table is unreachable.
     no_table: watch::Sender<bool>,
-    /// Its beats can't read the table; single rows can be read.
+    /// Its periodic sync can't read the table; reads of single rows succeed.
     no_sync: watch::Sender<bool>,
-    /// Its connections to workers break right after a run has begun.
+    /// Its connections to workers break right after a run has started.
     break_runs: watch::Sender<bool>,
-    /// Answers to its orders are lost.
+    /// Answers to its orders to other placers are lost.
     lose_placement_answers: watch::Sender<bool>,
-    /// It can't reach other placers.
+    /// Other placers are unreachable.
     no_peers: watch::Sender<bool>,
 }
 
@@ -53,22 +53,22 @@
 }
 
 impl Faults {
-    /// Pauses it: what it has decided to say is said when it goes on.
+    /// Pauses it: calls that it is about to make are sent when it is resumed.
     pub fn pause(&self) {
         self.paused.send_replace(true);
     }
 
-    /// Lets it go on.
+    /// Resumes it after a pause.
     pub fn resume(&self) {
         self.paused.send_replace(false);
     }
 
-    /// Nothing of it reaches anybody any more.
+    /// Blocks all its calls for good.
     pub fn kill(&self) {
         self.pause();
     }
 
-    /// Cuts it off from a worker.
+    /// Makes a worker unreachable.
     pub fn cut_worker(&self, address: &str) {
         self.unreachable_workers
             .lock()
@@ -76,32 +76,32 @@
             .insert(address.to_owned());
     }
 
-    /// Cuts it off from the table, or not.
+    /// Sets whether the table is unreachable.
     pub fn cut_table(&self, cut: bool) {
         self.no_table.send_replace(cut);
     }
 
-    /// Keeps its beats from reading the table, or not.
+    /// Sets whether its periodic sync fails to read the table.
     pub fn cut_sync(&self, cut: bool) {
         self.no_sync.send_replace(cut);
     }
 
-    /// Breaks its connections to workers right after a run has begun, or not.
+    /// Sets whether its connections to workers break right after a run has started.
     pub fn break_runs(&self, enabled: bool) {
         self.break_runs.send_replace(enabled);
     }
 
-    /// Loses the answers to its orders, or not.
+    /// Sets whether the answers to its orders are lost.
     pub fn lose_placement_answers(&self, enabled: bool) {
         self.lose_placement_answers.send_replace(enabled);
     }
 
-    /// Cuts it off from other placers, or not.
+    /// Sets whether other placers are unreachable.
     pub fn cut_peers(&self, cut: bool) {
         self.no_peers.send_replace(cut);
     }
 
-    /// Waits until it goes on.
+    /// Waits while it is paused.
     pub async fn wait_while_paused(&self) {
         let mut paused = self.paused.subscribe();
         drop(paused.wait_for(|paused| !paused).await);
@@ -138,7 +138,7 @@
     }
 }
 
-/// Everything that one placer talks to.
+/// Connections of one placer, with its faults applied.
 pub struct FaultyConnections {
     pub faults: Arc<Faults>,
     pub platform: Arc<Platform>,
--- a/crates/placer/tests/cluster/mod.rs
+++ b/crates/placer/tests/cluster/mod.rs
@@ -1,13 +1,9 @@
-//! A small cell inside a test: placers, a platform, racks of workers, and switches for what fails.
+//! A small cell inside a test: placers, a fake platform, fake racks of workers and fault switches.
 //!
-//! Nothing is simulated but the outside: the placers are the real ones. Time is paused, so a test
-//! takes no longer than its steps and gives the same verdict each run.
+//! The placers are real; only what they call is fake. Time is paused, so a test does not wait in
+//! real time and gives the same result in each run.
 
-#![allow(
-    dead_code,
-    unreachable_pub,
-    reason = "each test file uses a part of it"
-)]
+#![allow(dead_code, unreachable_pub, reason = "each test file uses only a part")]
 
 mod fault_injection;
 mod net;
@@ -29,17 +25,17 @@
 use fault_injection::FaultyConnections;
 pub use net::Net;
 
-/// A team, a service and a key's usual names.
+/// The team and the service of all tests.
 pub const TEAM: &str = "officers";
 pub const SERVICE: &str = "checks";
 
-/// One placer and what goes wrong with it.
+/// One placer with its fault switches.
 pub struct Placer {
     pub node: Arc<Node>,
     pub faults: Arc<Faults>,
 }
 
-/// The cell.
+/// A cell under test.
 pub struct Cluster {
     pub platform: Arc<Platform>,
     pub racks: Racks,
@@ -48,8 +44,8 @@
     pub cell: Cell,
 }
 
-/// Racks `r1` to `rN` in one region, with one team and one service.
-pub fn cell_of(racks: usize, workers: u32) -> raw::Cell {
+/// Configuration with racks `r1` to `rN` in one region, one team and one service.
+pub fn cell_config(racks: usize, workers: u32) -> raw::Cell {
     let mut builder = Builder::new("test")
         .worker(16.0, 65_536, 2)
         .workers_per_rack(workers);
@@ -63,9 +59,9 @@
 }
 
 impl Cluster {
-    /// A cell with so many racks of so many workers, and no placer yet.
+    /// Creates a cell with this many racks of this many workers each, and no placer.
     pub async fn new(racks: usize, workers: u32) -> Self {
-        let raw = cell_of(racks, workers);
+        let raw = cell_config(racks, workers);
         let cluster = Self {
             platform: Arc::default(),
             racks: Racks::default(),
@@ -94,7 +90,7 @@
         });
     }
 
-    /// Writes a configuration, whatever is in force.
+    /// Writes a configuration unconditionally.
     pub async fn configure(&self, raw: &raw::Cell) -> u64 {
         let value = serde_json::to_string(raw).unwrap();
         self.platform
@@ -103,12 +99,12 @@
             .unwrap()
     }
 
-    /// Starts a placer.
+    /// Starts a placer with default options.
     pub fn start(&mut self, name: &str) -> Arc<Node> {
         self.start_with(Options::new(name, name).with_location("north", "north-1"))
     }
 
-    /// Starts a placer with options of its own.
+    /// Starts a placer with these options.
     pub fn start_with(&mut self, options: Options) -> Arc<Node> {
         let faults = Arc::new(Faults::default());
         let faulty = Arc::new(FaultyConnections {
@@ -139,14 +135,14 @@
         node
     }
 
-    /// Ends a placer as a kill would: from now on nothing of it reaches anybody.
+    /// Kills a placer: none of its calls reaches anything from now on.
     pub fn kill(&mut self, name: &str) {
         let placer = self.placers.remove(name).unwrap();
         placer.faults.kill();
         self.net.remove(name);
     }
 
-    /// Stops everything and joins it.
+    /// Stops all placers and waits for their tasks.
     pub async fn end(self) {
         for placer in self.placers.values() {
             placer.faults.resume();
@@ -154,16 +150,16 @@
         }
     }
 
-    /// The placer that is active for a rack.
+    /// The active owner of a rack.
     pub fn owner(&self, rack: &str) -> Option<String> {
         self.placers
             .keys()
-            .find(|name| self.active(name, rack))
+            .find(|name| self.is_active(name, rack))
             .cloned()
     }
 
-    /// Whether a placer takes itself for the active owner of a rack.
-    pub fn active(&self, placer: &str, rack: &str) -> bool {
+    /// Whether a placer considers itself the active owner of a rack.
+    pub fn is_active(&self, placer: &str, rack: &str) -> bool {
         let status = self.placers[placer].node.status();
         status
             .racks
@@ -171,8 +167,8 @@
             .any(|r| r.rack == rack && r.stage == "active")
     }
 
-    /// Waits until every rack has an active owner; panics after so long.
-    pub async fn settle(&self, timeout: Duration) {
+    /// Waits until every rack has an active owner; panics after the timeout.
+    pub async fn wait_for_owners(&self, timeout: Duration) {
         let settled = || {
             self.cell
                 .racks
@@ -182,7 +178,7 @@
         wait_until(timeout, settled).await;
     }
 
-    /// Asks the owner of the key's rack.
+    /// Sends a request to the owner of the key's rack.
     pub async fn send(&self, request: Request) -> Answer {
         let rack = self.home_rack(&request.key);
         let Some(owner) = self.owner(&rack) else {
@@ -191,21 +187,21 @@
         self.send_to(&owner, request).await
     }
 
-    /// Asks one placer.
+    /// Sends a request to one placer.
     pub async fn send_to(&self, placer: &str, request: Request) -> Answer {
         let rack = self.home_rack(&request.key);
         let node = Arc::clone(&self.placers[placer].node);
         Server::new(node).run(rack, request).await.unwrap()
     }
 
-    /// Asks one placer, and does not wait for the answer.
+    /// Sends a request to one placer without waiting for the answer.
     pub fn spawn_send(&self, placer: &str, request: Request) -> tokio::task::JoinHandle<Answer> {
         let server = Server::new(Arc::clone(&self.placers[placer].node));
         let rack = self.home_rack(&request.key);
         tokio::spawn(async move { server.run(rack, request).await.unwrap() })
     }
 
-    /// The rack that a key is at home in.
+    /// The home rack of a key.
     pub fn home_rack(&self, key: &str) -> String {
         let service = self.cell.service(SERVICE).unwrap();
         config::home::key(&self.cell, service, key)
@@ -213,7 +209,7 @@
             .to_owned()
     }
 
-    /// The placer that looks after the team's jobs.
+    /// The placer that manages the team's jobs.
     pub fn home_server(&self) -> Server {
         let owner = self
             .owner(&self.team_home_rack())
@@ -221,7 +217,7 @@
         Server::new(Arc::clone(&self.placers[&owner].node))
     }
 
-    /// The rack that the team's jobs are at home in.
+    /// The home rack of the team's jobs.
     pub fn team_home_rack(&self) -> String {
         let team = self.cell.team(TEAM).unwrap();
         config::home::team(&self.cell, TEAM, team)
@@ -237,7 +233,7 @@
             .unwrap()
     }
 
-    /// Tells where a job stands; `None` while nobody can tell.
+    /// The state of a job; `None` while no placer knows it.
     pub async fn job_state(&self, job: &str) -> Option<State> {
         let owner = self.owner(&self.team_home_rack())?;
         let server = Server::new(Arc::clone(&self.placers[&owner].node));
@@ -248,7 +244,7 @@
             .ok()
     }
 
-    /// Panics if two attempts at one task run at this moment.
+    /// Panics if two attempts at one task are running now.
     pub fn check_no_duplicate_attempts(&self) {
         let held = self.racks.held();
         for (n, one) in held.iter().enumerate() {
@@ -257,7 +253,7 @@
         }
     }
 
-    /// Waits until a job stands as wanted; panics after so long.
+    /// Waits until the state of a job satisfies a condition; panics after the timeout.
     pub async fn wait_for_job(
         &self,
         job: &str,
@@ -273,13 +269,13 @@
             }
             assert!(
                 tokio::time::Instant::now() < deadline,
-                "{job} stands at {state:?}"
+                "job {job} did not reach the wanted state: {state:?}"
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// What all workers did.
+    /// The merged journals of all workers.
     pub fn journal(&self) -> Journal {
         let mut all = Journal::default();
         for journal in self.racks.journals().into_values() {
@@ -290,7 +286,7 @@
         all
     }
 
-    /// How often a request ran.
+    /// Number of runs of a request.
     pub fn runs(&self, id: &str) -> usize {
         let id = format!("{TEAM}/{id}");
         self.journal()
@@ -300,7 +296,8 @@
             .count()
     }
 
-    /// Panics if two runs worked on one key at one time, or a worker held more than it has.
+    /// Panics if two runs of one key overlapped, a worker exceeded its capacity, or an attempt was
+    /// started twice.
     pub fn check_invariants(&self) {
         let journal = self.journal();
         let mut by_key: BTreeMap<&str, Vec<(u64, u64)>> = BTreeMap::new();
@@ -313,9 +310,9 @@
         for (key, mut runs) in by_key {
             runs.sort_unstable();
             let overlap = runs.windows(2).find(|pair| pair[1].0 < pair[0].1);
-            assert_eq!(overlap, None, "{key} ran in two places");
+            assert_eq!(overlap, None, "runs of key {key} overlapped");
         }
-        assert_eq!(journal.over, 0, "a worker held more than it has");
+        assert_eq!(journal.over, 0, "a worker exceeded its capacity");
         let mut starts = journal.starts.clone();
         starts.sort();
         starts.dedup();
@@ -327,19 +324,19 @@
     }
 }
 
-/// Waits until something is so; panics after so long.
+/// Waits until a condition holds; panics after the timeout.
 pub async fn wait_until(timeout: Duration, condition: impl Fn() -> bool) {
     let deadline = tokio::time::Instant::now() + timeout;
     while !condition() {
         assert!(
             tokio::time::Instant::now() < deadline,
-            "not so within {timeout:?}"
+            "condition not met within {timeout:?}"
         );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A quick request that works for so long.
+/// A quick request that runs for `work` ms.
 pub fn request(id: &str, key: &str, idempotent: bool, work: u64) -> Request {
     Request {
         id: id.to_owned(),
@@ -352,7 +349,7 @@
     }
 }
 
-/// A job of so many tasks of so many cores.
+/// A job of `tasks` tasks of `cores` cores each.
 pub fn job(id: &str, shape: Shape, tasks: u32, cores: u64, run_ms: u64) -> Job {
     Job {
         id: id.to_owned(),
--- a/crates/placer/tests/cluster/net.rs
+++ b/crates/placer/tests/cluster/net.rs
@@ -7,7 +7,7 @@
 
 use super::Faults;
 
-/// A placer, and what goes wrong with it.
+/// A placer with its fault switches.
 type Reachable = (Arc<Node>, Arc<Faults>);
 
 /// Placers by address.
@@ -25,12 +25,12 @@
             .insert(address.to_owned(), (node, faults));
     }
 
-    /// A placer is not there any more.
+    /// Removes a placer; calls to it are refused from now on.
     pub fn remove(&self, address: &str) {
         self.nodes.lock().unwrap().remove(address);
     }
 
-    /// Reaches a placer; one that is paused answers when it goes on.
+    /// The server of a placer; waits while the placer is paused.
     pub async fn reach(&self, address: &str) -> Result<Server, PeerError> {
         let found = self.nodes.lock().unwrap().get(address).cloned();
         let (node, faults) = found.ok_or(PeerError::ConnectionRefused)?;
--- a/crates/placer/tests/configuration.rs
+++ b/crates/placer/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Configurations as placers apply them: in force within seconds, never an older one again.
+//! Distribution of configurations: placers apply a new version within seconds and never an older
+//! one after it.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -6,7 +7,7 @@
 
 use std::sync::Arc;
 
-use cluster::{Cluster, cell_of, secs, wait_until};
+use cluster::{Cluster, cell_config, secs, wait_until};
 use placer::Options;
 use standin::Faults;
 use wire::Ask;
@@ -20,19 +21,19 @@
 }
 
 fn queue(queue: u32) -> config::raw::Cell {
-    let mut raw = cell_of(1, 3);
+    let mut raw = cell_config(1, 3);
     raw.policy.queue = queue;
     raw
 }
 
-/// Operators see: a new version in every placer within 5 s.
+/// Every placer applies a new version within 5 s.
 #[tokio::test(start_paused = true)]
 async fn a_new_version_is_in_force_everywhere_within_seconds() {
     let mut cluster = Cluster::new(1, 3).await;
     for n in 1..=5 {
         cluster.start(&format!("p{n}"));
     }
-    cluster.settle(secs(10)).await;
+    cluster.wait_for_owners(secs(10)).await;
     let version = cluster.configure(&queue(99)).await;
     let applied = || {
         cluster
@@ -44,13 +45,13 @@
     cluster.end().await;
 }
 
-/// Callers see: service, after some seconds. p2 starts while the table is down; it learns the
-/// configuration from p1 and gives its entries none before that.
+/// A placer that starts while the table is down must fetch the configuration from its peers, and
+/// must serve no routes before that.
 #[tokio::test(start_paused = true)]
 async fn a_placer_that_starts_in_an_outage_learns_from_its_peers() {
     let mut cluster = Cluster::new(1, 3).await;
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     let version = cluster.configure(&queue(99)).await;
     wait_until(secs(5), || {
         cluster.placers["p1"].node.status().config == version
@@ -69,14 +70,14 @@
     cluster.end().await;
 }
 
-/// Callers see: no answer under the old configuration. p1 is paused, a new version is accepted
-/// without it, the table goes down, and p1 goes on: it neither serves nor gives its old version
-/// away, until it has heard of it or of a newer one.
+/// Guards against the use of an outdated configuration after a pause. p1 is paused, a new version
+/// is accepted without it, the table goes down and p1 is resumed: it must neither serve routes nor
+/// hand out its old version until its configuration is confirmed.
 #[tokio::test(start_paused = true)]
-async fn a_placer_that_was_paused_gives_nothing_away_until_it_has_heard() {
+async fn a_paused_placer_serves_nothing_until_its_configuration_is_confirmed() {
     let mut cluster = Cluster::new(1, 3).await;
     let first = cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     let old = first.status().config;
     cluster.placers["p1"].faults.pause();
     tokio::time::sleep(secs(10)).await;
@@ -96,14 +97,14 @@
     cluster.end().await;
 }
 
-/// Operators see: the new version stays. p1 is cut off from the table when the new version is
-/// written; it learns it from p2, and neither ever goes back.
+/// p1 is cut off from the table when a new version is written: it must fetch the version from p2
+/// and must not return to the old one afterwards.
 #[tokio::test(start_paused = true)]
 async fn a_placer_that_is_cut_off_from_the_table_learns_from_others() {
     let mut cluster = Cluster::new(1, 3).await;
     let first = cluster.start("p1");
     let second = cluster.start("p2");
-    cluster.settle(secs(10)).await;
+    cluster.wait_for_owners(secs(10)).await;
     tokio::time::sleep(secs(3)).await;
     cluster.placers["p1"].faults.cut_table(true);
     let version = cluster.configure(&queue(99)).await;
--- a/crates/placer/tests/jobs.rs
+++ b/crates/placer/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Services, batch jobs and gangs under failure.
+//! Services, batch jobs and gangs under faults.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -14,12 +14,12 @@
     for nth in 1..=n {
         cluster.start(&format!("p{nth}"));
     }
-    cluster.settle(secs(12)).await;
+    cluster.wait_for_owners(secs(12)).await;
     tokio::time::sleep(secs(3)).await;
     cluster
 }
 
-/// Callers see: the job finishes, each task started once. Forty tasks run on two racks.
+/// A job of forty tasks on two racks finishes, and each task is started once.
 #[tokio::test(start_paused = true)]
 async fn a_batch_job_finishes() {
     let cluster = placers(2, 3, 2).await;
@@ -35,10 +35,10 @@
     cluster.end().await;
 }
 
-/// Callers see: the job finishes although its owner dies. The new owner reads the job's row, asks
-/// all racks what they hold, and starts only what none of them holds.
+/// A job must finish although its owner is killed: the new owner reads the job's row, fetches the
+/// inventories of all racks, and starts only the tasks that none of them holds.
 #[tokio::test(start_paused = true)]
-async fn a_job_survives_its_owner() {
+async fn a_job_survives_a_crash_of_its_owner() {
     let mut cluster = placers(3, 3, 3).await;
     cluster
         .submit(job("report", Shape::Batch, 30, 4, 8_000))
@@ -49,18 +49,18 @@
         .await;
     let owner = cluster.owner(&cluster.team_home_rack()).unwrap();
     cluster.kill(&owner);
-    cluster.settle(secs(12)).await;
+    cluster.wait_for_owners(secs(12)).await;
     cluster
         .wait_for_job("report", secs(60), |s| s.phase == Phase::Finished)
         .await;
-    let running_twice = cluster.journal().starts.len();
-    assert!(running_twice <= 32, "{running_twice} attempts for 30 tasks");
+    let attempts = cluster.journal().starts.len();
+    assert!(attempts <= 32, "{attempts} attempts for 30 tasks");
     cluster.check_invariants();
     cluster.end().await;
 }
 
-/// Callers see: the tasks of a dead worker run elsewhere, after its leases have run out. Nothing
-/// runs twice at once: the lease ends the attempt on a worker that is merely cut off.
+/// The tasks of a worker that does not answer must start elsewhere, but only after their leases
+/// have expired: the lease ends the attempt on a worker that still runs and is only unreachable.
 #[tokio::test(start_paused = true)]
 async fn tasks_of_a_frozen_worker_start_elsewhere_after_their_leases() {
     let cluster = placers(2, 3, 2).await;
@@ -81,19 +81,19 @@
             ..Mischief::default()
         },
     );
-    let began = tokio::time::Instant::now();
+    let started_at = tokio::time::Instant::now();
     cluster
         .wait_for_job("watch", secs(40), |s| s.restarts >= 1 && s.running == 6)
         .await;
-    assert!(began.elapsed() >= cell::LEASE);
+    assert!(started_at.elapsed() >= cell::LEASE);
     cluster.check_invariants();
     cluster.end().await;
 }
 
-/// Callers see: all of the gang runs, or none of it. A second gang does not fit beside the first
-/// and waits; no part of it starts before there is room for the whole.
+/// Guards against partly started gangs: a second gang does not fit beside the first one, and no
+/// member of it may start before there is capacity for all.
 #[tokio::test(start_paused = true)]
-async fn a_gang_runs_whole_or_not_at_all() {
+async fn a_gang_starts_all_or_nothing() {
     let cluster = placers(2, 2, 2).await;
     cluster
         .submit(job("first", Shape::Gang, 3, 16, 5_000))
@@ -116,10 +116,10 @@
     cluster.end().await;
 }
 
-/// Callers see: the gang starts anew as a whole. One of its workers restarts and loses its member;
-/// the other members are stopped, and then all are started again.
+/// A worker restarts and loses a member of a gang: the other members must be stopped and the whole
+/// gang started again.
 #[tokio::test(start_paused = true)]
-async fn a_gang_that_loses_a_member_starts_anew() {
+async fn a_gang_that_loses_a_member_restarts() {
     let cluster = placers(2, 3, 2).await;
     cluster
         .submit(job("model", Shape::Gang, 4, 12, 20_000))
@@ -146,10 +146,10 @@
     cluster.end().await;
 }
 
-/// Callers see: urgent work runs at once on a full cell. Batch work makes room: it is checkpointed
-/// and stopped, and goes on later from where it was.
+/// Urgent work must start within 1.2 s on a full cell: batch tasks are checkpointed and preempted,
+/// and resume later.
 #[tokio::test(start_paused = true)]
-async fn urgent_work_takes_room_from_batch_work() {
+async fn urgent_work_preempts_batch_work() {
     let cluster = placers(1, 2, 1).await;
     cluster
         .submit(job("report", Shape::Batch, 8, 4, 6_000))
@@ -161,12 +161,12 @@
     tokio::time::sleep(secs(2)).await;
     let mut urgent = job("flood", Shape::Batch, 2, 8, 1_000);
     urgent.urgent = true;
-    let began = tokio::time::Instant::now();
+    let started_at = tokio::time::Instant::now();
     cluster.submit(urgent).await.unwrap();
     cluster
         .wait_for_job("flood", ms(1_200), |s| s.phase != Phase::Queued)
         .await;
-    assert!(began.elapsed() <= ms(1_200));
+    assert!(started_at.elapsed() <= ms(1_200));
     cluster
         .wait_for_job("flood", secs(10), |s| s.phase == Phase::Finished)
         .await;
@@ -179,10 +179,10 @@
     cluster.end().await;
 }
 
-/// Callers see: "cancelled", and nothing more of it starts. Two hundred tasks are withdrawn while
-/// most of them wait and some run.
+/// After a job of two hundred tasks is cancelled while some of them run and most wait, none may
+/// start any more.
 #[tokio::test(start_paused = true)]
-async fn a_withdrawn_job_starts_nothing_more() {
+async fn a_cancelled_job_starts_nothing_more() {
     let cluster = placers(2, 3, 2).await;
     cluster
         .submit(job("report", Shape::Batch, 200, 2, 60_000))
@@ -211,7 +211,7 @@
     cluster.end().await;
 }
 
-/// Callers see: "refused" with the reason, at once, for what can never run.
+/// A job that can never run must be refused at submission, with the reason.
 #[tokio::test(start_paused = true)]
 async fn a_job_that_can_never_run_is_refused_at_once() {
     let cluster = placers(1, 2, 1).await;
@@ -234,9 +234,9 @@
     cluster.end().await;
 }
 
-/// Callers see: the job is taken, once, although the table loses the answer to its row.
+/// The table's answer to the write of a job's row is lost: the job must be accepted exactly once.
 #[tokio::test(start_paused = true)]
-async fn a_job_whose_row_s_answer_is_lost_is_taken_once() {
+async fn a_job_whose_write_answer_is_lost_is_accepted_once() {
     let cluster = placers(1, 3, 1).await;
     cluster.platform.set(Faults {
         lose: 1,
@@ -259,8 +259,7 @@
     cluster.end().await;
 }
 
-/// Callers see: jobs go on through an outage of the table; new ones are turned away until it is
-/// back.
+/// Jobs must continue through an outage of the table; new ones are refused until it is back.
 #[tokio::test(start_paused = true)]
 async fn jobs_go_on_while_the_table_is_down() {
     let cluster = placers(2, 3, 2).await;
@@ -295,10 +294,10 @@
     cluster.end().await;
 }
 
-/// Callers see: workers that are never overfull, although tasks use more than they declared. The
-/// owner sets aside what it sees them use, throttles them, and stops the worst if memory is short.
+/// Tasks use more than they declared: the owner must account for their actual usage, throttle them,
+/// and stop the worst ones if memory is short, so that no worker is overcommitted.
 #[tokio::test(start_paused = true)]
-async fn tasks_that_use_more_than_they_said_are_reined_in() {
+async fn tasks_that_exceed_their_declared_usage_are_stopped() {
     let cluster = placers(1, 1, 1).await;
     let mut hungry = job("hungry", Shape::Batch, 4, 3, 30_000);
     hungry.size = Size::new(3_000, 16_000, 0);
@@ -320,7 +319,7 @@
     cluster.end().await;
 }
 
-/// Callers see: a leaving worker's tasks go on there, and nothing new is started on it.
+/// Tasks on a leaving worker continue there, but no new task may be started on it.
 #[tokio::test(start_paused = true)]
 async fn a_leaving_worker_starts_no_new_tasks() {
     let cluster = placers(1, 3, 1).await;
@@ -343,12 +342,12 @@
     cluster.end().await;
 }
 
-/// Callers see: work within a quota is not kept waiting by work beyond one. One team has borrowed
-/// the whole cell; another asks for its own, and the borrower's tasks make room.
+/// One team has borrowed the whole cell beyond its quota: when another team submits work within its
+/// own quota, the borrower's tasks must be preempted.
 #[tokio::test(start_paused = true)]
-async fn borrowed_room_is_given_back() {
+async fn borrowed_capacity_is_returned() {
     let mut cluster = Cluster::new(1, 4).await;
-    let mut raw = cluster::cell_of(1, 4);
+    let mut raw = cluster::cell_config(1, 4);
     let mut other = raw.teams[0].clone();
     other.name = "planners".to_owned();
     raw.teams[0].quota.cores = 16.0;
@@ -356,7 +355,7 @@
     cluster.configure(&raw).await;
     cluster.cell = config::Cell::try_from(raw).unwrap();
     cluster.start("p1");
-    cluster.settle(secs(8)).await;
+    cluster.wait_for_owners(secs(8)).await;
     tokio::time::sleep(secs(3)).await;
     cluster
         .submit(job("all", Shape::Batch, 16, 4, 60_000))
@@ -382,11 +381,12 @@
     cluster.end().await;
 }
 
-/// Callers see: the job goes on once the table is back. The home rack changes hands, and the table
-/// goes down before the new owner could read the jobs: it holds tasks and has news for itself, but
-/// nobody to tell. It must wait, not spin; if it spins, time stands still and this test never ends.
+/// Guards against a busy loop. The home rack gets a new owner, and the table goes down before this
+/// owner could read the jobs: it holds tasks and has events to report to itself, but can't yet
+/// accept them. It must wait and retry; if it spins, the paused time does not advance and this test
+/// never ends.
 #[tokio::test(start_paused = true)]
-async fn news_for_a_home_whose_jobs_are_not_read_yet_waits() {
+async fn task_events_wait_until_the_jobs_are_read() {
     let mut cluster = placers(1, 3, 2).await;
     cluster
         .submit(job("report", Shape::Batch, 6, 8, 30_000))
@@ -398,7 +398,8 @@
     let owner = cluster.owner("r1").unwrap();
     cluster.kill(&owner);
     let next = cluster.placers.keys().next().unwrap().clone();
-    // It has to wait for a worker that it can't reach, so that the outage comes in between.
+    // The next owner must wait for a worker that it can't reach, so that the outage begins before
+    // it is active.
     cluster.placers[&next].faults.cut_worker("r1-0");
     let stage = || {
         cluster.placers[&next]
@@ -422,11 +423,11 @@
     cluster.end().await;
 }
 
-/// Callers see: the job finishes. A rack's owner dies together with the memory of the rack's
-/// workers, and the very placer that looks after the job takes the rack: nobody reports the lost
-/// tasks, so it must ask itself what the rack holds.
+/// A rack's owner is killed while the rack's workers restart and lose their tasks, and the placer
+/// that manages the job takes over the rack. Nobody reports the lost tasks, so the placer must
+/// fetch the rack's inventory from itself.
 #[tokio::test(start_paused = true)]
-async fn tasks_that_die_with_their_rack_s_owner_are_missed() {
+async fn tasks_lost_together_with_their_rack_s_owner_are_detected() {
     let mut cluster = placers(4, 2, 2).await;
     cluster
         .submit(job("report", Shape::Batch, 16, 8, 15_000))
@@ -446,7 +447,7 @@
         .cell
         .racks
         .keys()
-        .filter(|r| cluster.active(&other, r))
+        .filter(|r| cluster.is_active(&other, r))
         .cloned()
         .collect();
     assert!(!racks.is_empty());
@@ -465,10 +466,10 @@
     cluster.end().await;
 }
 
-/// Callers see: each task once. The answers to orders are lost although the tasks were placed; the
-/// job's owner asks what the racks hold before it orders anything again.
+/// Guards against duplicate starts. The answers to orders are lost although the tasks were placed:
+/// the job's owner must fetch the racks' inventories before it sends new orders.
 #[tokio::test(start_paused = true)]
-async fn orders_whose_answers_are_lost_are_asked_after() {
+async fn orders_whose_answers_are_lost_are_reconciled() {
     let cluster = placers(2, 3, 2).await;
     let home_owner = cluster.owner(&cluster.team_home_rack()).unwrap();
     cluster.placers[&home_owner]
@@ -490,9 +491,9 @@
     cluster.end().await;
 }
 
-/// Callers see: no task in two places. The owner of the rack and of the job dies, and the next one
-/// can't reach a worker that still runs some tasks; it starts them elsewhere only when their leases
-/// must have run out.
+/// Guards against two attempts at one task. The owner of the rack and of the job is killed, and the
+/// next one can't reach a worker that still runs some tasks: it may start them elsewhere only when
+/// their leases must have expired.
 #[tokio::test(start_paused = true)]
 async fn tasks_on_a_worker_that_can_t_be_reached_are_not_started_elsewhere_too_soon() {
     let mut cluster = placers(1, 3, 2).await;
--- a/crates/placer/tests/outages.rs
+++ b/crates/placer/tests/outages.rs
@@ -1,4 +1,4 @@
-//! Long outages of the table, cut regions, a lost data centre.
+//! Long outages of the table, partitioned regions, loss of a data centre.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -7,15 +7,15 @@
 use cluster::{Cluster, request, secs, wait_until};
 use wire::Class;
 
-/// Callers see: the outage of the table does not touch what needs no claim. The table is down for
-/// two minutes; p1 goes on by the proof of its workers and nobody takes its racks, neither during
-/// the outage nor right after it, when every session looks old.
+/// While the table is down for two minutes, owners must keep serving requests that need no claim,
+/// by the acknowledgements of their workers, and must not run those that need one. No rack may
+/// change owner, neither during the outage nor right after it, when every session looks expired.
 #[tokio::test(start_paused = true)]
 async fn an_owner_goes_on_while_the_table_is_down() {
     let mut cluster = Cluster::new(4, 3).await;
     cluster.start("p1");
     cluster.start("p2");
-    cluster.settle(secs(12)).await;
+    cluster.wait_for_owners(secs(12)).await;
     tokio::time::sleep(secs(5)).await;
     let racks = ["r1", "r2", "r3", "r4"];
     let before: Vec<_> = racks.iter().map(|rack| cluster.owner(rack)).collect();
@@ -44,13 +44,13 @@
     cluster.end().await;
 }
 
-/// Callers see: "not run" for the dead owner's racks until the table is back, and answers soon
-/// after. p1 dies while the table is down; nobody can take its racks without the table.
+/// An owner crashes while the table is down: its racks can't be taken over without the table, and
+/// must be taken over soon after the table is back.
 #[tokio::test(start_paused = true)]
 async fn racks_of_an_owner_that_dies_in_an_outage_wait_for_the_table() {
     let mut cluster = Cluster::new(1, 3).await;
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     cluster.start("p2");
     tokio::time::sleep(secs(3)).await;
     let owner = cluster.owner("r1").unwrap();
@@ -62,21 +62,21 @@
     tokio::time::sleep(secs(60)).await;
     assert_eq!(cluster.owner("r1"), None);
     cluster.platform.set(standin::Faults::default());
-    cluster.settle(secs(10)).await;
+    cluster.wait_for_owners(secs(10)).await;
     let answer = cluster.send(request("a", "k", false, 5)).await;
     assert_eq!(answer.class(), Class::Done);
     cluster.check_invariants();
     cluster.end().await;
 }
 
-/// Callers see: in each region, answers to what needs no table, all along; and no change of owner
-/// when the link is back. The link between the regions is cut for two minutes, and the table is on
-/// the other side. The north must not take the south's racks: it reaches none of their workers, so
-/// it could never act, and would only depose the south when the link is back.
+/// The link between two regions is cut for two minutes, and the table is on the north side. The
+/// south must keep serving requests that need no claim. The north must not take the south's racks:
+/// it reaches none of their workers, so it could never become active, and would only depose the
+/// south's owner when the link is back.
 #[tokio::test(start_paused = true)]
 async fn a_region_that_is_cut_off_keeps_its_racks() {
     let mut cluster = Cluster::new(1, 3).await;
-    let mut raw = cluster::cell_of(1, 3);
+    let mut raw = cluster::cell_config(1, 3);
     raw.regions.push(config::raw::Region {
         name: "south".to_owned(),
         data_centres: vec![config::raw::DataCentre {
@@ -92,7 +92,7 @@
     cluster.start("p1");
     cluster.start_with(placer::Options::new("p2", "p2").with_location("south", "south-1"));
     wait_until(secs(20), || {
-        cluster.active("p1", "r1") && cluster.active("p2", "s1")
+        cluster.is_active("p1", "r1") && cluster.is_active("p2", "s1")
     })
     .await;
     let cut = |cut| {
@@ -127,15 +127,16 @@
     cluster.end().await;
 }
 
-/// Callers see: for keys at home in the lost data centre "not run, come back", all along; for the
-/// others no difference, after a second or two for racks whose owner was there. Its placers are
-/// killed and its workers silent, though the platform lists them: the rest of the region can't take
-/// its racks, and can't tell its loss from a cut link, so its tasks are not started elsewhere; they
-/// are when it is back.
+/// A data centre is lost: its placer is killed and its workers don't answer, though the platform
+/// lists them. Keys at home in the other data centre must be served, after a second or two for
+/// racks whose owner was lost; keys at home in the lost one must be answered with "not run". The
+/// rest of the region can't take over the lost racks and can't distinguish the loss from a network
+/// partition, so no task may be started a second time elsewhere. All tasks must run again when it
+/// is back.
 #[tokio::test(start_paused = true)]
 async fn the_loss_of_a_data_centre_is_not_the_loss_of_the_region() {
     let mut cluster = Cluster::new(1, 3).await;
-    let mut raw = cluster::cell_of(1, 3);
+    let mut raw = cluster::cell_config(1, 3);
     raw.regions[0].data_centres.push(config::raw::DataCentre {
         name: "north-2".to_owned(),
         racks: vec!["z1".to_owned()],
@@ -147,7 +148,7 @@
     }
     cluster.start("p1");
     cluster.start_with(placer::Options::new("p2", "p2").with_location("north", "north-2"));
-    cluster.settle(secs(20)).await;
+    cluster.wait_for_owners(secs(20)).await;
     tokio::time::sleep(secs(6)).await;
     let key = |rack: &str| {
         (0..100)
@@ -174,7 +175,7 @@
     freeze(true);
     cluster.placers["p2"].faults.kill();
     cluster.net.remove("p2");
-    wait_until(secs(5), || cluster.active("p1", "r1")).await;
+    wait_until(secs(5), || cluster.is_active("p1", "r1")).await;
     for n in 0..20 {
         let answer = cluster
             .send_to("p1", request(&format!("a{n}"), &near, false, 5))
@@ -188,7 +189,7 @@
         cluster.check_no_duplicate_attempts();
     }
     freeze(false);
-    wait_until(secs(15), || cluster.active("p1", "z1")).await;
+    wait_until(secs(15), || cluster.is_active("p1", "z1")).await;
     let answer = cluster.send_to("p1", request("c", &lost, false, 5)).await;
     assert_eq!(answer.class(), Class::Done);
     wait_until(secs(30), || cluster.racks.held().len() == 6).await;
--- a/crates/placer/tests/ownership.rs
+++ b/crates/placer/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Racks change hands: kills, pauses, cuts, restarts, outages of the table.
+//! Changes of rack ownership: crashes, pauses, partitions, restarts, outages of the table.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -7,19 +7,18 @@
 use cluster::{Cluster, ms, request, secs, wait_until};
 use wire::{Class, Kind};
 
-/// Callers see: answers from the first owner, nothing for a few seconds, answers from the second.
-/// p1 is killed; its session stops changing; p2 takes its racks, fences all their workers and acts
-/// at once, since nothing unseen can run on them.
+/// When p1 is killed and its session stops changing, p2 must take over its racks within 8 s: it can
+/// fence all workers, so it becomes active without a further delay.
 #[tokio::test(start_paused = true)]
 async fn another_placer_takes_over_from_a_killed_one() {
     let mut cluster = Cluster::new(3, 3).await;
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     cluster.start("p2");
-    cluster.settle(secs(10)).await;
+    cluster.wait_for_owners(secs(10)).await;
     cluster.kill("p1");
     let killed = tokio::time::Instant::now();
-    cluster.settle(secs(8)).await;
+    cluster.wait_for_owners(secs(8)).await;
     assert!(killed.elapsed() < secs(8));
     let answer = cluster.send(request("a", "k", false, 5)).await;
     assert_eq!(answer.class(), Class::Done);
@@ -27,18 +26,18 @@
     cluster.end().await;
 }
 
-/// Callers see: one run of the request, whatever p1 does after its pause. p1 is paused after it has
-/// decided to start a request; p2 takes over and runs another request for the same key; p1 goes on
-/// and its start command reaches the worker, which obeys the higher epoch and refuses it.
+/// Guards against overlapping runs of a key. p1 is paused after it has decided to start a request;
+/// p2 takes over and runs another request for the same key. When p1 is resumed, its start command
+/// reaches the worker, which has accepted the higher epoch and must refuse it.
 #[tokio::test(start_paused = true)]
 async fn a_paused_owner_starts_nothing_once_another_has_taken_over() {
     let mut cluster = Cluster::new(1, 3).await;
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     cluster.placers["p1"].faults.pause();
     let late = cluster.spawn_send("p1", request("late", "seat", true, 50));
     cluster.start("p2");
-    wait_until(secs(20), || cluster.active("p2", "r1")).await;
+    wait_until(secs(20), || cluster.is_active("p2", "r1")).await;
     let answer = cluster
         .send_to("p2", request("other", "seat", true, 50))
         .await;
@@ -51,14 +50,14 @@
     cluster.end().await;
 }
 
-/// Callers see: "not run, come back" for some seconds longer than after other kills. p2 can't reach
-/// one of three workers; p1, which is cut off from the table, could still start work there. p2 has
-/// fenced a majority, so p1's proof runs out; p2 acts only after that time and the longest run.
+/// p2 can't fence one of three workers, and p1, which is cut off from the table, could still start
+/// work there. p2 has fenced a majority, so p1's authority expires: p2 must not become active
+/// before that time and the longest run have passed.
 #[tokio::test(start_paused = true)]
 async fn a_worker_that_can_t_be_fenced_delays_the_new_owner() {
     let mut cluster = Cluster::new(1, 3).await;
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     cluster.start("p2");
     cluster.placers["p2"].faults.cut_worker("r1-0");
     cluster.placers["p1"].faults.cut_table(true);
@@ -70,7 +69,7 @@
     })
     .await;
     let fencing = began.elapsed();
-    wait_until(secs(20), || cluster.active("p2", "r1")).await;
+    wait_until(secs(20), || cluster.is_active("p2", "r1")).await;
     assert!(began.elapsed() - fencing >= cell::fence::Takeover::WAIT - ms(200));
     let answer = cluster.send_to("p1", request("old", "k", true, 5)).await;
     assert_eq!(answer.class(), Class::NotRun);
@@ -80,31 +79,31 @@
     cluster.end().await;
 }
 
-/// Callers see: nothing. The answer to p1's take is lost after the row was written; p1 finds its
-/// own row and goes on as its owner.
+/// The answer to the write that acquires the rack is lost after the row was written: p1 must read
+/// its own row and continue as the owner.
 #[tokio::test(start_paused = true)]
-async fn a_take_whose_answer_is_lost_is_found_in_the_row() {
+async fn an_acquisition_whose_answer_is_lost_is_confirmed_by_the_row() {
     let mut cluster = Cluster::new(1, 3).await;
-    // The session's row is the first write, the take the second.
+    // The first write is the session row, the second one acquires the rack.
     cluster.platform.set(standin::Faults {
         lose: 2,
         ..Default::default()
     });
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     let answer = cluster.send(request("a", "k", false, 5)).await;
     assert_eq!(answer.class(), Class::Done);
     cluster.check_invariants();
     cluster.end().await;
 }
 
-/// Callers see: no difference. A worker restarts and has forgotten whom it obeys; its owner adopts
-/// it anew after it has read its row again.
+/// A restarted worker has lost the epoch that it had accepted: its owner must adopt it again, after
+/// it has read the rack's record.
 #[tokio::test(start_paused = true)]
 async fn a_restarted_worker_is_adopted_again() {
     let mut cluster = Cluster::new(1, 3).await;
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     for n in 0..3 {
         cluster
             .racks
@@ -121,18 +120,18 @@
     cluster.end().await;
 }
 
-/// Callers see: no run in two places. p1 is cut off from the table, and p2 owns the rack; then all
-/// workers restart with empty memories. p1 could adopt them under its old epoch; it must read its
-/// row first, and can't.
+/// Guards against adoption by a deposed owner. p1 is cut off from the table and p2 owns the rack;
+/// then all workers restart and lose their epochs. p1 could adopt them under its old epoch; it must
+/// read the rack's record first, and can't.
 #[tokio::test(start_paused = true)]
 async fn a_deposed_owner_adopts_no_restarted_worker() {
     let mut cluster = Cluster::new(1, 3).await;
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     cluster.start("p2");
     cluster.placers["p1"].faults.cut_table(true);
     cluster.placers["p1"].faults.cut_peers(true);
-    wait_until(secs(30), || cluster.active("p2", "r1")).await;
+    wait_until(secs(30), || cluster.is_active("p2", "r1")).await;
     for n in 0..3 {
         cluster.placers["p2"].faults.cut_worker(&format!("r1-{n}"));
         cluster
@@ -154,13 +153,13 @@
     cluster.end().await;
 }
 
-/// Callers see: every request that p1 holds is answered in full, and p2 serves right after. p1 is
-/// told to stop under load: it takes nothing new, finishes what it has, and hands its racks over.
+/// A placer that is drained under load must answer every request in progress and hand its racks
+/// over to another placer.
 #[tokio::test(start_paused = true)]
-async fn a_planned_stop_cuts_nothing_off() {
+async fn a_drain_completes_requests_in_progress() {
     let mut cluster = Cluster::new(2, 3).await;
     let first = cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     let mut pending = Vec::new();
     for n in 0..20 {
         let asked = request(&format!("a{n}"), &format!("k{n}"), n % 2 == 0, 300);
@@ -186,13 +185,12 @@
     cluster.end().await;
 }
 
-/// Callers see: "not run" with a time to come back, at once, from a placer that does not own the
-/// rack.
+/// A placer that does not own the rack must answer "not owner" with a retry delay.
 #[tokio::test(start_paused = true)]
-async fn a_placer_that_does_not_own_the_rack_says_so() {
+async fn a_placer_that_does_not_own_the_rack_refuses_requests() {
     let mut cluster = Cluster::new(1, 3).await;
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     cluster.start("p2");
     tokio::time::sleep(secs(2)).await;
     let other = if cluster.owner("r1").as_deref() == Some("p1") {
@@ -209,32 +207,32 @@
     cluster.end().await;
 }
 
-/// Callers see: answers again after a second or two, not after four. The killed placer's port
-/// refuses connections, so its neighbours need not wait until its session has grown old.
+/// The port of a killed placer refuses connections, so its racks must be taken over within 2.5 s,
+/// before its session times out.
 #[tokio::test(start_paused = true)]
 async fn a_placer_whose_port_refuses_connections_is_replaced_at_once() {
     let mut cluster = Cluster::new(2, 3).await;
     cluster.start("p1");
     cluster.start("p2");
-    cluster.settle(secs(12)).await;
+    cluster.wait_for_owners(secs(12)).await;
     tokio::time::sleep(secs(4)).await;
     let owner = cluster.owner("r1").unwrap();
     let killed = tokio::time::Instant::now();
     cluster.kill(&owner);
-    cluster.settle(secs(8)).await;
+    cluster.wait_for_owners(secs(8)).await;
     assert!(killed.elapsed() < ms(2_500), "{:?}", killed.elapsed());
     cluster.check_invariants();
     cluster.end().await;
 }
 
-/// Callers see: load on every entry host. Three placers and three racks: each gets one.
+/// Three placers divide three racks evenly: each owns one.
 #[tokio::test(start_paused = true)]
 async fn racks_are_divided_evenly() {
     let mut cluster = Cluster::new(3, 3).await;
     for name in ["p1", "p2", "p3"] {
         cluster.start(name);
     }
-    cluster.settle(secs(12)).await;
+    cluster.wait_for_owners(secs(12)).await;
     tokio::time::sleep(secs(10)).await;
     let owners: std::collections::BTreeSet<_> = ["r1", "r2", "r3"]
         .iter()
@@ -245,19 +243,19 @@
     cluster.end().await;
 }
 
-/// Callers see: one run for the key at a time. p1 has decided to start a request on a worker and is
-/// paused; p2 can't reach that worker, waits, and works on the same key elsewhere. p1 goes on: the
-/// worker was never fenced and still obeys p1, but the command comes after its last moment.
+/// Guards against overlapping runs of a key. p1 is paused when it has decided to start a request on
+/// a worker; p2 can't fence that worker, waits, and runs the same key on another one. When p1 is
+/// resumed, the worker still accepts its epoch, but the start deadline of the command has passed.
 #[tokio::test(start_paused = true)]
 async fn a_late_start_at_a_worker_that_was_not_fenced_does_nothing() {
     let mut cluster = Cluster::new(1, 3).await;
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     cluster.placers["p1"].faults.pause();
     let late = cluster.spawn_send("p1", request("late", "seat", true, 400));
     cluster.start("p2");
     cluster.placers["p2"].faults.cut_worker("r1-0");
-    wait_until(secs(30), || cluster.active("p2", "r1")).await;
+    wait_until(secs(30), || cluster.is_active("p2", "r1")).await;
     let other = cluster.send_to("p2", request("other", "seat", true, 400));
     let resume = async {
         tokio::time::sleep(ms(100)).await;
@@ -272,16 +270,17 @@
     cluster.end().await;
 }
 
-/// Callers see: one run for the key at a time. p1 is killed while a worker runs the key for it; p2
-/// adopts the worker, learns what it runs, and keeps clear of the key until that is over.
+/// Guards against overlapping runs of a key. An owner is killed while a worker runs a key for it;
+/// the new owner adopts the worker, which reports the run, and must not start the key before that
+/// run has ended.
 #[tokio::test(start_paused = true)]
-async fn a_new_owner_keeps_clear_of_keys_that_workers_still_run() {
+async fn a_new_owner_waits_for_keys_that_workers_still_run() {
     let mut cluster = Cluster::new(1, 3).await;
-    let mut raw = cluster::cell_of(1, 3);
+    let mut raw = cluster::cell_config(1, 3);
     raw.services[0].run_ms = 3_000;
     cluster.configure(&raw).await;
     let first = cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     cluster.start("p2");
     tokio::time::sleep(secs(3)).await;
     let owner = cluster.owner("r1").unwrap();
@@ -289,7 +288,7 @@
     tokio::time::sleep(ms(100)).await;
     assert_eq!(cluster.runs("long"), 1);
     cluster.kill(&owner);
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     let mut asked = request("next", "seat", true, 50);
     asked.budget_ms = 8_000;
     let answer = cluster.send(asked).await;
@@ -300,19 +299,19 @@
     cluster.end().await;
 }
 
-/// Callers see: one run for the key at a time. p2 owns the rack, and p1 has not read so yet. All
-/// workers restart, and p1 is the first to reach two of them: it reads the row before it adopts
-/// them, finds p2 there, and lets them be.
+/// Guards against adoption by an owner that does not know yet that it was deposed. p2 owns the
+/// rack, all workers restart, and p1 is the first to reach them: it must read the rack's record
+/// before it adopts them, find p2 there, and not adopt them.
 #[tokio::test(start_paused = true)]
 async fn a_restarted_worker_is_adopted_only_after_the_row_was_read() {
     let mut cluster = Cluster::new(1, 3).await;
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     cluster.start("p2");
     cluster.placers["p1"].faults.cut_sync(true);
     cluster.placers["p1"].faults.cut_peers(true);
     cluster.placers["p1"].faults.pause();
-    wait_until(secs(30), || cluster.active("p2", "r1")).await;
+    wait_until(secs(30), || cluster.is_active("p2", "r1")).await;
     for n in 0..3 {
         cluster.placers["p2"].faults.cut_worker(&format!("r1-{n}"));
         cluster
--- a/crates/placer/tests/requests.rs
+++ b/crates/placer/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Quick requests: at most once, one true answer, and "not run" when it is said.
+//! Quick requests: non-idempotent ones run at most once, and the answers are correct, in particular
+//! "not run".
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -11,7 +12,7 @@
 async fn one_placer() -> Cluster {
     let mut cluster = Cluster::new(1, 3).await;
     cluster.start("p1");
-    cluster.settle(secs(5)).await;
+    cluster.wait_for_owners(secs(5)).await;
     cluster
 }
 
@@ -28,8 +29,8 @@
     }
 }
 
-/// Callers see: the same answer from both entries, and one run. The second ask comes while the
-/// first runs and joins it; a third comes later and gets the remembered answer.
+/// The same request sent three times must run once and get the same answer each time: the second
+/// arrives while the first runs, the third after its end.
 #[tokio::test(start_paused = true)]
 async fn the_same_request_through_two_entries_runs_once() {
     let cluster = one_placer().await;
@@ -45,7 +46,8 @@
     cluster.end().await;
 }
 
-/// Callers see: "refused, conflict", since an id names one request for good.
+/// An id identifies one request for good: another request with the same id is refused as a
+/// conflict.
 #[tokio::test(start_paused = true)]
 async fn an_id_that_was_used_for_another_request_is_refused() {
     let cluster = one_placer().await;
@@ -56,8 +58,8 @@
     cluster.end().await;
 }
 
-/// Callers see: "may have run". The owner is killed after it has claimed and sent the start; the
-/// caller asks again, and the new owner finds the claim.
+/// The owner is killed after it has written the claim and sent the start; the caller sends the
+/// request again, and the new owner must find the claim and answer "may have run".
 #[tokio::test(start_paused = true)]
 async fn a_request_whose_owner_was_killed_after_the_claim_never_runs_again() {
     let mut cluster = one_placer().await;
@@ -68,7 +70,7 @@
     tokio::time::sleep(ms(200)).await;
     assert_eq!(cluster.runs("a"), 1);
     cluster.kill(&owner);
-    cluster.settle(secs(10)).await;
+    cluster.wait_for_owners(secs(10)).await;
     let again = cluster.send(request("a", "seat", false, 400)).await;
     assert_eq!(kind(&again), Some(Kind::ClaimedBefore));
     assert_eq!(again.class(), Class::MayHaveRun);
@@ -78,22 +80,22 @@
     cluster.end().await;
 }
 
-/// Callers see: "may have run", which is as much as anybody can know. The owner is killed between
-/// its claim and the start, so nothing runs, ever.
+/// The owner is killed between its claim and the start: the new owner can't tell whether the
+/// request ran, so it must answer "may have run" and not start it.
 #[tokio::test(start_paused = true)]
 async fn a_claim_without_a_start_is_not_run_by_the_next_owner() {
     let mut cluster = one_placer().await;
     cluster.start("p2");
     tokio::time::sleep(secs(2)).await;
     let owner = cluster.owner("r1").unwrap();
-    // Three requests for one key: the third has its claim and waits for the key.
+    // Three requests for one key: the third one has its claim and waits for the key.
     let asks: Vec<_> = ["a", "b", "c"]
         .iter()
         .map(|id| cluster.spawn_send(&owner, request(id, "seat", false, 400)))
         .collect();
     tokio::time::sleep(ms(200)).await;
     cluster.kill(&owner);
-    cluster.settle(secs(10)).await;
+    cluster.wait_for_owners(secs(10)).await;
     let again = cluster.send(request("c", "seat", false, 400)).await;
     assert_eq!(again.class(), Class::MayHaveRun);
     assert_eq!(cluster.runs("c"), 0);
@@ -102,8 +104,8 @@
     cluster.end().await;
 }
 
-/// Callers see: "done". The table takes the claim and loses its answer; the same claim is written
-/// again and found to stand there under the same epoch.
+/// The table writes the claim but its answer is lost: the same claim is written again and found
+/// under the same epoch, so the request must run.
 #[tokio::test(start_paused = true)]
 async fn a_claim_whose_answer_is_lost_is_found() {
     let cluster = one_placer().await;
@@ -117,7 +119,8 @@
     cluster.end().await;
 }
 
-/// Callers see: "not run, come back in 5 s", at once, while the table is down; later it runs once.
+/// While the table is down, a non-idempotent request must be refused; sent again later, it runs
+/// once.
 #[tokio::test(start_paused = true)]
 async fn without_the_table_nothing_non_idempotent_runs() {
     let cluster = one_placer().await;
@@ -135,11 +138,11 @@
     cluster.end().await;
 }
 
-/// Callers see: "may have run" for the first, and the second only once the first must be over. The
-/// worker freezes half-way and answers nothing, not even whether it runs; its key stays taken until
-/// the worker itself has ended the run.
+/// A worker freezes during a run and answers nothing, not even whether the run goes on. The request
+/// must be answered with "may have run", and its key must stay locked until the worker has ended
+/// the run itself.
 #[tokio::test(start_paused = true)]
-async fn a_key_on_a_frozen_worker_stays_taken_until_the_run_must_be_over() {
+async fn a_key_on_a_frozen_worker_stays_locked_until_the_run_has_ended() {
     let cluster = one_placer().await;
     let first = cluster.spawn_send("p1", request("a", "seat", true, 400));
     tokio::time::sleep(ms(100)).await;
@@ -160,8 +163,8 @@
     cluster.end().await;
 }
 
-/// Callers see: "done" all the same. The worker loses its answer; the owner voids the attempt,
-/// learns that it had ended, and passes on the answer.
+/// The answer of a worker is lost: the owner must void the attempt, which returns the answer of a
+/// run that has ended, and answer "done".
 #[tokio::test(start_paused = true)]
 async fn an_answer_that_was_lost_is_fetched_by_voiding() {
     let cluster = one_placer().await;
@@ -181,8 +184,8 @@
     cluster.end().await;
 }
 
-/// Callers see: "not run" at their deadlines, with none of them run. One key is worked on for long;
-/// those behind it can't start in time and are taken out of the queue.
+/// A key is busy for long: a request that is queued behind it must be removed from the queue at its
+/// deadline and must not run.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_waits_past_its_deadline_does_not_run() {
     let cluster = one_placer().await;
@@ -198,9 +201,9 @@
     cluster.end().await;
 }
 
-/// Callers see: each the whole answer to their own request. A hundred run at once on three workers.
+/// Guards against mixed-up answers: a hundred requests run at once on three workers.
 #[tokio::test(start_paused = true)]
-async fn everybody_gets_the_answer_to_their_own_request() {
+async fn each_request_gets_its_own_answer() {
     let cluster = one_placer().await;
     let ask = |n: u64| {
         cluster.spawn_send(
@@ -226,8 +229,8 @@
     cluster.end().await;
 }
 
-/// Callers see: "done", served by other workers. One worker fails everything it starts and is
-/// always free; after a few failures it gets nothing for a while.
+/// A worker that fails every run is always free and would attract all requests: after a few
+/// failures it must get no more work for some time.
 #[tokio::test(start_paused = true)]
 async fn a_worker_that_fails_everything_gets_no_more_work() {
     let cluster = one_placer().await;
@@ -249,7 +252,8 @@
     cluster.end().await;
 }
 
-/// Callers see: nothing. A worker says that it is leaving; from then on it starts nothing.
+/// A worker that reports that it is leaving must get no new work, even if the platform's host list
+/// does not show it yet.
 #[tokio::test(start_paused = true)]
 async fn a_leaving_worker_gets_no_new_work_though_the_list_lags() {
     let cluster = one_placer().await;
@@ -277,8 +281,8 @@
     cluster.end().await;
 }
 
-/// Callers see: nothing. Only the platform's list says that a worker is leaving; it would still
-/// take work, and gets none once the list shows it.
+/// A worker that only the platform's host list shows as leaving would still accept work, and must
+/// get none.
 #[tokio::test(start_paused = true)]
 async fn a_worker_that_is_listed_as_leaving_gets_no_new_work() {
     let cluster = one_placer().await;
@@ -294,9 +298,9 @@
     cluster.end().await;
 }
 
-/// Callers see: "not run, come back", at once, when more comes than can be served in time.
+/// Requests that can't be served in time under overload must be refused at once as "not run".
 #[tokio::test(start_paused = true)]
-async fn what_can_t_be_served_in_time_is_turned_away_at_once() {
+async fn requests_that_can_t_be_served_in_time_are_rejected_at_once() {
     let cluster = one_placer().await;
     let asks: Vec<_> = (0..2_000)
         .map(|n| cluster.spawn_send("p1", request(&format!("a{n}"), &format!("k{n}"), true, 400)))
@@ -314,8 +318,8 @@
     cluster.end().await;
 }
 
-/// Callers see: claims of many go through with few writes. A hundred non-idempotent requests come
-/// at once; the table sees a handful of transactions.
+/// The claims of a hundred simultaneous non-idempotent requests must be written in at most five
+/// transactions.
 #[tokio::test(start_paused = true)]
 async fn claims_are_written_together() {
     let cluster = one_placer().await;
@@ -331,15 +335,15 @@
     cluster.end().await;
 }
 
-/// Callers see: one run, although the table fails in between. A deposed owner claims while the new
-/// one has the rack: the claim names an epoch that the row does not.
+/// Guards against a run under a deposed owner: its claim contains an epoch that differs from that
+/// of the rack's record, so it must be refused.
 #[tokio::test(start_paused = true)]
 async fn a_deposed_owner_can_t_claim() {
     let mut cluster = one_placer().await;
     cluster.placers["p1"].faults.pause();
     let late = cluster.spawn_send("p1", request("a", "seat", false, 5));
     cluster.start("p2");
-    wait_until(secs(20), || cluster.active("p2", "r1")).await;
+    wait_until(secs(20), || cluster.is_active("p2", "r1")).await;
     cluster.placers["p1"].faults.resume();
     let late = late.await.unwrap();
     assert_eq!(late.class(), Class::NotRun, "{late:?}");
@@ -350,11 +354,11 @@
     cluster.end().await;
 }
 
-/// Callers see: "may have run" at once for the first, and the second only when the first must be
-/// over. The connection to the worker breaks while it runs the key, and it can't be asked; another
-/// worker would be free at once.
+/// The connection to a worker breaks while it runs a key, and the attempt can't be voided. The
+/// request must be answered with "lost", and the key must stay locked until the run must have
+/// ended, although another worker is free.
 #[tokio::test(start_paused = true)]
-async fn a_key_stays_taken_while_its_run_can_t_be_asked_after() {
+async fn a_key_stays_locked_while_the_outcome_of_its_run_is_unknown() {
     let cluster = one_placer().await;
     cluster.placers["p1"].faults.break_runs(true);
     let first = cluster.send(request("a", "seat", true, 450)).await;
--- a/crates/placer/tests/schedules.rs
+++ b/crates/placer/tests/schedules.rs
@@ -1,7 +1,8 @@
-//! Random schedules of faults, alone, together and twice, over the real placers.
+//! Random sequences of faults, single, combined and repeated, against the real placers.
 //!
-//! Whatever happens: no key is worked on twice at one time, no worker holds more than it has, no
-//! attempt is started twice, a non-idempotent request runs at most once, and "not run" is true.
+//! Invariants: runs of one key never overlap, no worker exceeds its capacity, no attempt is started
+//! twice, a non-idempotent request runs at most once, and a request answered with "not run" did not
+//! run.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -23,7 +24,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { id: u32, at: usize },
+    Send { id: u32, at: usize },
     Submit { id: u32, shape: u8 },
     Wait { time: u64 },
     Kill { at: usize },
@@ -43,7 +44,7 @@
     let at = 0..3_usize;
     let worker = 0..WORKERS * 2;
     prop_oneof![
-        8 => (0..IDS, at.clone()).prop_map(|(id, at)| Step::Ask { id, at }),
+        8 => (0..IDS, at.clone()).prop_map(|(id, at)| Step::Send { id, at }),
         2 => (0..4_u32, 0..3_u8).prop_map(|(id, shape)| Step::Submit { id, shape }),
         6 => (50..4_000_u64).prop_map(|time| Step::Wait { time }),
         1 => at.clone().prop_map(|at| Step::Kill { at }),
@@ -62,7 +63,7 @@
     ]
 }
 
-/// The answers to one id.
+/// The answers to the requests with one id.
 #[derive(Default)]
 struct Answers {
     classes: Vec<Class>,
@@ -81,7 +82,7 @@
         for name in ["p1", "p2", "p3"] {
             cluster.start(name);
         }
-        cluster.settle(secs(15)).await;
+        cluster.wait_for_owners(secs(15)).await;
         let answers = (0..IDS).map(|_| Answers::default()).collect();
         Self {
             cluster,
@@ -92,7 +93,7 @@
 
     async fn step(&mut self, step: &Step) {
         match *step {
-            Step::Ask { id, at } => self.ask(id, at),
+            Step::Send { id, at } => self.send(id, at),
             Step::Submit { id, shape } => self.submit(id, shape).await,
             Step::Wait { time } => tokio::time::sleep(ms(time)).await,
             Step::Kill { at } => {
@@ -144,8 +145,9 @@
         });
     }
 
-    /// Asks a placer, whether or not it owns the rack, as an entry with old routes would.
-    fn ask(&mut self, id: u32, at: usize) {
+    /// Sends a request to a placer whether or not it owns the rack, as an entry with outdated
+    /// routes would.
+    fn send(&mut self, id: u32, at: usize) {
         let asked = request(
             &format!("a{id}"),
             &format!("k{}", id % KEYS),
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Heals everything, waits until all is at rest, and checks what must hold.
+    /// Removes all faults, waits until everything has recovered, and checks the invariants.
     async fn end(mut self) {
         self.platform(|faults| *faults = Faults::default());
         for placer in self.cluster.placers.values() {
@@ -185,7 +187,7 @@
         for answers in &mut self.answers {
             for open in answers.open.drain(..) {
                 let answered = tokio::time::timeout(ms(1), open).await;
-                // A killed placer never answers; its caller can't conclude anything.
+                // A killed placer never answers, so the request may have run.
                 let class = answered.ok().and_then(Result::ok).flatten();
                 answers.classes.push(class.unwrap_or(Class::MayHaveRun));
             }
@@ -196,10 +198,13 @@
             let only_not_run = answers.classes.iter().all(|class| *class == Class::NotRun);
             assert!(
                 !only_not_run || runs == 0,
-                "a{id} was told not run, and ran"
+                "a{id} was answered not run, but ran {runs} times"
             );
             let done = answers.classes.contains(&Class::Done);
-            assert!(!done || runs > 0, "a{id} was told done, and did not run");
+            assert!(
+                !done || runs > 0,
+                "a{id} was answered done, but did not run"
+            );
             assert!(id.is_multiple_of(2) || runs <= 1, "a{id} ran {runs} times");
         }
     }
@@ -219,7 +224,7 @@
     })]
 
     #[test]
-    fn whatever_fails_what_must_hold_holds(steps in prop::collection::vec(step(), 5..60)) {
+    fn invariants_hold_under_random_faults(steps in prop::collection::vec(step(), 5..60)) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .start_paused(true)
--- a/crates/placer/tests/settings.rs
+++ b/crates/placer/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is wrong is named, with the range that is allowed.
+//! Settings of the program: error messages and conversion to options.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -22,7 +22,7 @@
     Settings::try_parse_from(all).unwrap_err().to_string()
 }
 
-/// Operators see: one clear error that names the setting.
+/// The error for a wrong setting names the setting or its allowed values.
 #[test]
 fn a_wrong_setting_is_named() {
     for (more, expected) in [
@@ -41,7 +41,7 @@
     }
 }
 
-/// Operators see: what is missing.
+/// The error for a missing setting names it.
 #[test]
 fn a_missing_setting_is_named() {
     let error = Settings::try_parse_from(&GOOD[..7])
@@ -50,7 +50,7 @@
     assert!(error.contains("--platform"), "{error}");
 }
 
-/// A life of the process has a name that no other life had; staleness follows the beat.
+/// The placer's name contains the incarnation; the session timeout follows from the sync interval.
 #[test]
 fn options_follow_settings() {
     let settings = Settings::try_parse_from(GOOD.iter().chain(&["--beat-ms", "2000"])).unwrap();
