--- a/crates/bench/src/tally.rs
+++ b/crates/bench/src/tally.rs
@@ -95,7 +95,7 @@
 
 const fn label(outcome: Outcome) -> &'static str {
     match outcome {
-        Outcome::Class(class) => class.word(),
+        Outcome::Class(class) => class.as_str(),
         Outcome::NotSent | Outcome::NoAnswer => "no-answer",
     }
 }
--- a/crates/placer/src/claims.rs
+++ b/crates/placer/src/claims.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use tokio::sync::{mpsc, oneshot};
-use wire::{Claim, Verdict};
+use wire::{Claim, ClaimOutcome};
 
 use crate::Node;
 
@@ -23,7 +23,7 @@
 /// Time limit for a verdict: if the table is down, the caller is to learn it soon.
 const VERDICT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-type PendingClaim = (Claim, oneshot::Sender<Verdict>);
+type PendingClaim = (Claim, oneshot::Sender<ClaimOutcome>);
 
 /// Sends claims to the writer of the data centre.
 #[derive(Debug)]
@@ -53,12 +53,12 @@
     }
 
     /// Claims a request on a rack of this placer.
-    pub(crate) async fn claim(&self, claim: Claim) -> Verdict {
+    pub(crate) async fn claim(&self, claim: Claim) -> ClaimOutcome {
         request_verdict(&self.outbox, claim).await
     }
 
     /// Writes claims forwarded by this or another placer.
-    pub(crate) async fn write(&self, claims: Vec<Claim>) -> Vec<Verdict> {
+    pub(crate) async fn write(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
         let verdicts = claims
             .into_iter()
             .map(|claim| request_verdict(&self.inbox, claim));
@@ -66,14 +66,14 @@
     }
 }
 
-async fn request_verdict(queue: &mpsc::Sender<PendingClaim>, claim: Claim) -> Verdict {
+async fn request_verdict(queue: &mpsc::Sender<PendingClaim>, claim: Claim) -> ClaimOutcome {
     let (verdict, answer) = oneshot::channel();
     if queue.try_send((claim, verdict)).is_err() {
-        return Verdict::Unknown;
+        return ClaimOutcome::Unknown;
     }
     match tokio::time::timeout(VERDICT_TIMEOUT, answer).await {
         Ok(Ok(verdict)) => verdict,
-        _ => Verdict::Unknown,
+        _ => ClaimOutcome::Unknown,
     }
 }
 
--- a/crates/placer/src/node.rs
+++ b/crates/placer/src/node.rs
@@ -16,7 +16,7 @@
 use resource::id;
 use telemetry::{Health, Shutdown, Uptime};
 use tokio::sync::Notify;
-use wire::{Ask, Digest, Inventory, Owner, Routes, Seniority, Status};
+use wire::{Digest, FencingToken, Inventory, Owner, RouteQuery, Routes, Status};
 
 use crate::claims::{self, ClaimQueues};
 use crate::table_view::TableView;
@@ -201,7 +201,7 @@
 
     /// Routes and configuration that an entry does not have yet; `None` if this placer has not
     /// confirmed its own configuration.
-    pub fn routes(&self, ask: &Ask) -> Option<Routes> {
+    pub fn routes(&self, ask: &RouteQuery) -> Option<Routes> {
         self.active_config()?;
         let last_seen = self.now();
         let attached = AttachedEntry {
@@ -259,7 +259,7 @@
     }
 
     /// The tasks that the racks of this placer hold for the jobs of one home rack.
-    pub fn inventory(&self, from: &Seniority) -> Vec<Inventory> {
+    pub fn inventory(&self, from: &FencingToken) -> Vec<Inventory> {
         let now = self.now();
         self.shards()
             .iter()
--- a/crates/placer/src/node/rack_calls.rs
+++ b/crates/placer/src/node/rack_calls.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use resource::id;
-use wire::{Event, Gang, Order, Placed, Placement, Seniority};
+use wire::{Event, FencingToken, Gang, PlaceReply, PlaceRequest, Placement};
 
 use super::Node;
 use crate::{PeerError, Shard};
@@ -22,11 +22,11 @@
 
 impl Node {
     /// Places the tasks of an order; `None` if no answer came.
-    pub(crate) async fn place_at(self: &Arc<Self>, order: &Order) -> Option<Placed> {
+    pub(crate) async fn place_at(self: &Arc<Self>, order: &PlaceRequest) -> Option<PlaceReply> {
         match self.locate(&order.rack) {
             RackOwner::Unowned => {
                 let placements = vec![Placement::NotOwner; order.tasks.len()];
-                Some(Placed {
+                Some(PlaceReply {
                     placements,
                     digest: None,
                 })
@@ -42,7 +42,7 @@
     pub(crate) async fn commit_at(
         self: &Arc<Self>,
         rack: &str,
-        from: Seniority,
+        from: FencingToken,
         gang: &Gang,
     ) -> bool {
         match self.locate(rack) {
@@ -62,7 +62,7 @@
     pub(crate) async fn undo_at(
         self: &Arc<Self>,
         rack: &str,
-        from: Seniority,
+        from: FencingToken,
         gang: &Gang,
     ) -> bool {
         match self.locate(rack) {
@@ -82,7 +82,7 @@
     pub(crate) async fn stop_at(
         self: &Arc<Self>,
         rack: &str,
-        from: Seniority,
+        from: FencingToken,
         (team, job): (id::Team, id::Job),
     ) -> bool {
         match self.locate(rack) {
@@ -110,7 +110,7 @@
     }
 
     /// The tasks that the racks of all placers hold for the jobs of one home rack.
-    pub(crate) async fn collect_inventories(&self, from: &Seniority) -> Vec<wire::Inventory> {
+    pub(crate) async fn collect_inventories(&self, from: &FencingToken) -> Vec<wire::Inventory> {
         let mut all = self.inventory(from);
         let others = self
             .live_addresses()
--- a/crates/placer/src/peers.rs
+++ b/crates/placer/src/peers.rs
@@ -3,7 +3,9 @@
 use async_trait::async_trait;
 use config::{Version, raw};
 use resource::id;
-use wire::{Claim, Digest, Event, Gang, Inventory, Order, Placed, Seniority, Verdict};
+use wire::{
+    Claim, ClaimOutcome, Digest, Event, FencingToken, Gang, Inventory, PlaceReply, PlaceRequest,
+};
 
 /// Why a call to another placer brought no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -18,13 +20,13 @@
 #[async_trait]
 pub trait Peers: Send + Sync {
     /// Places tasks on a rack.
-    async fn place(&self, address: &str, order: Order) -> Result<Placed, PeerError>;
+    async fn place(&self, address: &str, order: PlaceRequest) -> Result<PlaceReply, PeerError>;
     /// Starts a gang for which capacity is reserved.
     async fn commit(
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, PeerError>;
     /// Cancels a gang and releases its capacity.
@@ -32,7 +34,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, PeerError>;
     /// Stops all tasks of a job on a rack.
@@ -40,11 +42,15 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         job: (id::Team, id::Job),
     ) -> Result<bool, PeerError>;
     /// Lists the tasks that the other's racks hold for the jobs of one home rack.
-    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, PeerError>;
+    async fn inventory(
+        &self,
+        address: &str,
+        from: FencingToken,
+    ) -> Result<Vec<Inventory>, PeerError>;
     /// Reports task events to the owner of the jobs' home rack; `true` if it accepted them.
     async fn report(
         &self,
@@ -61,5 +67,9 @@
     /// Free capacity of the other's racks.
     async fn digests(&self, address: &str) -> Result<Vec<Digest>, PeerError>;
     /// Writes claims to the table, batched with those of other placers.
-    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, PeerError>;
+    async fn claim(
+        &self,
+        address: &str,
+        claims: Vec<Claim>,
+    ) -> Result<Vec<ClaimOutcome>, PeerError>;
 }
--- a/crates/placer/src/request_cache.rs
+++ b/crates/placer/src/request_cache.rs
@@ -46,7 +46,7 @@
     /// Looks up a request and records it if it is new.
     pub(crate) fn begin(&mut self, name: &str, request: &Request) -> Lookup {
         if let Some(seen) = self.entries.get(name) {
-            if !seen.request.same(request) {
+            if !seen.request.is_same_as(request) {
                 return Lookup::Conflict;
             }
             let answer = seen.answer.subscribe();
--- a/crates/placer/src/rpc.rs
+++ b/crates/placer/src/rpc.rs
@@ -10,7 +10,9 @@
 use jsonrpsee::http_client::{HttpClient, HttpClientBuilder};
 use resource::id;
 use wire::rpc::PlacerClient as _;
-use wire::{Claim, Digest, Event, Gang, Inventory, Order, Placed, Seniority, Verdict};
+use wire::{
+    Claim, ClaimOutcome, Digest, Event, FencingToken, Gang, Inventory, PlaceReply, PlaceRequest,
+};
 
 use crate::{PeerError, Peers};
 
@@ -45,7 +47,7 @@
 )]
 fn peer_error(error: ClientError) -> PeerError {
     log::debug!("call to another placer failed: {error}");
-    if wire::refused(&error) {
+    if wire::is_connection_refused(&error) {
         PeerError::ConnectionRefused
     } else {
         PeerError::NoAnswer
@@ -54,7 +56,7 @@
 
 #[async_trait]
 impl Peers for Rpc {
-    async fn place(&self, address: &str, order: Order) -> Result<Placed, PeerError> {
+    async fn place(&self, address: &str, order: PlaceRequest) -> Result<PlaceReply, PeerError> {
         self.client(address)?.place(order).await.map_err(peer_error)
     }
 
@@ -62,7 +64,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, PeerError> {
         self.client(address)?
@@ -75,7 +77,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, PeerError> {
         self.client(address)?
@@ -88,7 +90,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         job: (id::Team, id::Job),
     ) -> Result<bool, PeerError> {
         self.client(address)?
@@ -97,7 +99,11 @@
             .map_err(peer_error)
     }
 
-    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, PeerError> {
+    async fn inventory(
+        &self,
+        address: &str,
+        from: FencingToken,
+    ) -> Result<Vec<Inventory>, PeerError> {
         self.client(address)?
             .inventory(from)
             .await
@@ -131,7 +137,11 @@
         self.client(address)?.digests().await.map_err(peer_error)
     }
 
-    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, PeerError> {
+    async fn claim(
+        &self,
+        address: &str,
+        claims: Vec<Claim>,
+    ) -> Result<Vec<ClaimOutcome>, PeerError> {
         self.client(address)?
             .claim(claims)
             .await
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -18,7 +18,7 @@
 use policy::RetryBudget;
 use resource::{Size, id};
 use tokio::sync::{Notify, oneshot};
-use wire::{Digest, Inventory, RackStatus, Seniority};
+use wire::{Digest, FencingToken, Inventory, RackStatus};
 
 use crate::Node;
 use crate::node::lock;
@@ -186,7 +186,7 @@
     }
 
     /// The tasks that the rack holds for the jobs of one home rack, if this placer owns it.
-    pub(crate) fn inventory(&self, from: &Seniority, now: Now) -> Option<Inventory> {
+    pub(crate) fn inventory(&self, from: &FencingToken, now: Now) -> Option<Inventory> {
         let mut state = self.state();
         let complete = state.takeover.complete(now);
         let rack = state.rack.as_mut()?;
--- a/crates/placer/src/shard/jobs/gang.rs
+++ b/crates/placer/src/shard/jobs/gang.rs
@@ -4,7 +4,7 @@
 
 use cell::Desk;
 use resource::id;
-use wire::{Gang, Order, Placed, Placement};
+use wire::{Gang, PlaceReply, PlaceRequest, Placement};
 
 use super::Shard;
 use crate::Node;
@@ -16,7 +16,7 @@
         self: &Arc<Self>,
         node: &Arc<Node>,
         gang: &Gang,
-        orders: Vec<Order>,
+        orders: Vec<PlaceRequest>,
     ) {
         let mut held = Vec::new();
         for order in &orders {
@@ -37,10 +37,10 @@
     }
 
     /// Puts the members of a gang that was not placed back into the queue.
-    fn requeue_gang(&self, orders: &[Order]) {
+    fn requeue_gang(&self, orders: &[PlaceRequest]) {
         for order in orders {
             let placements = vec![Placement::Full; order.tasks.len()];
-            let full = Placed {
+            let full = PlaceReply {
                 placements,
                 digest: None,
             };
--- a/crates/placer/tests/cluster/fault_injection.rs
+++ b/crates/placer/tests/cluster/fault_injection.rs
@@ -12,7 +12,9 @@
 use standin::{Platform, Racks};
 use tokio::sync::watch;
 use wire::rpc::PlacerServer as _;
-use wire::{Claim, Digest, Event, Gang, Inventory, Order, Placed, Seniority, Verdict};
+use wire::{
+    Claim, ClaimOutcome, Digest, Event, FencingToken, Gang, Inventory, PlaceReply, PlaceRequest,
+};
 use worker::call::{
     Adopt, Adopted, Hello, Pulse, Ran, Report, Run, Start, Stop, Stopped, Throttle, Void, Voided,
 };
@@ -236,7 +238,7 @@
 
 #[async_trait]
 impl Peers for FaultyConnections {
-    async fn place(&self, address: &str, order: Order) -> Result<Placed, PeerError> {
+    async fn place(&self, address: &str, order: PlaceRequest) -> Result<PlaceReply, PeerError> {
         self.faults.peer().await?;
         let placed = self.net.reach(address).await?.place(order).await;
         if *self.faults.lose_placement_answers.borrow() {
@@ -249,7 +251,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, PeerError> {
         self.faults.peer().await?;
@@ -265,7 +267,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         gang: Gang,
     ) -> Result<bool, PeerError> {
         self.faults.peer().await?;
@@ -281,7 +283,7 @@
         &self,
         address: &str,
         rack: id::Rack,
-        from: Seniority,
+        from: FencingToken,
         job: (id::Team, id::Job),
     ) -> Result<bool, PeerError> {
         self.faults.peer().await?;
@@ -292,7 +294,11 @@
             .map_err(|_| PeerError::NoAnswer)
     }
 
-    async fn inventory(&self, address: &str, from: Seniority) -> Result<Vec<Inventory>, PeerError> {
+    async fn inventory(
+        &self,
+        address: &str,
+        from: FencingToken,
+    ) -> Result<Vec<Inventory>, PeerError> {
         self.faults.peer().await?;
         self.net
             .reach(address)
@@ -341,7 +347,11 @@
             .map_err(|_| PeerError::NoAnswer)
     }
 
-    async fn claim(&self, address: &str, claims: Vec<Claim>) -> Result<Vec<Verdict>, PeerError> {
+    async fn claim(
+        &self,
+        address: &str,
+        claims: Vec<Claim>,
+    ) -> Result<Vec<ClaimOutcome>, PeerError> {
         self.faults.peer().await?;
         self.net
             .reach(address)
--- a/crates/placer/tests/configuration.rs
+++ b/crates/placer/tests/configuration.rs
@@ -10,10 +10,10 @@
 use cluster::{Cluster, cell_config, secs, wait_until};
 use placer::Options;
 use standin::Faults;
-use wire::Ask;
+use wire::RouteQuery;
 
-fn ask(applied: u64) -> Ask {
-    Ask {
+fn ask(applied: u64) -> RouteQuery {
+    RouteQuery {
         entry: "e1".to_owned(),
         applied,
         generation: 0,
--- a/crates/placer/tests/requests.rs
+++ b/crates/placer/tests/requests.rs
@@ -308,7 +308,7 @@
     let mut classes = std::collections::BTreeMap::new();
     for ask in asks {
         *classes
-            .entry(ask.await.unwrap().class().word())
+            .entry(ask.await.unwrap().class().as_str())
             .or_insert(0) += 1;
     }
     assert!(classes["not-run"] > 1_000, "{classes:?}");
