--- a/crates/placer/src/claims.rs
+++ b/crates/placer/src/claims.rs
@@ -1,8 +1,8 @@
 //! Claims: rows in the table that record that a non-idempotent request is about to start.
 //!
 //! Each placer batches its claims and forwards them to one writer in its data centre, which puts
-//! the claims of all placers into one transaction. The number of writes to the table therefore
-//! depends neither on the number of claims nor on the number of placers.
+//! the claims of all placers into one transaction. The table therefore sees the same number of
+//! writes for one claim and for a full batch, however many placers there are.
 
 mod writer;
 
@@ -20,8 +20,8 @@
 const QUEUE_CAPACITY: usize = 8_192;
 /// Upper bound on claims in one transaction.
 const MAX_BATCH: usize = 256;
-/// Time limit for a verdict: if the table is down, the caller is to learn it soon.
-const VERDICT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time limit for the outcome of a claim: if the table is down, the caller is to learn it soon.
+const OUTCOME_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 type PendingClaim = (Claim, oneshot::Sender<ClaimOutcome>);
 
@@ -54,25 +54,25 @@
 
     /// Claims a request on a rack of this placer.
     pub(crate) async fn claim(&self, claim: Claim) -> ClaimOutcome {
-        request_verdict(&self.outbox, claim).await
+        request_outcome(&self.outbox, claim).await
     }
 
     /// Writes claims forwarded by this or another placer.
     pub(crate) async fn write(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
-        let verdicts = claims
+        let outcomes = claims
             .into_iter()
-            .map(|claim| request_verdict(&self.inbox, claim));
-        futures::future::join_all(verdicts).await
+            .map(|claim| request_outcome(&self.inbox, claim));
+        futures::future::join_all(outcomes).await
     }
 }
 
-async fn request_verdict(queue: &mpsc::Sender<PendingClaim>, claim: Claim) -> ClaimOutcome {
-    let (verdict, answer) = oneshot::channel();
-    if queue.try_send((claim, verdict)).is_err() {
+async fn request_outcome(queue: &mpsc::Sender<PendingClaim>, claim: Claim) -> ClaimOutcome {
+    let (outcome, answer) = oneshot::channel();
+    if queue.try_send((claim, outcome)).is_err() {
         return ClaimOutcome::Unknown;
     }
-    match tokio::time::timeout(VERDICT_TIMEOUT, answer).await {
-        Ok(Ok(verdict)) => verdict,
+    match tokio::time::timeout(OUTCOME_TIMEOUT, answer).await {
+        Ok(Ok(outcome)) => outcome,
         _ => ClaimOutcome::Unknown,
     }
 }
@@ -96,15 +96,15 @@
 
 async fn send_batch(node: &Node, batch: Vec<PendingClaim>) {
     let (claims, answers): (Vec<Claim>, Vec<_>) = batch.into_iter().unzip();
-    let verdicts = match node.claim_writer() {
+    let outcomes = match node.claim_writer() {
         Some(address) => match node.peers.claim(&address, claims.clone()).await {
-            Ok(verdicts) if verdicts.len() == claims.len() => verdicts,
+            Ok(outcomes) if outcomes.len() == claims.len() => outcomes,
             // Any placer can safely write the same claims again, since they contain the epoch.
             _ => node.claims.write(claims).await,
         },
         None => node.claims.write(claims).await,
     };
-    for (answer, verdict) in answers.into_iter().zip(verdicts) {
-        _ = answer.send(verdict);
+    for (answer, outcome) in answers.into_iter().zip(outcomes) {
+        _ = answer.send(outcome);
     }
 }
--- a/crates/placer/src/claims/writer.rs
+++ b/crates/placer/src/claims/writer.rs
@@ -127,27 +127,27 @@
     fn resolve_conflicts(&mut self, rows: &[Row]) {
         let rows: BTreeMap<&str, &Row> = rows.iter().map(|r| (r.key.as_str(), r)).collect();
         self.pending.retain_mut(|(claim, answer)| {
-            let verdict = verdict(claim, &rows);
-            match (verdict, answer.take()) {
-                (Some(verdict), Some(answer)) => _ = answer.send(verdict),
+            let outcome = outcome(claim, &rows);
+            match (outcome, answer.take()) {
+                (Some(outcome), Some(answer)) => _ = answer.send(outcome),
                 (None, pending) => *answer = pending,
                 (Some(_), None) => {}
             }
-            verdict.is_none()
+            outcome.is_none()
         });
     }
 
-    fn answer_all(self, verdict: ClaimOutcome) {
+    fn answer_all(self, outcome: ClaimOutcome) {
         for (_, answer) in self.pending {
             if let Some(answer) = answer {
-                _ = answer.send(verdict);
+                _ = answer.send(outcome);
             }
         }
     }
 }
 
-/// The verdict that the conflicting rows imply for a claim; `None` if it is to be written again.
-fn verdict(claim: &mut Claim, rows: &BTreeMap<&str, &Row>) -> Option<ClaimOutcome> {
+/// The outcome that the conflicting rows imply for a claim; `None` if it is to be written again.
+fn outcome(claim: &mut Claim, rows: &BTreeMap<&str, &Row>) -> Option<ClaimOutcome> {
     if let Some(row) = rows.get(Record::key(&claim.rack).as_str()) {
         let record: Option<Record> = row
             .value
--- a/crates/placer/src/node.rs
+++ b/crates/placer/src/node.rs
@@ -201,20 +201,20 @@
 
     /// Routes and configuration that an entry does not have yet; `None` if this placer has not
     /// confirmed its own configuration.
-    pub fn routes(&self, ask: &RouteQuery) -> Option<Routes> {
+    pub fn routes(&self, query: &RouteQuery) -> Option<Routes> {
         self.active_config()?;
         let last_seen = self.now();
         let attached = AttachedEntry {
-            applied: ask.applied,
+            applied: query.applied,
             last_seen,
         };
-        lock(&self.attached).insert(ask.entry.clone(), attached);
-        let config = self.config_at_least(ask.applied + 1);
+        lock(&self.attached).insert(query.entry.clone(), attached);
+        let config = self.config_at_least(query.applied + 1);
         let view = self.view();
         // Generations of different placers or incarnations can't be compared, so an entry that
         // switches to another placer asks with generation 0.
         let generation = view.generation;
-        if ask.generation == generation {
+        if query.generation == generation {
             return Some(Routes {
                 generation,
                 config,
--- a/crates/placer/src/node/rack_calls.rs
+++ b/crates/placer/src/node/rack_calls.rs
@@ -21,19 +21,19 @@
 }
 
 impl Node {
-    /// Places the tasks of an order; `None` if no answer came.
-    pub(crate) async fn place_at(self: &Arc<Self>, order: &PlaceRequest) -> Option<PlaceReply> {
-        match self.locate(&order.rack) {
+    /// Places the tasks of a request; `None` if no answer came.
+    pub(crate) async fn place_at(self: &Arc<Self>, request: &PlaceRequest) -> Option<PlaceReply> {
+        match self.locate(&request.rack) {
             RackOwner::Unowned => {
-                let placements = vec![Placement::NotOwner; order.tasks.len()];
+                let placements = vec![Placement::NotOwner; request.tasks.len()];
                 Some(PlaceReply {
                     placements,
                     digest: None,
                 })
             }
-            RackOwner::Local(shard) => Some(shard.place(self, order)),
+            RackOwner::Local(shard) => Some(shard.place(self, request)),
             RackOwner::Remote(address) => {
-                with_timeout(self.peers.place(&address, order.clone())).await
+                with_timeout(self.peers.place(&address, request.clone())).await
             }
         }
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Cancels a gang on a rack.
+    /// Abandons a gang on a rack.
     pub(crate) async fn undo_at(
         self: &Arc<Self>,
         rack: &str,
--- a/crates/placer/src/peers.rs
+++ b/crates/placer/src/peers.rs
@@ -20,7 +20,7 @@
 #[async_trait]
 pub trait Peers: Send + Sync {
     /// Places tasks on a rack.
-    async fn place(&self, address: &str, order: PlaceRequest) -> Result<PlaceReply, PeerError>;
+    async fn place(&self, address: &str, request: PlaceRequest) -> Result<PlaceReply, PeerError>;
     /// Starts a gang for which capacity is reserved.
     async fn commit(
         &self,
@@ -29,7 +29,7 @@
         from: FencingToken,
         gang: Gang,
     ) -> Result<bool, PeerError>;
-    /// Cancels a gang and releases its capacity.
+    /// Abandons a gang: releases its reserved capacity and stops its started tasks.
     async fn undo(
         &self,
         address: &str,
--- a/crates/placer/src/rpc.rs
+++ b/crates/placer/src/rpc.rs
@@ -56,8 +56,11 @@
 
 #[async_trait]
 impl Peers for Rpc {
-    async fn place(&self, address: &str, order: PlaceRequest) -> Result<PlaceReply, PeerError> {
-        self.client(address)?.place(order).await.map_err(peer_error)
+    async fn place(&self, address: &str, request: PlaceRequest) -> Result<PlaceReply, PeerError> {
+        self.client(address)?
+            .place(request)
+            .await
+            .map_err(peer_error)
     }
 
     async fn commit(
--- a/crates/placer/src/server.rs
+++ b/crates/placer/src/server.rs
@@ -78,21 +78,21 @@
         })
     }
 
-    async fn routes(&self, ask: RouteQuery) -> RpcResult<Routes> {
-        let routes = self.node.routes(&ask);
+    async fn routes(&self, query: RouteQuery) -> RpcResult<Routes> {
+        let routes = self.node.routes(&query);
         routes.ok_or_else(|| ErrorObject::owned(CONFIG_NOT_CONFIRMED, "not fresh", None::<()>))
     }
 
-    async fn place(&self, order: PlaceRequest) -> RpcResult<PlaceReply> {
-        let shard = self.node.shard(&order.rack);
+    async fn place(&self, request: PlaceRequest) -> RpcResult<PlaceReply> {
+        let shard = self.node.shard(&request.rack);
         let refused = || {
-            let placements = vec![Placement::NotOwner; order.tasks.len()];
+            let placements = vec![Placement::NotOwner; request.tasks.len()];
             PlaceReply {
                 placements,
                 digest: None,
             }
         };
-        Ok(shard.map_or_else(refused, |shard| shard.place(&self.node, &order)))
+        Ok(shard.map_or_else(refused, |shard| shard.place(&self.node, &request)))
     }
 
     async fn commit(&self, rack: id::Rack, from: FencingToken, gang: Gang) -> RpcResult<bool> {
--- a/crates/placer/src/shard/jobs.rs
+++ b/crates/placer/src/shard/jobs.rs
@@ -65,11 +65,11 @@
             };
             desk.plan(&applied.cell, &mut lock(&node.digests))
         };
-        let (gangs, orders): (Vec<Plan>, Vec<Plan>) = plans
+        let (gangs, single): (Vec<Plan>, Vec<Plan>) = plans
             .into_iter()
             .partition(|plan| matches!(plan, Plan::Gang { .. }));
-        let started = orders.into_iter().filter_map(|plan| match plan {
-            Plan::Start(order) => Some(self.send_order(node, order)),
+        let started = single.into_iter().filter_map(|plan| match plan {
+            Plan::Start(request) => Some(self.send_place_request(node, request)),
             Plan::Gang { .. } => None,
         });
         join_all(started).await;
@@ -80,15 +80,15 @@
         }
     }
 
-    /// Sends an order to the owner of its rack; `true` if all its tasks were placed.
-    async fn send_order(self: &Arc<Self>, node: &Arc<Node>, order: PlaceRequest) -> bool {
-        let Some(placed) = node.place_at(&order).await else {
-            self.with_desk(|desk| desk.doubt(&order.rack, node.now()));
+    /// Sends a place request to the owner of its rack; `true` if all its tasks were placed.
+    async fn send_place_request(self: &Arc<Self>, node: &Arc<Node>, request: PlaceRequest) -> bool {
+        let Some(placed) = node.place_at(&request).await else {
+            self.with_desk(|desk| desk.doubt(&request.rack, node.now()));
             return false;
         };
         match &placed.digest {
             Some(digest) => lock(&node.digests).learn(digest),
-            None => lock(&node.digests).forget(&order.rack),
+            None => lock(&node.digests).forget(&request.rack),
         }
         metrics::counter!("lentilyoke_placements_total").increment(
             placed
@@ -97,7 +97,7 @@
                 .filter(|p| **p == Placement::Placed)
                 .count() as u64,
         );
-        self.with_desk(|desk| desk.placed(&order, &placed));
+        self.with_desk(|desk| desk.placed(&request, &placed));
         placed.placements.iter().all(|p| *p == Placement::Placed)
     }
 }
--- a/crates/placer/src/shard/jobs/gang.rs
+++ b/crates/placer/src/shard/jobs/gang.rs
@@ -10,20 +10,20 @@
 use crate::Node;
 
 impl Shard {
-    /// Reserves capacity on all racks of a gang, then starts the gang. If a rack refuses, cancels
-    /// the gang on all racks.
+    /// Reserves capacity on all racks of a gang, then starts the gang. If a rack refuses or does not
+    /// answer, abandons the gang on all racks asked so far.
     pub(super) async fn start_gang(
         self: &Arc<Self>,
         node: &Arc<Node>,
         gang: &Gang,
-        orders: Vec<PlaceRequest>,
+        requests: Vec<PlaceRequest>,
     ) {
         let mut held = Vec::new();
-        for order in &orders {
-            held.push(order.rack.clone());
-            if !self.send_order(node, order.clone()).await {
+        for request in &requests {
+            held.push(request.rack.clone());
+            if !self.send_place_request(node, request.clone()).await {
                 self.undo_gang(node, gang, &held).await;
-                self.requeue_gang(&orders);
+                self.requeue_gang(&requests);
                 return;
             }
         }
@@ -37,14 +37,14 @@
     }
 
     /// Puts the members of a gang that was not placed back into the queue.
-    fn requeue_gang(&self, orders: &[PlaceRequest]) {
-        for order in orders {
-            let placements = vec![Placement::Full; order.tasks.len()];
+    fn requeue_gang(&self, requests: &[PlaceRequest]) {
+        for request in requests {
+            let placements = vec![Placement::Full; request.tasks.len()];
             let full = PlaceReply {
                 placements,
                 digest: None,
             };
-            self.with_desk(|desk| desk.placed(order, &full));
+            self.with_desk(|desk| desk.placed(request, &full));
         }
     }
 
--- a/crates/placer/src/shard/jobs/placement.rs
+++ b/crates/placer/src/shard/jobs/placement.rs
@@ -9,19 +9,19 @@
 use crate::Node;
 
 impl Shard {
-    /// Places the tasks of an order on this rack.
-    pub(crate) fn place(self: &Arc<Self>, node: &Arc<Node>, order: &PlaceRequest) -> PlaceReply {
+    /// Places the tasks of a request on this rack.
+    pub(crate) fn place(self: &Arc<Self>, node: &Arc<Node>, request: &PlaceRequest) -> PlaceReply {
         let now = node.now();
         let mut state = self.state();
         let active = state.ownership.stage() == Stage::Active;
         let Some(rack) = state.rack.as_mut().filter(|_| active) else {
-            let placements = vec![Placement::NotOwner; order.tasks.len()];
+            let placements = vec![Placement::NotOwner; request.tasks.len()];
             return PlaceReply {
                 placements,
                 digest: None,
             };
         };
-        let (placed, commands) = rack.place(order, now);
+        let (placed, commands) = rack.place(request, now);
         drop(state);
         self.execute_commands(node, commands);
         placed
@@ -37,7 +37,7 @@
         self.execute_if_current(node, from, |rack, now| rack.commit(gang, now))
     }
 
-    /// Cancels a gang on this rack.
+    /// Abandons a gang on this rack.
     pub(crate) fn undo(
         self: &Arc<Self>,
         node: &Arc<Node>,
--- a/crates/placer/src/shard/ownership.rs
+++ b/crates/placer/src/shard/ownership.rs
@@ -76,8 +76,8 @@
             Some(rack) if same && rack.epoch() == before.epoch => rack.retake(epoch, roster),
             _ => state.rack = Some(Rack::new(&self.name, epoch, roster, settings)),
         }
-        // An order from a former owner of a home rack may still be in transit to this rack. The
-        // records that were read before the rack was taken give the home racks' present epochs;
+        // A place request from a former owner of a home rack may still be in transit to this rack.
+        // The records that were read before the rack was taken give the home racks' present epochs;
         // messages with lower ones are rejected.
         let records = node.view().records.clone();
         if let Some(rack) = &mut state.rack {
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -115,7 +115,7 @@
             }
         };
         let epoch = claim.epoch;
-        let verdict = node.claims.claim(claim).await;
+        let outcome = node.claims.claim(claim).await;
         // A claim under an earlier epoch of this same placer does not permit a start under the
         // present one: an owner in between may have run the request.
         let epoch_current = self
@@ -123,7 +123,7 @@
             .record
             .as_ref()
             .is_some_and(|(_, r)| r.epoch == epoch);
-        match verdict {
+        match outcome {
             ClaimOutcome::Held if epoch_current => Ok(()),
             ClaimOutcome::Held | ClaimOutcome::Fenced => Err(Fault::new(
                 Kind::NotOwner,
--- a/crates/placer/tests/cluster/fault_injection.rs
+++ b/crates/placer/tests/cluster/fault_injection.rs
@@ -34,7 +34,7 @@
     no_sync: watch::Sender<bool>,
     /// Its connections to workers break right after a run has started.
     break_runs: watch::Sender<bool>,
-    /// Answers to its orders to other placers are lost.
+    /// Answers to its place requests to other placers are lost.
     lose_placement_answers: watch::Sender<bool>,
     /// Other placers are unreachable.
     no_peers: watch::Sender<bool>,
@@ -93,7 +93,7 @@
         self.break_runs.send_replace(enabled);
     }
 
-    /// Sets whether the answers to its orders are lost.
+    /// Sets whether the answers to its place requests are lost.
     pub fn lose_placement_answers(&self, enabled: bool) {
         self.lose_placement_answers.send_replace(enabled);
     }
@@ -238,9 +238,9 @@
 
 #[async_trait]
 impl Peers for FaultyConnections {
-    async fn place(&self, address: &str, order: PlaceRequest) -> Result<PlaceReply, PeerError> {
+    async fn place(&self, address: &str, request: PlaceRequest) -> Result<PlaceReply, PeerError> {
         self.faults.peer().await?;
-        let placed = self.net.reach(address).await?.place(order).await;
+        let placed = self.net.reach(address).await?.place(request).await;
         if *self.faults.lose_placement_answers.borrow() {
             return Err(PeerError::NoAnswer);
         }
--- a/crates/placer/tests/jobs.rs
+++ b/crates/placer/tests/jobs.rs
@@ -466,10 +466,10 @@
     cluster.end().await;
 }
 
-/// Guards against duplicate starts. The answers to orders are lost although the tasks were placed:
-/// the job's owner must fetch the racks' inventories before it sends new orders.
+/// Guards against duplicate starts. The answers to place requests are lost although the tasks were
+/// placed: the job's owner must fetch the racks' inventories before it sends new ones.
 #[tokio::test(start_paused = true)]
-async fn orders_whose_answers_are_lost_are_reconciled() {
+async fn place_requests_whose_answers_are_lost_are_reconciled() {
     let cluster = placers(2, 3, 2).await;
     let home_owner = cluster.owner(&cluster.team_home_rack()).unwrap();
     cluster.placers[&home_owner]
