--- a/crates/placer/src/claims.rs
+++ b/crates/placer/src/claims.rs
@@ -1,8 +1,8 @@
-//! Claims: the record in the table that a non-idempotent request is about to start.
+//! Claims: rows in the table that record that a non-idempotent request is about to start.
 //!
-//! Each placer gathers its claims and passes them to one writer in its data centre, which puts
-//! those of all into one transaction. So the table sees the same number of writes for one claim
-//! and for a thousand, however many placers there are.
+//! Each placer batches its claims and forwards them to one writer in its data centre, which puts
+//! the claims of all placers into one transaction. The table therefore sees the same number of
+//! writes for one claim and for a full batch, however many placers there are.
 
 mod writer;
 
@@ -16,93 +16,95 @@
 
 pub(crate) use writer::Writer;
 
-/// Claims that wait to be written, at most.
-const QUEUE: usize = 8_192;
-/// Claims in one transaction, at most.
-const BATCH: usize = 256;
-/// Longest wait for a verdict. The table may be down; the caller is told so at once instead.
-const LIMIT: Duration = Duration::from_millis(1_500);
+/// Upper bound on claims that wait to be written.
+const QUEUE_CAPACITY: usize = 8_192;
+/// Upper bound on claims in one transaction.
+const MAX_BATCH: usize = 256;
+/// Time limit for the outcome of a claim: if the table is down, the caller is to learn it soon.
+const OUTCOME_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-type Waiting = (Claim, oneshot::Sender<ClaimOutcome>);
+type PendingClaim = (Claim, oneshot::Sender<ClaimOutcome>);
 
-/// Hands claims to the writer of the data centre.
+/// Sends claims to the writer of the data centre.
 #[derive(Debug)]
 pub struct Claims {
-    outbox: mpsc::Sender<Waiting>,
-    inbox: mpsc::Sender<Waiting>,
+    outbox: mpsc::Sender<PendingClaim>,
+    inbox: mpsc::Sender<PendingClaim>,
 }
 
-/// The receiving ends of a placer's [`Claims`].
+/// The receiving ends of the queues of [`Claims`].
 #[derive(Debug)]
-pub(crate) struct Ends {
-    outbox: mpsc::Receiver<Waiting>,
-    inbox: mpsc::Receiver<Waiting>,
+pub(crate) struct ClaimQueues {
+    outbox: mpsc::Receiver<PendingClaim>,
+    inbox: mpsc::Receiver<PendingClaim>,
 }
 
 impl Claims {
-    pub(crate) fn new() -> (Self, Ends) {
-        let (outbox, from_here) = mpsc::channel(QUEUE);
-        let (inbox, from_all) = mpsc::channel(QUEUE);
+    pub(crate) fn new() -> (Self, ClaimQueues) {
+        let (outbox, from_here) = mpsc::channel(QUEUE_CAPACITY);
+        let (inbox, from_all) = mpsc::channel(QUEUE_CAPACITY);
         (
             Self { outbox, inbox },
-            Ends {
+            ClaimQueues {
                 outbox: from_here,
                 inbox: from_all,
             },
         )
     }
 
-    /// Claims a request of a rack of this placer.
-    pub(crate) async fn hold(&self, claim: Claim) -> ClaimOutcome {
-        ask(&self.outbox, claim).await
+    /// Claims a request on a rack of this placer.
+    pub(crate) async fn claim(&self, claim: Claim) -> ClaimOutcome {
+        request_outcome(&self.outbox, claim).await
     }
 
-    /// Writes claims that this or another placer passes on.
+    /// Writes claims forwarded by this or another placer.
     pub(crate) async fn write(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
-        let asked = claims.into_iter().map(|claim| ask(&self.inbox, claim));
-        futures::future::join_all(asked).await
+        let outcomes = claims
+            .into_iter()
+            .map(|claim| request_outcome(&self.inbox, claim));
+        futures::future::join_all(outcomes).await
     }
 }
 
-async fn ask(queue: &mpsc::Sender<Waiting>, claim: Claim) -> ClaimOutcome {
-    let (verdict, answer) = oneshot::channel();
-    if queue.try_send((claim, verdict)).is_err() {
+async fn request_outcome(queue: &mpsc::Sender<PendingClaim>, claim: Claim) -> ClaimOutcome {
+    let (outcome, answer) = oneshot::channel();
+    if queue.try_send((claim, outcome)).is_err() {
         return ClaimOutcome::Unknown;
     }
-    match tokio::time::timeout(LIMIT, answer).await {
-        Ok(Ok(verdict)) => verdict,
+    match tokio::time::timeout(OUTCOME_TIMEOUT, answer).await {
+        Ok(Ok(outcome)) => outcome,
         _ => ClaimOutcome::Unknown,
     }
 }
 
-/// Passes on this placer's claims until it ends.
-pub(crate) async fn pass_on(node: Arc<Node>, mut ends: Ends) {
-    let writer = Writer::new(Arc::clone(&node), ends.inbox);
-    node.stop.spawn(writer.run());
+/// Forwards this placer's claims to the writer until the placer ends.
+pub(crate) async fn forward(node: Arc<Node>, mut queues: ClaimQueues) {
+    let writer = Writer::new(Arc::clone(&node), queues.inbox);
+    node.shutdown.spawn(writer.run());
     loop {
         let mut batch = Vec::new();
         tokio::select! {
-            n = ends.outbox.recv_many(&mut batch, BATCH) => if n == 0 { return },
-            () = node.stop.ended() => return,
+            n = queues.outbox.recv_many(&mut batch, MAX_BATCH) => if n == 0 { return },
+            () = node.shutdown.ended() => return,
         }
         let node = Arc::clone(&node);
-        node.stop
+        node.shutdown
             .clone()
-            .spawn(async move { deliver(&node, batch).await });
+            .spawn(async move { send_batch(&node, batch).await });
     }
 }
 
-async fn deliver(node: &Node, batch: Vec<Waiting>) {
+async fn send_batch(node: &Node, batch: Vec<PendingClaim>) {
     let (claims, answers): (Vec<Claim>, Vec<_>) = batch.into_iter().unzip();
-    let verdicts = match node.claimant() {
+    let outcomes = match node.claim_writer() {
         Some(address) => match node.peers.claim(&address, claims.clone()).await {
-            Ok(verdicts) if verdicts.len() == claims.len() => verdicts,
-            // The same claims can be written again by anyone: they name the epoch.
+            Ok(outcomes) if outcomes.len() == claims.len() => outcomes,
+            // Any placer can safely write the same claims again, since they contain the epoch.
             _ => node.claims.write(claims).await,
         },
         None => node.claims.write(claims).await,
     };
-    for (answer, verdict) in answers.into_iter().zip(verdicts) {
-        _ = answer.send(verdict);
+    for (answer, outcome) in answers.into_iter().zip(outcomes) {
+        _ = answer.send(outcome);
     }
 }
--- a/crates/placer/src/claims/writer.rs
+++ b/crates/placer/src/claims/writer.rs
@@ -8,29 +8,29 @@
 use tokio::sync::{mpsc, oneshot};
 use wire::{Claim, ClaimOutcome};
 
-use super::{BATCH, Waiting};
+use super::{MAX_BATCH, PendingClaim};
 use crate::Node;
 
-/// Tries to write one batch; each shows which claims can't be held.
-const TRIES: usize = 4;
-/// Old claims that are deleted together with new ones, at most.
-const SWEEP: usize = BATCH;
+/// Attempts to write one batch; each conflict shows which claims must be left out of the next.
+const MAX_WRITE_ATTEMPTS: usize = 4;
+/// Upper bound on expired claims deleted in one transaction with new ones.
+const MAX_DELETIONS: usize = MAX_BATCH;
 
-/// Gathers claims for a moment and writes them together.
+/// Batches claims and writes each batch in one transaction.
 pub(crate) struct Writer {
     node: Arc<Node>,
-    inbox: mpsc::Receiver<Waiting>,
-    /// Rows that were written, and when; they are deleted once they need not be remembered.
+    inbox: mpsc::Receiver<PendingClaim>,
+    /// Keys of written rows with the time of writing; deleted after the retention period.
     written: VecDeque<(Now, String)>,
 }
 
-/// Claims on their way into the table.
+/// Claims that are being written in one transaction.
 struct Batch {
-    open: Vec<(Claim, Option<oneshot::Sender<ClaimOutcome>>)>,
+    pending: Vec<(Claim, Option<oneshot::Sender<ClaimOutcome>>)>,
 }
 
 impl Writer {
-    pub(crate) const fn new(node: Arc<Node>, inbox: mpsc::Receiver<Waiting>) -> Self {
+    pub(crate) const fn new(node: Arc<Node>, inbox: mpsc::Receiver<PendingClaim>) -> Self {
         Self {
             node,
             inbox,
@@ -42,38 +42,38 @@
         loop {
             let mut batch = Vec::new();
             tokio::select! {
-                n = self.inbox.recv_many(&mut batch, BATCH) => if n == 0 { return },
-                () = self.node.stop.ended() => return,
+                n = self.inbox.recv_many(&mut batch, MAX_BATCH) => if n == 0 { return },
+                () = self.node.shutdown.ended() => return,
             }
-            tokio::time::sleep(self.node.options.gather).await;
-            while batch.len() < BATCH
+            tokio::time::sleep(self.node.options.claim_batch_delay).await;
+            while batch.len() < MAX_BATCH
                 && let Ok(more) = self.inbox.try_recv()
             {
                 batch.push(more);
             }
-            let open = batch
+            let pending = batch
                 .into_iter()
                 .map(|(claim, answer)| (claim, Some(answer)))
                 .collect();
-            self.write(Batch { open }).await;
+            self.write(Batch { pending }).await;
         }
     }
 
     async fn write(&mut self, mut batch: Batch) {
-        for _ in 0..TRIES {
-            if batch.open.is_empty() {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
+            if batch.pending.is_empty() {
                 return;
             }
-            let transaction = self.sweep(batch.transaction());
+            let transaction = self.delete_expired(batch.transaction());
             match self.node.table.commit(transaction).await {
                 Ok(_) => {
-                    self.remember(&batch);
+                    self.record_written(&batch);
                     batch.answer_all(ClaimOutcome::Held);
                     return;
                 }
-                Err(Error::Conflict { rows }) => batch.settle(&rows),
-                // It may have been written. Writing it again shows: a row that names the same
-                // epoch is this very claim.
+                Err(Error::Conflict { rows }) => batch.resolve_conflicts(&rows),
+                // The batch may have been written. Writing it again shows whether it was: a row
+                // with the same epoch is this very claim.
                 Err(Error::Lost { .. }) => {}
                 Err(Error::Down { .. }) => break,
             }
@@ -81,19 +81,19 @@
         batch.answer_all(ClaimOutcome::Unknown);
     }
 
-    fn remember(&mut self, batch: &Batch) {
-        let now = self.node.since.elapsed();
+    fn record_written(&mut self, batch: &Batch) {
+        let now = self.node.uptime.elapsed();
         self.written
-            .extend(batch.open.iter().map(|(claim, _)| (now, claim.row())));
+            .extend(batch.pending.iter().map(|(claim, _)| (now, claim.row())));
     }
 
-    /// Adds the deletion of old claims.
-    fn sweep(&mut self, mut transaction: Transaction) -> Transaction {
-        let now = self.node.since.elapsed();
-        let keep = self.node.options.remember;
-        for _ in 0..SWEEP {
+    /// Adds the deletion of expired claims.
+    fn delete_expired(&mut self, mut transaction: Transaction) -> Transaction {
+        let now = self.node.uptime.elapsed();
+        let retention = self.node.options.request_retention;
+        for _ in 0..MAX_DELETIONS {
             match self.written.front() {
-                Some((at, _)) if now >= *at + keep => {}
+                Some((at, _)) if now >= *at + retention => {}
                 _ => break,
             }
             if let Some((_, row)) = self.written.pop_front() {
@@ -105,9 +105,9 @@
 }
 
 impl Batch {
-    /// Every rack must still have its owner, and no claim may stand there yet.
+    /// A transaction that succeeds only if no rack's record has changed and no claim exists yet.
     fn transaction(&self) -> Transaction {
-        let claims = || self.open.iter().map(|(claim, _)| claim);
+        let claims = || self.pending.iter().map(|(claim, _)| claim);
         let racks: BTreeMap<&str, u64> = claims()
             .map(|c| (c.rack.as_str(), c.rack_version))
             .collect();
@@ -122,31 +122,32 @@
         transaction
     }
 
-    /// Answers the claims that can't be held, going by the rows that were not as expected.
-    fn settle(&mut self, rows: &[Row]) {
+    /// Answers the claims that the conflicting rows decide, and keeps the others for the next
+    /// attempt.
+    fn resolve_conflicts(&mut self, rows: &[Row]) {
         let rows: BTreeMap<&str, &Row> = rows.iter().map(|r| (r.key.as_str(), r)).collect();
-        self.open.retain_mut(|(claim, answer)| {
-            let verdict = verdict(claim, &rows);
-            match (verdict, answer.take()) {
-                (Some(verdict), Some(answer)) => _ = answer.send(verdict),
-                (None, open) => *answer = open,
+        self.pending.retain_mut(|(claim, answer)| {
+            let outcome = outcome(claim, &rows);
+            match (outcome, answer.take()) {
+                (Some(outcome), Some(answer)) => _ = answer.send(outcome),
+                (None, pending) => *answer = pending,
                 (Some(_), None) => {}
             }
-            verdict.is_none()
+            outcome.is_none()
         });
     }
 
-    fn answer_all(self, verdict: ClaimOutcome) {
-        for (_, answer) in self.open {
+    fn answer_all(self, outcome: ClaimOutcome) {
+        for (_, answer) in self.pending {
             if let Some(answer) = answer {
-                _ = answer.send(verdict);
+                _ = answer.send(outcome);
             }
         }
     }
 }
 
-/// What the rows say of a claim; `None` if it is to be written again.
-fn verdict(claim: &mut Claim, rows: &BTreeMap<&str, &Row>) -> Option<ClaimOutcome> {
+/// The outcome that the conflicting rows imply for a claim; `None` if it is to be written again.
+fn outcome(claim: &mut Claim, rows: &BTreeMap<&str, &Row>) -> Option<ClaimOutcome> {
     if let Some(row) = rows.get(Record::key(&claim.rack).as_str()) {
         let record: Option<Record> = row
             .value
@@ -155,7 +156,7 @@
         if record.is_none_or(|r| r.epoch != claim.epoch) {
             return Some(ClaimOutcome::Fenced);
         }
-        // The same owner has changed the row for another reason.
+        // The same owner has changed the record for another reason.
         claim.rack_version = row.version;
     }
     let row = rows.get(claim.row().as_str())?;
--- a/crates/placer/src/peers.rs
+++ b/crates/placer/src/peers.rs
@@ -1,4 +1,4 @@
-//! How a placer reaches other placers.
+//! Calls from a placer to other placers.
 
 use async_trait::async_trait;
 use config::{Version, raw};
@@ -7,36 +7,36 @@
     Claim, ClaimOutcome, Digest, Event, FencingToken, Gang, Inventory, PlaceReply, PlaceRequest,
 };
 
-/// A call to another placer brought no answer.
+/// Why a call to another placer brought no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Unreached {
-    /// Its port refuses connections: no process is there, and nothing was sent.
-    Gone,
-    /// It may have had its effect.
+pub enum PeerError {
+    /// Its port refuses connections: no process listens there, and nothing was sent.
+    ConnectionRefused,
+    /// No answer arrived; the call may have taken effect.
     NoAnswer,
 }
 
-/// The calls that placers make to each other; `address` is the other's `ip:port`.
+/// Calls between placers; `address` is the `ip:port` of the other one.
 #[async_trait]
 pub trait Peers: Send + Sync {
     /// Places tasks on a rack.
-    async fn place(&self, address: &str, order: PlaceRequest) -> Result<PlaceReply, Unreached>;
-    /// Starts a gang that was held.
+    async fn place(&self, address: &str, request: PlaceRequest) -> Result<PlaceReply, PeerError>;
+    /// Starts a gang for which capacity is reserved.
     async fn commit(
         &self,
         address: &str,
         rack: id::Rack,
         from: FencingToken,
         gang: Gang,
-    ) -> Result<bool, Unreached>;
-    /// Gives up a gang.
+    ) -> Result<bool, PeerError>;
+    /// Abandons a gang: releases its reserved capacity and stops its started tasks.
     async fn undo(
         &self,
         address: &str,
         rack: id::Rack,
         from: FencingToken,
         gang: Gang,
-    ) -> Result<bool, Unreached>;
+    ) -> Result<bool, PeerError>;
     /// Stops all tasks of a job on a rack.
     async fn stop(
         &self,
@@ -44,32 +44,32 @@
         rack: id::Rack,
         from: FencingToken,
         job: (id::Team, id::Job),
-    ) -> Result<bool, Unreached>;
-    /// Lists what the other's racks hold of the jobs of one home rack.
+    ) -> Result<bool, PeerError>;
+    /// Lists the tasks that the other's racks hold for the jobs of one home rack.
     async fn inventory(
         &self,
         address: &str,
         from: FencingToken,
-    ) -> Result<Vec<Inventory>, Unreached>;
-    /// Tells the owner of a home rack what became of its tasks.
+    ) -> Result<Vec<Inventory>, PeerError>;
+    /// Reports task events to the owner of the jobs' home rack; `true` if it accepted them.
     async fn report(
         &self,
         address: &str,
         home: id::Rack,
         events: Vec<Event>,
-    ) -> Result<bool, Unreached>;
-    /// The configuration that the other applies, if it is newer than this version.
+    ) -> Result<bool, PeerError>;
+    /// The configuration that the other has confirmed, if it has at least this version.
     async fn config(
         &self,
         address: &str,
-        than: Version,
-    ) -> Result<Option<(Version, raw::Cell)>, Unreached>;
-    /// Room in the other's racks.
-    async fn digests(&self, address: &str) -> Result<Vec<Digest>, Unreached>;
-    /// Writes claims to the table, together with those of others.
+        min_version: Version,
+    ) -> Result<Option<(Version, raw::Cell)>, PeerError>;
+    /// Free capacity of the other's racks.
+    async fn digests(&self, address: &str) -> Result<Vec<Digest>, PeerError>;
+    /// Writes claims to the table, batched with those of other placers.
     async fn claim(
         &self,
         address: &str,
         claims: Vec<Claim>,
-    ) -> Result<Vec<ClaimOutcome>, Unreached>;
+    ) -> Result<Vec<ClaimOutcome>, PeerError>;
 }
--- a/crates/placer/src/server.rs
+++ b/crates/placer/src/server.rs
@@ -1,4 +1,4 @@
-//! What a placer offers to entries, to other placers and to operators.
+//! The API of a placer for entries, other placers and operators.
 
 use std::sync::Arc;
 
@@ -15,23 +15,23 @@
 
 use crate::{Node, Shard};
 
-/// The placer does not know whether its configuration is in force.
-const NOT_FRESH: i32 = -32_001;
+/// Error code: the placer has not confirmed that its configuration is in force.
+const CONFIG_NOT_CONFIRMED: i32 = -32_001;
 
-/// Serves one placer.
+/// Serves the calls to one placer.
 pub struct Server {
     node: Arc<Node>,
 }
 
 impl Server {
-    /// Serves this placer.
+    /// Creates the server of this placer.
     #[must_use]
     pub const fn new(node: Arc<Node>) -> Self {
         Self { node }
     }
 
-    fn at_home(&self, home: &str) -> Result<Arc<Shard>, Fault> {
-        if self.node.stop.is_draining() {
+    fn home_shard(&self, home: &str) -> Result<Arc<Shard>, Fault> {
+        if self.node.shutdown.is_draining() {
             return Err(Fault::new(Kind::Draining, "the placer is stopping"));
         }
         let shard = self.node.shard(home);
@@ -49,7 +49,7 @@
     }
 
     async fn submit(&self, home: id::Rack, job: Job) -> RpcResult<Result<State, Fault>> {
-        Ok(match self.at_home(&home) {
+        Ok(match self.home_shard(&home) {
             Ok(shard) => shard.submit(&self.node, job).await,
             Err(fault) => Err(fault),
         })
@@ -62,7 +62,7 @@
         job: id::Job,
     ) -> RpcResult<Result<State, Fault>> {
         Ok(self
-            .at_home(&home)
+            .home_shard(&home)
             .and_then(|shard| shard.watch(&team, &job)))
     }
 
@@ -72,27 +72,27 @@
         team: id::Team,
         job: id::Job,
     ) -> RpcResult<Result<State, Fault>> {
-        Ok(match self.at_home(&home) {
+        Ok(match self.home_shard(&home) {
             Ok(shard) => shard.cancel(&self.node, &team, &job).await,
             Err(fault) => Err(fault),
         })
     }
 
-    async fn routes(&self, ask: RouteQuery) -> RpcResult<Routes> {
-        let routes = self.node.routes(&ask);
-        routes.ok_or_else(|| ErrorObject::owned(NOT_FRESH, "not fresh", None::<()>))
+    async fn routes(&self, query: RouteQuery) -> RpcResult<Routes> {
+        let routes = self.node.routes(&query);
+        routes.ok_or_else(|| ErrorObject::owned(CONFIG_NOT_CONFIRMED, "not fresh", None::<()>))
     }
 
-    async fn place(&self, order: PlaceRequest) -> RpcResult<PlaceReply> {
-        let shard = self.node.shard(&order.rack);
+    async fn place(&self, request: PlaceRequest) -> RpcResult<PlaceReply> {
+        let shard = self.node.shard(&request.rack);
         let refused = || {
-            let placements = vec![Placement::NotOwner; order.tasks.len()];
+            let placements = vec![Placement::NotOwner; request.tasks.len()];
             PlaceReply {
                 placements,
                 digest: None,
             }
         };
-        Ok(shard.map_or_else(refused, |shard| shard.place(&self.node, &order)))
+        Ok(shard.map_or_else(refused, |shard| shard.place(&self.node, &request)))
     }
 
     async fn commit(&self, rack: id::Rack, from: FencingToken, gang: Gang) -> RpcResult<bool> {
@@ -122,19 +122,19 @@
 
     async fn report(&self, home: id::Rack, events: Vec<Event>) -> RpcResult<bool> {
         let shard = self.node.shard(&home);
-        Ok(shard.is_some_and(|shard| shard.hear(&events)))
+        Ok(shard.is_some_and(|shard| shard.receive_events(&events)))
     }
 
     async fn digests(&self) -> RpcResult<Vec<Digest>> {
-        Ok(self.node.own_digests())
+        Ok(self.node.local_digests())
     }
 
     async fn claim(&self, claims: Vec<Claim>) -> RpcResult<Vec<ClaimOutcome>> {
         Ok(self.node.claims.write(claims).await)
     }
 
-    async fn config(&self, than: Version) -> RpcResult<Option<(Version, raw::Cell)>> {
-        Ok(self.node.config_than(than))
+    async fn config(&self, min_version: Version) -> RpcResult<Option<(Version, raw::Cell)>> {
+        Ok(self.node.config_at_least(min_version))
     }
 
     async fn status(&self) -> RpcResult<Status> {
@@ -142,7 +142,7 @@
     }
 
     async fn drain(&self) -> RpcResult<bool> {
-        self.node.stop.drain();
+        self.node.shutdown.drain();
         Ok(true)
     }
 }
--- a/crates/placer/src/shard/jobs.rs
+++ b/crates/placer/src/shard/jobs.rs
@@ -1,10 +1,10 @@
-//! Places tasks on the rack, and looks after the jobs that are at home in it.
+//! Places tasks on the rack and manages the jobs whose home it is.
 
+mod events;
 mod gang;
-mod intake;
-mod news;
-mod orders;
-mod save;
+mod persistence;
+mod placement;
+mod submission;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,45 +17,45 @@
 use crate::Node;
 use crate::node::lock;
 
-/// How often jobs are looked at when nothing happens.
-const STEP: Duration = Duration::from_millis(400);
-/// Shortest time between two rounds of placing, so that what comes together is placed together.
-const ROUND: Duration = Duration::from_millis(5);
-/// How often rows of jobs are written.
-const SAVE_EVERY: Duration = Duration::from_millis(500);
+/// Interval of the job loop when nothing wakes it.
+const IDLE_INTERVAL: Duration = Duration::from_millis(400);
+/// Minimum time between two rounds, so that jobs that arrive together are placed together.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(5);
+/// Minimum interval between writes of job rows.
+const SAVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Looks after jobs until the placer ends.
+/// Manages jobs until the placer ends.
 pub(super) async fn run(node: Arc<Node>, shard: Arc<Shard>) {
     let mut saved_at = Duration::ZERO;
-    while shard.until_wanted(&node).await {
+    while shard.wait_while_watching(&node).await {
         tokio::select! {
-            () = tokio::time::sleep(STEP) => {}
-            () = shard.jobs_now.notified() => {}
-            () = node.stop.ended() => return,
+            () = tokio::time::sleep(IDLE_INTERVAL) => {}
+            () = shard.jobs_changed.notified() => {}
+            () = node.shutdown.ended() => return,
         }
-        shard.tell_news(&node).await;
+        shard.report_events(&node).await;
         if shard.state().desk.is_none() {
-            tokio::time::sleep(ROUND).await;
+            tokio::time::sleep(MIN_ROUND_INTERVAL).await;
             continue;
         }
-        shard.place_waiting(&node).await;
+        shard.place_tasks(&node).await;
         let now = node.now();
-        if now >= saved_at + SAVE_EVERY {
+        if now >= saved_at + SAVE_INTERVAL {
             saved_at = now;
-            shard.settle_doubts(&node).await;
+            shard.reconcile_inventory(&node).await;
             shard.stop_leftovers(&node).await;
             shard.save(&node).await;
         }
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(MIN_ROUND_INTERVAL).await;
     }
 }
 
 impl Shard {
-    async fn place_waiting(self: &Arc<Self>, node: &Arc<Node>) {
-        let Some(applied) = node.applied() else {
+    async fn place_tasks(self: &Arc<Self>, node: &Arc<Node>) {
+        let Some(applied) = node.active_config() else {
             return;
         };
-        for digest in node.own_digests() {
+        for digest in node.local_digests() {
             lock(&node.digests).learn(&digest);
         }
         let plans = {
@@ -65,11 +65,11 @@
             };
             desk.plan(&applied.cell, &mut lock(&node.digests))
         };
-        let (gangs, orders): (Vec<Plan>, Vec<Plan>) = plans
+        let (gangs, single): (Vec<Plan>, Vec<Plan>) = plans
             .into_iter()
             .partition(|plan| matches!(plan, Plan::Gang { .. }));
-        let started = orders.into_iter().filter_map(|plan| match plan {
-            Plan::Start(order) => Some(self.order(node, order)),
+        let started = single.into_iter().filter_map(|plan| match plan {
+            Plan::Start(request) => Some(self.send_place_request(node, request)),
             Plan::Gang { .. } => None,
         });
         join_all(started).await;
@@ -80,15 +80,15 @@
         }
     }
 
-    /// Sends an order to the owner of its rack; `true` if every task was placed.
-    async fn order(self: &Arc<Self>, node: &Arc<Node>, order: PlaceRequest) -> bool {
-        let Some(placed) = node.place_at(&order).await else {
-            self.with_desk(|desk| desk.doubt(&order.rack, node.now()));
+    /// Sends a place request to the owner of its rack; `true` if all its tasks were placed.
+    async fn send_place_request(self: &Arc<Self>, node: &Arc<Node>, request: PlaceRequest) -> bool {
+        let Some(placed) = node.place_at(&request).await else {
+            self.with_desk(|desk| desk.doubt(&request.rack, node.now()));
             return false;
         };
         match &placed.digest {
             Some(digest) => lock(&node.digests).learn(digest),
-            None => lock(&node.digests).forget(&order.rack),
+            None => lock(&node.digests).forget(&request.rack),
         }
         metrics::counter!("lentilyoke_placements_total").increment(
             placed
@@ -97,7 +97,7 @@
                 .filter(|p| **p == Placement::Placed)
                 .count() as u64,
         );
-        self.with_desk(|desk| desk.placed(&order, &placed));
+        self.with_desk(|desk| desk.placed(&request, &placed));
         placed.placements.iter().all(|p| *p == Placement::Placed)
     }
 }
--- a/crates/placer/src/shard/own.rs
+++ b/crates/placer/src/shard/ownership.rs
@@ -1,4 +1,4 @@
-//! Takes a rack, keeps it, lets go of it.
+//! Acquires, maintains and releases the ownership of a rack.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,41 +10,41 @@
 use super::Shard;
 use crate::Node;
 
-/// How often a rack on its way to being owned is looked at.
-const STEP: Duration = Duration::from_millis(50);
-/// How often an owned rack is looked after; nothing there is urgent.
-const KEEP: Duration = Duration::from_millis(500);
-/// A list that differs from the roster for this long is followed.
-const DRIFT: Duration = Duration::from_secs(5);
-/// A worker that the platform has not listed for this long exists no more.
-const GONE: Duration = Duration::from_secs(15);
+/// Interval of the ownership loop while the rack is being acquired or released.
+const TRANSITION_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval of the ownership loop while the rack is active; nothing there is urgent.
+const ACTIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// The roster is replaced once the host list has differed from it for this long.
+const ROSTER_CHANGE_DELAY: Duration = Duration::from_secs(5);
+/// A worker that the platform has not listed for this long counts as removed.
+const REMOVAL_DELAY: Duration = Duration::from_secs(15);
 
-/// Carries out the stages of ownership until the placer ends.
+/// Executes the stages of ownership until the placer ends.
 pub(super) async fn run(node: Arc<Node>, shard: Arc<Shard>) {
-    while shard.until_wanted(&node).await {
-        let step = if shard.stage() == Stage::Active {
-            KEEP
+    while shard.wait_while_watching(&node).await {
+        let interval = if shard.stage() == Stage::Active {
+            ACTIVE_INTERVAL
         } else {
-            STEP
+            TRANSITION_INTERVAL
         };
         tokio::select! {
-            () = tokio::time::sleep(step) => {}
-            () = shard.stage_now.notified() => {}
-            () = node.stop.ended() => return,
+            () = tokio::time::sleep(interval) => {}
+            () = shard.stage_changed.notified() => {}
+            () = node.shutdown.ended() => return,
         }
         match shard.stage() {
             Stage::Watching => {}
             Stage::Greeting => shard.greet(&node).await,
             Stage::Taking => shard.take(&node).await,
             Stage::Fencing => shard.fence(&node).await,
-            Stage::Active => shard.keep(&node).await,
+            Stage::Active => shard.maintain(&node).await,
             Stage::Releasing => shard.release(&node).await,
         }
     }
 }
 
 impl Shard {
-    /// Asks the table for the rack.
+    /// Tries to write the rack's record with this placer as its owner.
     async fn take(self: &Arc<Self>, node: &Node) {
         let key = Record::key(&self.name);
         let (version, record) = node
@@ -55,18 +55,18 @@
             .unwrap_or_default();
         let roster: Roster = self.state().listed.keys().cloned().collect();
         let next = record.taken(&node.options.name, &node.options.address, roster);
-        let written = self.write(node, &key, version, &next).await;
+        let written = self.write_record(node, &key, version, &next).await;
         let Some(version) = written else {
             self.handle(&Event::Refused);
             return;
         };
-        log::info!(rack = self.name.as_str(), epoch = next.epoch; "taken");
+        log::info!(rack = self.name.as_str(), epoch = next.epoch; "rack ownership acquired");
         metrics::counter!("lentilyoke_taken_total").increment(1);
-        self.taken(node, version, &record, next);
-        node.doubt(std::slice::from_ref(&self.name));
+        self.install_rack(node, version, &record, next);
+        node.mark_unconfirmed(std::slice::from_ref(&self.name));
     }
 
-    fn taken(&self, node: &Node, version: u64, before: &Record, next: Record) {
+    fn install_rack(&self, node: &Node, version: u64, before: &Record, next: Record) {
         let mut state = self.state();
         let epoch = next.epoch;
         let roster = next.rosters.last().cloned().unwrap_or_default();
@@ -76,8 +76,9 @@
             Some(rack) if same && rack.epoch() == before.epoch => rack.retake(epoch, roster),
             _ => state.rack = Some(Rack::new(&self.name, epoch, roster, settings)),
         }
-        // An order from the former owner of a home rack may be under way to here. The rows that
-        // were read when this rack was taken tell who is its present owner.
+        // A place request from a former owner of a home rack may still be in transit to this rack.
+        // The records that were read before the rack was taken give the home racks' present epochs;
+        // messages with lower ones are rejected.
         let records = node.view().records.clone();
         if let Some(rack) = &mut state.rack {
             for (home, (_, record)) in records {
@@ -86,14 +87,20 @@
         }
         state.takeover = Takeover::new(before.rosters.clone());
         state.record = Some((version, next));
-        state.drift = None;
+        state.roster_mismatch_since = None;
         state.ownership.handle(&Event::Taken(epoch));
         drop(state);
-        self.stage_now.notify_one();
+        self.stage_changed.notify_one();
     }
 
-    /// Writes the rack's row; tells its version if it stands there.
-    async fn write(&self, node: &Node, key: &str, version: u64, next: &Record) -> Option<u64> {
+    /// Writes the rack's record; returns its row version if it was written.
+    async fn write_record(
+        &self,
+        node: &Node,
+        key: &str,
+        version: u64,
+        next: &Record,
+    ) -> Option<u64> {
         let value = serde_json::to_string(next).ok()?;
         let transaction = Transaction::default()
             .check(key, version)
@@ -105,30 +112,31 @@
                     version,
                     value: Some(value),
                 };
-                node.view().row(&row, node.now());
+                node.view().apply_row(&row, node.now());
                 Some(version)
             }
             Err(Error::Conflict { rows }) => {
                 rows.iter()
-                    .for_each(|row| drop(node.view().row(row, node.now())));
+                    .for_each(|row| drop(node.view().apply_row(row, node.now())));
                 None
             }
-            // It may stand there all the same. Epoch, name and address make it unlike any other.
+            // The row may have been written all the same. Epoch, name and address make it
+            // distinguishable from the row of any other writer.
             Err(Error::Lost { .. }) => {
                 let rows = node.table.scan(&[key], 0).await.ok()?.rows;
                 let row = rows.into_iter().find(|row| row.key == key)?;
-                node.view().row(&row, node.now());
+                node.view().apply_row(&row, node.now());
                 (row.value.as_ref() == Some(&value)).then_some(row.version)
             }
             Err(Error::Down { .. }) => None,
         }
     }
 
-    /// Adopts the workers; becomes active when no earlier owner can act any more.
+    /// Adopts the workers; becomes active once no earlier owner can act.
     async fn fence(self: &Arc<Self>, node: &Arc<Node>) {
         self.refresh_list(node).await;
         self.adopt_all(node).await;
-        if !self.state().activate(node.now()) {
+        if !self.state().try_activate(node.now()) {
             return;
         }
         log::info!(rack = self.name.as_str(), epoch = self.epoch(); "active");
@@ -136,32 +144,32 @@
         self.dispatch(node.now());
     }
 
-    /// Looks after a rack that is owned.
-    async fn keep(self: &Arc<Self>, node: &Arc<Node>) {
+    /// Periodic work on a rack whose active owner this placer is.
+    async fn maintain(self: &Arc<Self>, node: &Arc<Node>) {
         self.refresh_list(node).await;
         self.adopt_all(node).await;
         if self.state().desk.is_none() {
             self.open_desk(node).await;
         }
-        self.settle(node).await;
+        self.write_settled_record(node).await;
         let now = node.now();
         let mut state = self.state();
-        state.memory.tick(now);
-        if state.drifted(now) && node.view().is_reachable() {
-            state.drift = None;
+        state.requests.evict_expired(now);
+        if state.roster_change_due(now) && node.view().is_reachable() {
+            state.roster_mismatch_since = None;
             state.ownership.handle(&Event::Wanted);
         }
     }
 
-    /// Writes that earlier rosters count no more.
-    async fn settle(&self, node: &Node) {
+    /// Removes the rosters of earlier owners from the rack's record.
+    async fn write_settled_record(&self, node: &Node) {
         let record = self.state().record.clone();
         let Some((version, record)) = record.filter(|(_, r)| r.rosters.len() > 1) else {
             return;
         };
         let next = record.settled();
         if let Some(version) = self
-            .write(node, &Record::key(&self.name), version, &next)
+            .write_record(node, &Record::key(&self.name), version, &next)
             .await
         {
             let mut state = self.state();
@@ -171,9 +179,9 @@
         }
     }
 
-    /// Reads the jobs at home here.
+    /// Reads the jobs whose home is this rack and opens the desk that manages them.
     async fn open_desk(&self, node: &Node) {
-        let Some(applied) = node.applied() else {
+        let Some(applied) = node.active_config() else {
             return;
         };
         let cell = &applied.cell;
@@ -189,7 +197,7 @@
             match node.table.scan(&prefixes, 0).await {
                 Ok(scan) => scan.rows,
                 Err(error) => {
-                    log::warn!(rack = self.name.as_str(); "jobs were not read: {error}");
+                    log::warn!(rack = self.name.as_str(); "reading the jobs failed: {error}");
                     return;
                 }
             }
@@ -209,7 +217,7 @@
         state.desk = Some(desk);
     }
 
-    /// Lets go of the rack once no quick request is in hand.
+    /// Releases the rack once no quick request is in progress.
     async fn release(&self, node: &Node) {
         let (busy, record) = {
             let mut state = self.state();
@@ -223,18 +231,18 @@
         if let Some((version, record)) = record {
             let key = Record::key(&self.name);
             if self
-                .write(node, &key, version, &record.released())
+                .write_record(node, &key, version, &record.released())
                 .await
                 .is_none()
             {
-                // The row could not be written; another placer takes the rack when this one's
-                // session has ended.
-                if !node.stop.is_draining() {
+                // The record could not be written. If this placer is stopping, another one takes
+                // the rack when its session has ended.
+                if !node.shutdown.is_draining() {
                     return;
                 }
             }
         }
-        log::info!(rack = self.name.as_str(); "released");
+        log::info!(rack = self.name.as_str(); "rack ownership released");
         let mut state = self.state();
         state.ownership.handle(&Event::Released);
         state.drop_rack();
@@ -242,9 +250,9 @@
 }
 
 impl super::State {
-    /// Begins to act, if this owner is proved and no earlier one can act any more.
-    fn activate(&mut self, now: cell::Now) -> bool {
-        self.bury_gone(now);
+    /// Becomes active if a majority of the workers confirms this owner and no earlier one can act.
+    fn try_activate(&mut self, now: cell::Now) -> bool {
+        self.fence_removed_workers(now);
         let ready = self.takeover.ready(now) && self.ownership.stage() == Stage::Fencing;
         let Some(rack) = self.rack.as_mut().filter(|rack| ready && rack.proved(now)) else {
             return false;
@@ -254,35 +262,36 @@
         true
     }
 
-    /// Whether the list has differed from the roster for long enough to follow it.
-    fn drifted(&mut self, now: cell::Now) -> bool {
+    /// Whether the host list has differed from the roster for [`ROSTER_CHANGE_DELAY`].
+    fn roster_change_due(&mut self, now: cell::Now) -> bool {
         let listed: Roster = self.listed.keys().cloned().collect();
         let differs = self
             .rack
             .as_ref()
             .is_some_and(|rack| *rack.roster() != listed);
         if !differs || listed.is_empty() {
-            self.drift = None;
-        } else if self.drift.is_none() {
-            self.drift = Some(now);
+            self.roster_mismatch_since = None;
+        } else if self.roster_mismatch_since.is_none() {
+            self.roster_mismatch_since = Some(now);
         }
-        self.drift.is_some_and(|since| now >= since + DRIFT)
+        self.roster_mismatch_since
+            .is_some_and(|since| now >= since + ROSTER_CHANGE_DELAY)
     }
 
-    /// Workers that the platform has not listed for long count as fenced.
-    fn bury_gone(&mut self, now: cell::Now) {
+    /// Counts workers as fenced that the platform has not listed for [`REMOVAL_DELAY`].
+    fn fence_removed_workers(&mut self, now: cell::Now) {
         let Some((_, record)) = &self.record else {
             return;
         };
         let expected: Roster = record.rosters.iter().flatten().cloned().collect();
-        self.missing
+        self.unlisted_since
             .retain(|worker, _| !self.listed.contains_key(worker));
         for worker in expected {
             if self.listed.contains_key(&worker) {
                 continue;
             }
-            let since = *self.missing.entry(worker.clone()).or_insert(now);
-            if now >= since + GONE {
+            let since = *self.unlisted_since.entry(worker.clone()).or_insert(now);
+            if now >= since + REMOVAL_DELAY {
                 self.takeover.fence(&worker, now);
             }
         }
--- a/crates/placer/src/view.rs
+++ b/crates/placer/src/table_view.rs
@@ -1,4 +1,4 @@
-//! What a placer knows of the platform's table.
+//! A placer's cached view of the platform's table.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,35 +9,36 @@
 
 use crate::{Options, Session};
 
-/// Rows of the table as they were last read.
+/// Rows of the table as last read.
 #[derive(Debug, Default)]
-pub(crate) struct View {
-    /// The transaction up to which it was read.
+pub(crate) struct TableView {
+    /// Version of the last transaction that is included.
     pub(crate) version: Version,
-    /// Rows of racks with their versions.
+    /// Ownership records of racks with their row versions.
     pub(crate) records: BTreeMap<id::Rack, (Version, Record)>,
-    /// The configuration's row.
+    /// The configuration with its row version.
     pub(crate) config: Option<(Version, config::raw::Cell)>,
-    sessions: BTreeMap<id::Placer, Seen>,
+    sessions: BTreeMap<id::Placer, SessionEntry>,
     reachable: bool,
-    /// Rises whenever an owner changes.
+    /// Incremented whenever the owner of a rack changes.
     pub(crate) generation: u64,
 }
 
-/// A placer's session and when it was last seen to change, by the clock of whoever looks.
+/// A placer's session and when it was last seen to change, by the clock of this process.
 #[derive(Debug)]
-struct Seen {
+struct SessionEntry {
     session: Session,
     changed: Now,
-    /// Its port refused connections since; it is not waited for until its session grows old.
-    gone: bool,
+    /// Its port has refused connections since then, so it counts as crashed before the session
+    /// timeout.
+    connection_refused: bool,
 }
 
-impl View {
-    /// Takes note of rows that were read; tells which racks have new owners.
-    pub(crate) fn learn(&mut self, scan: &Scan, now: Now) -> Vec<id::Rack> {
-        // While the table is down no session changes. The first read after that would show every
-        // placer as dead, and all racks would change hands at once; so all begin anew.
+impl TableView {
+    /// Applies rows that were read; returns the racks whose owner changed.
+    pub(crate) fn apply_scan(&mut self, scan: &Scan, now: Now) -> Vec<id::Rack> {
+        // No session changes while the table is down. Without this reset, the first read after an
+        // outage would show every placer as crashed and all racks would change owner at once.
         if !self.reachable {
             self.sessions
                 .values_mut()
@@ -48,28 +49,28 @@
         let changed: Vec<_> = scan
             .rows
             .iter()
-            .filter_map(|row| self.row(row, now))
+            .filter_map(|row| self.apply_row(row, now))
             .collect();
         changed
     }
 
-    /// The table did not answer.
-    pub(crate) fn unreachable(&mut self) {
+    /// Records that the table did not answer.
+    pub(crate) fn set_unreachable(&mut self) {
         self.reachable = false;
     }
 
-    /// Whether the table answered last time.
+    /// Whether the last read of the table succeeded.
     pub(crate) const fn is_reachable(&self) -> bool {
         self.reachable
     }
 
-    /// Takes note of one row; tells the rack if its owner changed.
-    pub(crate) fn row(&mut self, row: &Row, now: Now) -> Option<id::Rack> {
+    /// Applies one row; returns the rack if its owner changed.
+    pub(crate) fn apply_row(&mut self, row: &Row, now: Now) -> Option<id::Rack> {
         if let Some(rack) = row.key.strip_prefix(Record::PREFIX) {
-            return self.record(rack, row);
+            return self.apply_record(rack, row);
         }
         if let Some(placer) = row.key.strip_prefix(Session::PREFIX) {
-            self.session(placer, row, now);
+            self.apply_session(placer, row, now);
         } else if row.key == config::ROW
             && let Some(raw) = row
                 .value
@@ -85,7 +86,7 @@
         None
     }
 
-    fn record(&mut self, rack: &str, row: &Row) -> Option<id::Rack> {
+    fn apply_record(&mut self, rack: &str, row: &Row) -> Option<id::Rack> {
         let record: Record = serde_json::from_str(row.value.as_ref()?).ok()?;
         let known = self.records.get(rack);
         if known.is_some_and(|(version, _)| *version >= row.version) {
@@ -97,7 +98,7 @@
         (!same).then(|| rack.to_owned())
     }
 
-    fn session(&mut self, placer: &str, row: &Row, now: Now) {
+    fn apply_session(&mut self, placer: &str, row: &Row, now: Now) {
         let session = row
             .value
             .as_ref()
@@ -106,10 +107,10 @@
             Some(session) => {
                 self.sessions.insert(
                     placer.to_owned(),
-                    Seen {
+                    SessionEntry {
                         session,
                         changed: now,
-                        gone: false,
+                        connection_refused: false,
                     },
                 );
             }
@@ -119,50 +120,55 @@
         }
     }
 
-    /// Live placers with their sessions.
+    /// Running placers with their sessions.
     pub(crate) fn live(&self, now: Now, options: &Options) -> Vec<(&id::Placer, &Session)> {
-        let live = |seen: &Seen| !seen.gone && now.saturating_sub(seen.changed) < options.stale;
+        let live = |seen: &SessionEntry| {
+            !seen.connection_refused && now.saturating_sub(seen.changed) < options.session_timeout
+        };
         let sessions = self.sessions.iter().filter(|(_, seen)| live(seen));
         sessions.map(|(name, seen)| (name, &seen.session)).collect()
     }
 
-    /// Which placer should own each rack; one of the rack's own region if any is live there.
-    pub(crate) fn ideals(
+    /// The placer that should own each rack: one of the rack's own region if any runs there.
+    pub(crate) fn desired_owners(
         &self,
         cell: &Cell,
         now: Now,
         options: &Options,
     ) -> BTreeMap<id::Rack, id::Placer> {
         let live = self.live(now, options);
-        let able: Vec<_> = live.into_iter().filter(|(_, s)| !s.draining).collect();
-        let mut ideals = BTreeMap::new();
+        let candidates: Vec<_> = live.into_iter().filter(|(_, s)| !s.draining).collect();
+        let mut desired_owners = BTreeMap::new();
         let regions: BTreeSet<&str> = cell.racks.values().map(|r| r.region.as_str()).collect();
         for region in regions {
-            let near = able
+            let local = candidates
                 .iter()
                 .filter(|(_, s)| s.region == region)
                 .map(|(n, _)| *n);
-            let near: Vec<&id::Placer> = near.collect();
-            let all = able.iter().map(|(n, _)| *n).collect();
-            let members = if near.is_empty() { all } else { near };
+            let local: Vec<&id::Placer> = local.collect();
+            let all = candidates.iter().map(|(n, _)| *n).collect();
+            let members = if local.is_empty() { all } else { local };
             let owners = home::divide(cell.racks_in(region), &members);
-            ideals.extend(owners.into_iter().map(|(r, p)| (r.to_owned(), p.clone())));
+            desired_owners.extend(owners.into_iter().map(|(r, p)| (r.to_owned(), p.clone())));
         }
-        ideals
+        desired_owners
     }
 
-    /// The placer that writes the claims of a data centre, with its address.
-    pub(crate) fn claimant(&self, now: Now, options: &Options) -> Option<(&id::Placer, &str)> {
+    /// The placer that writes the claims of this data centre, with its address.
+    pub(crate) fn claim_writer(&self, now: Now, options: &Options) -> Option<(&id::Placer, &str)> {
         let live = self.live(now, options);
-        let near = live
+        let local = live
             .iter()
             .filter(|(_, s)| s.data_centre == options.data_centre);
-        let names: Vec<&id::Placer> = near.filter(|(_, s)| !s.draining).map(|(n, _)| *n).collect();
+        let names: Vec<&id::Placer> = local
+            .filter(|(_, s)| !s.draining)
+            .map(|(n, _)| *n)
+            .collect();
         let name = home::rendezvous(names, &options.data_centre)?;
         Some((name, self.sessions.get(name)?.session.address.as_str()))
     }
 
-    /// Addresses of the live placers, of one region or of all.
+    /// Addresses of the running placers of one region, or of all regions.
     pub(crate) fn addresses(
         &self,
         region: Option<&str>,
@@ -176,17 +182,19 @@
         wanted.map(|(_, s)| s.address.clone()).collect()
     }
 
-    /// The placer at this address refuses connections: its process is gone. It counts as dead until
-    /// its session changes again; if it lives after all, epochs keep it from doing harm.
-    pub(crate) fn gone(&mut self, address: &str) {
+    /// Records that the placer at this address refuses connections.
+    ///
+    /// It counts as crashed until its session changes again. If it runs after all, the epochs fence
+    /// it off.
+    pub(crate) fn set_connection_refused(&mut self, address: &str) {
         let seen = self
             .sessions
             .values_mut()
             .filter(|seen| seen.session.address == address);
-        seen.for_each(|seen| seen.gone = true);
+        seen.for_each(|seen| seen.connection_refused = true);
     }
 
-    /// Whether a placer is live.
+    /// Whether a placer counts as running.
     pub(crate) fn is_live(&self, placer: &str, now: Now, options: &Options) -> bool {
         self.live(now, options)
             .iter()
--- a/crates/placer/tests/world/mod.rs
+++ b/crates/placer/tests/cluster/mod.rs
@@ -1,15 +1,11 @@
-//! A small cell inside a test: placers, a platform, racks of workers, and switches for what fails.
+//! A small cell inside a test: placers, a fake platform, fake racks of workers and fault switches.
 //!
-//! Nothing is simulated but the outside: the placers are the real ones. Time is paused, so a test
-//! takes no longer than its steps and gives the same verdict each run.
+//! The placers are real; only what they call is fake. Time is paused, so a test does not wait in
+//! real time and gives the same result in each run.
 
-#![allow(
-    dead_code,
-    unreachable_pub,
-    reason = "each test file uses a part of it"
-)]
+#![allow(dead_code, unreachable_pub, reason = "each test file uses only a part")]
 
-mod faulty;
+mod fault_injection;
 mod net;
 
 use std::collections::BTreeMap;
@@ -25,22 +21,22 @@
 use wire::rpc::PlacerServer as _;
 use wire::{Answer, Job, Request, Shape, State};
 
-pub use faulty::Faults;
-use faulty::Faulty;
+pub use fault_injection::Faults;
+use fault_injection::FaultyConnections;
 pub use net::Net;
 
-/// A team, a service and a key's usual names.
+/// The team and the service of all tests.
 pub const TEAM: &str = "officers";
 pub const SERVICE: &str = "checks";
 
-/// One placer and what goes wrong with it.
+/// One placer with its fault switches.
 pub struct Placer {
     pub node: Arc<Node>,
     pub faults: Arc<Faults>,
 }
 
-/// The cell.
-pub struct World {
+/// A cell under test.
+pub struct Cluster {
     pub platform: Arc<Platform>,
     pub racks: Racks,
     pub net: Arc<Net>,
@@ -48,8 +44,8 @@
     pub cell: Cell,
 }
 
-/// Racks `r1` to `rN` in one region, with one team and one service.
-pub fn cell_of(racks: usize, workers: u32) -> raw::Cell {
+/// Configuration with racks `r1` to `rN` in one region, one team and one service.
+pub fn cell_config(racks: usize, workers: u32) -> raw::Cell {
     let mut builder = Builder::new("test")
         .worker(16.0, 65_536, 2)
         .workers_per_rack(workers);
@@ -62,24 +58,24 @@
         .into_raw()
 }
 
-impl World {
-    /// A cell with so many racks of so many workers, and no placer yet.
+impl Cluster {
+    /// Creates a cell with this many racks of this many workers each, and no placer.
     pub async fn new(racks: usize, workers: u32) -> Self {
-        let raw = cell_of(racks, workers);
-        let world = Self {
+        let raw = cell_config(racks, workers);
+        let cluster = Self {
             platform: Arc::default(),
             racks: Racks::default(),
             net: Arc::default(),
             placers: BTreeMap::new(),
             cell: Cell::try_from(raw.clone()).unwrap(),
         };
-        for rack in world.cell.racks.keys() {
+        for rack in cluster.cell.racks.keys() {
             for n in 0..workers {
-                world.add_worker(rack, n);
+                cluster.add_worker(rack, n);
             }
         }
-        world.configure(&raw).await;
-        world
+        cluster.configure(&raw).await;
+        cluster
     }
 
     /// Adds a worker to a rack and lists it.
@@ -94,7 +90,7 @@
         });
     }
 
-    /// Writes a configuration, whatever is in force.
+    /// Writes a configuration unconditionally.
     pub async fn configure(&self, raw: &raw::Cell) -> u64 {
         let value = serde_json::to_string(raw).unwrap();
         self.platform
@@ -103,21 +99,21 @@
             .unwrap()
     }
 
-    /// Starts a placer.
+    /// Starts a placer with default options.
     pub fn start(&mut self, name: &str) -> Arc<Node> {
-        self.start_with(Options::new(name, name).place("north", "north-1"))
+        self.start_with(Options::new(name, name).with_location("north", "north-1"))
     }
 
-    /// Starts a placer with options of its own.
+    /// Starts a placer with these options.
     pub fn start_with(&mut self, options: Options) -> Arc<Node> {
         let faults = Arc::new(Faults::default());
-        let faulty = Arc::new(Faulty {
+        let faulty = Arc::new(FaultyConnections {
             faults: Arc::clone(&faults),
             platform: Arc::clone(&self.platform),
             racks: self.racks.clone(),
             net: Arc::clone(&self.net),
         });
-        let stop = Shutdown::default();
+        let shutdown = Shutdown::default();
         let name = options.name.clone();
         let node = Node::new(
             options,
@@ -125,7 +121,7 @@
             faulty.clone(),
             faulty.clone(),
             faulty,
-            stop,
+            shutdown,
         );
         self.net.add(&name, Arc::clone(&node), Arc::clone(&faults));
         node.spawn();
@@ -139,31 +135,31 @@
         node
     }
 
-    /// Ends a placer as a kill would: from now on nothing of it reaches anybody.
+    /// Kills a placer: none of its calls reaches anything from now on.
     pub fn kill(&mut self, name: &str) {
         let placer = self.placers.remove(name).unwrap();
         placer.faults.kill();
         self.net.remove(name);
     }
 
-    /// Stops everything and joins it.
+    /// Stops all placers and waits for their tasks.
     pub async fn end(self) {
         for placer in self.placers.values() {
-            placer.faults.thaw();
-            placer.node.stop.join().await;
+            placer.faults.resume();
+            placer.node.shutdown.join().await;
         }
     }
 
-    /// The placer that is active for a rack.
+    /// The active owner of a rack.
     pub fn owner(&self, rack: &str) -> Option<String> {
         self.placers
             .keys()
-            .find(|name| self.active(name, rack))
+            .find(|name| self.is_active(name, rack))
             .cloned()
     }
 
-    /// Whether a placer takes itself for the active owner of a rack.
-    pub fn active(&self, placer: &str, rack: &str) -> bool {
+    /// Whether a placer considers itself the active owner of a rack.
+    pub fn is_active(&self, placer: &str, rack: &str) -> bool {
         let status = self.placers[placer].node.status();
         status
             .racks
@@ -171,58 +167,58 @@
             .any(|r| r.rack == rack && r.stage == "active")
     }
 
-    /// Waits until every rack has an active owner; panics after so long.
-    pub async fn settle(&self, longest: Duration) {
+    /// Waits until every rack has an active owner; panics after the timeout.
+    pub async fn wait_for_owners(&self, timeout: Duration) {
         let settled = || {
             self.cell
                 .racks
                 .keys()
                 .all(|rack| self.owner(rack).is_some())
         };
-        until(longest, settled).await;
+        wait_until(timeout, settled).await;
     }
 
-    /// Asks the owner of the key's rack.
-    pub async fn ask(&self, request: Request) -> Answer {
-        let rack = self.home(&request.key);
+    /// Sends a request to the owner of the key's rack.
+    pub async fn send(&self, request: Request) -> Answer {
+        let rack = self.home_rack(&request.key);
         let Some(owner) = self.owner(&rack) else {
             return Answer::fault(wire::Kind::NoOwner, "no owner");
         };
-        self.ask_at(&owner, request).await
+        self.send_to(&owner, request).await
     }
 
-    /// Asks one placer.
-    pub async fn ask_at(&self, placer: &str, request: Request) -> Answer {
-        let rack = self.home(&request.key);
+    /// Sends a request to one placer.
+    pub async fn send_to(&self, placer: &str, request: Request) -> Answer {
+        let rack = self.home_rack(&request.key);
         let node = Arc::clone(&self.placers[placer].node);
         Server::new(node).run(rack, request).await.unwrap()
     }
 
-    /// Asks one placer, and does not wait for the answer.
-    pub fn ask_later(&self, placer: &str, request: Request) -> tokio::task::JoinHandle<Answer> {
+    /// Sends a request to one placer without waiting for the answer.
+    pub fn spawn_send(&self, placer: &str, request: Request) -> tokio::task::JoinHandle<Answer> {
         let server = Server::new(Arc::clone(&self.placers[placer].node));
-        let rack = self.home(&request.key);
+        let rack = self.home_rack(&request.key);
         tokio::spawn(async move { server.run(rack, request).await.unwrap() })
     }
 
-    /// The rack that a key is at home in.
-    pub fn home(&self, key: &str) -> String {
+    /// The home rack of a key.
+    pub fn home_rack(&self, key: &str) -> String {
         let service = self.cell.service(SERVICE).unwrap();
         config::home::key(&self.cell, service, key)
             .unwrap()
             .to_owned()
     }
 
-    /// The placer that looks after the team's jobs.
-    pub fn desk(&self) -> Server {
+    /// The placer that manages the team's jobs.
+    pub fn home_server(&self) -> Server {
         let owner = self
-            .owner(&self.team_home())
+            .owner(&self.team_home_rack())
             .expect("an owner of the team's home rack");
         Server::new(Arc::clone(&self.placers[&owner].node))
     }
 
-    /// The rack that the team's jobs are at home in.
-    pub fn team_home(&self) -> String {
+    /// The home rack of the team's jobs.
+    pub fn team_home_rack(&self) -> String {
         let team = self.cell.team(TEAM).unwrap();
         config::home::team(&self.cell, TEAM, team)
             .unwrap()
@@ -231,22 +227,25 @@
 
     /// Submits a job.
     pub async fn submit(&self, job: Job) -> Result<State, wire::Fault> {
-        self.desk().submit(self.team_home(), job).await.unwrap()
+        self.home_server()
+            .submit(self.team_home_rack(), job)
+            .await
+            .unwrap()
     }
 
-    /// Tells where a job stands; `None` while nobody can tell.
-    pub async fn watch(&self, job: &str) -> Option<State> {
-        let owner = self.owner(&self.team_home())?;
+    /// The state of a job; `None` while no placer knows it.
+    pub async fn job_state(&self, job: &str) -> Option<State> {
+        let owner = self.owner(&self.team_home_rack())?;
         let server = Server::new(Arc::clone(&self.placers[&owner].node));
         server
-            .watch(self.team_home(), TEAM.to_owned(), job.to_owned())
+            .watch(self.team_home_rack(), TEAM.to_owned(), job.to_owned())
             .await
             .unwrap()
             .ok()
     }
 
-    /// Panics if two attempts at one task run at this moment.
-    pub fn check_attempts(&self) {
+    /// Panics if two attempts at one task are running now.
+    pub fn check_no_duplicate_attempts(&self) {
         let held = self.racks.held();
         for (n, one) in held.iter().enumerate() {
             let other = held[n + 1..].iter().find(|other| other.same_task(one));
@@ -254,24 +253,29 @@
         }
     }
 
-    /// Waits until a job stands as wanted; panics after so long.
-    pub async fn await_job(&self, job: &str, longest: Duration, wanted: impl Fn(&State) -> bool) {
-        let deadline = tokio::time::Instant::now() + longest;
+    /// Waits until the state of a job satisfies a condition; panics after the timeout.
+    pub async fn wait_for_job(
+        &self,
+        job: &str,
+        timeout: Duration,
+        wanted: impl Fn(&State) -> bool,
+    ) {
+        let deadline = tokio::time::Instant::now() + timeout;
         loop {
-            let state = self.watch(job).await;
-            self.check_attempts();
+            let state = self.job_state(job).await;
+            self.check_no_duplicate_attempts();
             if state.as_ref().is_some_and(&wanted) {
                 return;
             }
             assert!(
                 tokio::time::Instant::now() < deadline,
-                "{job} stands at {state:?}"
+                "job {job} did not reach the wanted state: {state:?}"
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// What all workers did.
+    /// The merged journals of all workers.
     pub fn journal(&self) -> Journal {
         let mut all = Journal::default();
         for journal in self.racks.journals().into_values() {
@@ -282,7 +286,7 @@
         all
     }
 
-    /// How often a request ran.
+    /// Number of runs of a request.
     pub fn runs(&self, id: &str) -> usize {
         let id = format!("{TEAM}/{id}");
         self.journal()
@@ -292,8 +296,9 @@
             .count()
     }
 
-    /// Panics if two runs worked on one key at one time, or a worker held more than it has.
-    pub fn check(&self) {
+    /// Panics if two runs of one key overlapped, a worker exceeded its capacity, or an attempt was
+    /// started twice.
+    pub fn check_invariants(&self) {
         let journal = self.journal();
         let mut by_key: BTreeMap<&str, Vec<(u64, u64)>> = BTreeMap::new();
         for run in &journal.runs {
@@ -305,9 +310,9 @@
         for (key, mut runs) in by_key {
             runs.sort_unstable();
             let overlap = runs.windows(2).find(|pair| pair[1].0 < pair[0].1);
-            assert_eq!(overlap, None, "{key} ran in two places");
+            assert_eq!(overlap, None, "runs of key {key} overlapped");
         }
-        assert_eq!(journal.over, 0, "a worker held more than it has");
+        assert_eq!(journal.over, 0, "a worker exceeded its capacity");
         let mut starts = journal.starts.clone();
         starts.sort();
         starts.dedup();
@@ -319,19 +324,19 @@
     }
 }
 
-/// Waits until something is so; panics after so long.
-pub async fn until(longest: Duration, so: impl Fn() -> bool) {
-    let deadline = tokio::time::Instant::now() + longest;
-    while !so() {
+/// Waits until a condition holds; panics after the timeout.
+pub async fn wait_until(timeout: Duration, condition: impl Fn() -> bool) {
+    let deadline = tokio::time::Instant::now() + timeout;
+    while !condition() {
         assert!(
             tokio::time::Instant::now() < deadline,
-            "not so within {longest:?}"
+            "condition not met within {timeout:?}"
         );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A quick request that works for so long.
+/// A quick request that runs for `work` ms.
 pub fn request(id: &str, key: &str, idempotent: bool, work: u64) -> Request {
     Request {
         id: id.to_owned(),
@@ -344,7 +349,7 @@
     }
 }
 
-/// A job of so many tasks of so many cores.
+/// A job of `tasks` tasks of `cores` cores each.
 pub fn job(id: &str, shape: Shape, tasks: u32, cores: u64, run_ms: u64) -> Job {
     Job {
         id: id.to_owned(),
