--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 use wire::{Answer, Class, Fault, Job, Kind, Request, State};
 
-use crate::routes::Applied;
+use crate::route_table::Applied;
 use crate::{Burn, Gate, Ledger, Missed, Table, Upstream};
 
 /// Retries that a team may save up.
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -5,21 +5,21 @@
 //! * [`Ledger`]: what may be said after several tries at one request.
 //! * [`Settings`]: flags and environment variables.
 
-mod burn;
+mod admission;
+mod attempts;
 mod entry;
-mod gate;
-mod ledger;
 mod parse;
 mod respond;
-mod routes;
+mod route_table;
 pub mod serve;
 mod settings;
+mod slo_counts;
 mod upstream;
 
-pub use burn::{Burn, Minute};
+pub use admission::Gate;
+pub use attempts::Ledger;
 pub use entry::Entry;
-pub use gate::Gate;
-pub use ledger::Ledger;
-pub use routes::Table;
+pub use route_table::Table;
 pub use settings::Settings;
+pub use slo_counts::{Burn, Minute};
 pub use upstream::{Missed, Upstream};
