--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,4 +1,4 @@
-//! How many requests are let in at once, for each team and each rack.
+//! Admission control: bounds the requests in flight for each team and each rack.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -6,28 +6,28 @@
 
 use policy::ConcurrencyLimit;
 
-/// Limit that a team or rack starts with.
-const START: u32 = 64;
-/// A rack's limit never exceeds this.
-const MOST_PER_RACK: u32 = 4_096;
-/// Number of shards, each under its own lock.
+/// Initial concurrency limit of a team or rack; a team's own maximum may be lower.
+const INITIAL_LIMIT: u32 = 64;
+/// Upper bound of a rack's adaptive concurrency limit.
+const MAX_RACK_LIMIT: u32 = 4_096;
+/// Number of shards, each under its own lock, to reduce contention.
 const SHARDS: usize = 16;
 
-/// Limits by name, in shards.
+/// Adaptive concurrency limits by team and by rack, in shards.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Admission {
     shards: Vec<Mutex<HashMap<String, ConcurrencyLimit>>>,
 }
 
-/// Room that a request holds in a [`Gate`]; given back when it is dropped.
+/// One concurrency slot of a team and of a rack; released on drop.
 #[derive(Debug)]
-pub struct Pass<'a> {
-    gate: &'a Gate,
+pub struct Permit<'a> {
+    admission: &'a Admission,
     names: Vec<String>,
     latency: Option<Duration>,
 }
 
-impl Default for Gate {
+impl Default for Admission {
     fn default() -> Self {
         Self {
             shards: (0..SHARDS).map(|_| Mutex::default()).collect(),
@@ -35,39 +35,45 @@
     }
 }
 
-impl Gate {
-    /// Lets a request of a team to a rack in, if both have room.
+impl Admission {
+    /// Admits a request of a team to a rack, unless the limit of either is reached. `max_limit`
+    /// bounds the team's limit.
     ///
     /// ```
-    /// use entry::Gate;
+    /// use entry::Admission;
     ///
-    /// let gate = Gate::default();
-    /// let first = gate.enter("checks", 1, "n1");
+    /// let admission = Admission::default();
+    /// let first = admission.admit("checks", 1, "n1");
     /// assert!(first.is_some());
-    /// assert!(gate.enter("checks", 1, "n1").is_none());
+    /// assert!(admission.admit("checks", 1, "n1").is_none());
     /// drop(first);
-    /// assert!(gate.enter("checks", 1, "n1").is_some());
+    /// assert!(admission.admit("checks", 1, "n1").is_some());
     /// ```
-    pub fn enter(&self, team: &str, most: u32, rack: &str) -> Option<Pass<'_>> {
-        let mut pass = Pass {
-            gate: self,
+    pub fn admit(&self, team: &str, max_limit: u32, rack: &str) -> Option<Permit<'_>> {
+        let mut permit = Permit {
+            admission: self,
             names: Vec::new(),
             latency: None,
         };
-        for (name, most) in [
-            (format!("team {team}"), most),
-            (format!("rack {rack}"), MOST_PER_RACK),
+        for (name, max_limit) in [
+            (format!("team {team}"), max_limit),
+            (format!("rack {rack}"), MAX_RACK_LIMIT),
         ] {
-            let entered = self.with(&name, most, ConcurrencyLimit::try_acquire);
-            if !entered {
+            let admitted = self.update_limit(&name, max_limit, ConcurrencyLimit::try_acquire);
+            if !admitted {
                 return None;
             }
-            pass.names.push(name);
+            permit.names.push(name);
         }
-        Some(pass)
+        Some(permit)
     }
 
-    fn with<T>(&self, name: &str, most: u32, change: impl FnOnce(&mut ConcurrencyLimit) -> T) -> T {
+    fn update_limit<T>(
+        &self,
+        name: &str,
+        max_limit: u32,
+        change: impl FnOnce(&mut ConcurrencyLimit) -> T,
+    ) -> T {
         let hash = name
             .bytes()
             .fold(0_usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into()));
@@ -75,25 +81,25 @@
         let mut limits = shard.lock().unwrap_or_else(PoisonError::into_inner);
         let limit = limits
             .entry(name.to_owned())
-            .or_insert_with(|| ConcurrencyLimit::new(START.min(most), most));
-        limit.set_max(most);
+            .or_insert_with(|| ConcurrencyLimit::new(INITIAL_LIMIT.min(max_limit), max_limit));
+        limit.set_max(max_limit);
         change(limit)
     }
 }
 
-impl Pass<'_> {
-    /// The request was answered after this long by whoever did the work.
-    pub const fn answered(&mut self, latency: Duration) {
+impl Permit<'_> {
+    /// Records the latency of a completed request; on release it adjusts the limits.
+    pub const fn record_latency(&mut self, latency: Duration) {
         self.latency = Some(latency);
     }
 }
 
-impl Drop for Pass<'_> {
+impl Drop for Permit<'_> {
     fn drop(&mut self) {
         for name in &self.names {
             let latency = self.latency;
-            self.gate
-                .with(name, u32::MAX, |limit| limit.release(latency));
+            self.admission
+                .update_limit(name, u32::MAX, |limit| limit.release(latency));
         }
     }
 }
--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -1,37 +1,37 @@
-//! What may be said after several tries at one request.
+//! Which answer may be returned after several attempts at one request.
 
 use wire::{Answer, Class, Fault, Kind};
 
-/// Keeps what the tries at one request have shown.
+/// Remembers whether an attempt at one request has an unknown outcome.
 ///
-/// An owner says "not run" of the try that it was asked. If the answer to an earlier try was lost,
-/// that one may have run, and the caller must not be told otherwise.
+/// An owner's "not run" covers only the attempt that it received. If the answer to an earlier
+/// attempt did not arrive, that attempt may have run, and the caller must not get "not run".
 ///
 /// ```
-/// use entry::Ledger;
+/// use entry::AttemptHistory;
 /// use wire::{Answer, Class, Fault, Kind};
 ///
-/// let mut ledger = Ledger::default();
-/// ledger.lost();
-/// let answer = ledger.answer(Answer::fault(Kind::Busy, "the rack is busy"));
+/// let mut history = AttemptHistory::default();
+/// history.record_lost_answer();
+/// let answer = history.final_answer(Answer::fault(Kind::Busy, "the rack is busy"));
 /// assert_eq!(answer.class(), Class::MayHaveRun);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ledger {
-    unknown: bool,
+pub struct AttemptHistory {
+    outcome_unknown: bool,
 }
 
-impl Ledger {
-    /// The answer to a try was lost.
-    pub const fn lost(&mut self) {
-        self.unknown = true;
+impl AttemptHistory {
+    /// Records that an attempt was sent and its answer did not arrive.
+    pub const fn record_lost_answer(&mut self) {
+        self.outcome_unknown = true;
     }
 
-    /// The answer that the caller gets, going by the last try's.
+    /// The answer for the caller, given the answer to the last attempt.
     #[must_use]
-    pub fn answer(self, last: Answer) -> Answer {
-        let safe = matches!(last.class(), Class::Done | Class::MayHaveRun);
-        if safe || !self.unknown {
+    pub fn final_answer(self, last: Answer) -> Answer {
+        let truthful = matches!(last.class(), Class::Done | Class::MayHaveRun);
+        if truthful || !self.outcome_unknown {
             return last;
         }
         let reason = "it was sent to an owner that gave no answer";
--- a/crates/entry/src/bin/lentilyoke-entry.rs
+++ b/crates/entry/src/bin/lentilyoke-entry.rs
@@ -1,4 +1,4 @@
-//! Takes requests from callers.
+//! The front end that accepts requests from callers over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,7 +27,7 @@
     let address = listener
         .local_addr()
         .whatever_context("listen: no address")?;
-    entry.spawn(settings.routes_every());
+    entry.spawn(settings.routes_interval());
     println!("entry {address} metrics {metrics}");
     log::info!(entry = settings.name.as_str(); "started");
     serve::run(listener, entry, Duration::from_millis(settings.drain_ms)).await;
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! One entry.
+//! Admission, routing and retries of callers' requests.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,26 +10,27 @@
 use tokio::sync::Notify;
 use wire::{Answer, Class, Fault, Job, Kind, Request, State};
 
-use crate::route_table::Applied;
-use crate::{Burn, Gate, Ledger, Missed, Table, Upstream};
+use crate::route_table::AppliedConfig;
+use crate::{Admission, AttemptHistory, CallFailure, RouteTable, SloCounts, Upstream};
 
-/// Retries that a team may save up.
-const SAVED_RETRIES: f64 = 32.0;
-/// First wait before a retry; it doubles with each.
-const BACKOFF: Duration = Duration::from_millis(25);
-/// Longest time that is spent on finding the owner of a rack. What has no owner after that is
-/// answered at once, with a time to come back, rather than held until its deadline.
-const SEARCH: Duration = Duration::from_millis(400);
+/// Maximum number of unused retries that a team's retry budget accumulates.
+const MAX_SAVED_RETRIES: f64 = 32.0;
+/// Initial delay before a retry; doubles with each retry of a request.
+const MIN_BACKOFF: Duration = Duration::from_millis(25);
+/// Maximum time spent on looking for the owner of a rack. If there is none by then, the request is
+/// answered at once, with a time to retry, rather than held until its deadline.
+const MAX_OWNER_SEARCH: Duration = Duration::from_millis(400);
 
-/// One entry: finds the owner of each request's rack and gives one true answer.
+/// Forwards each request to the owner of its rack and returns one answer, which never says that a
+/// request did not run if it may have run.
 pub struct Entry {
     name: String,
-    pub(crate) table: Table,
+    pub(crate) routes: RouteTable,
     upstream: Upstream,
-    gate: Gate,
+    admission: Admission,
     budgets: Mutex<HashMap<String, RetryBudget>>,
-    pub(crate) burn: Burn,
-    since: Uptime,
+    pub(crate) slo_counts: SloCounts,
+    uptime: Uptime,
     pub(crate) stop: Shutdown,
     pub(crate) health: Health,
     refresh_now: Notify,
@@ -37,17 +38,17 @@
 }
 
 impl Entry {
-    /// An entry that knows these placers.
+    /// An entry that gets its routes from these placers.
     #[must_use]
     pub fn new(name: &str, placers: Vec<String>, stop: Shutdown) -> Arc<Self> {
         Arc::new(Self {
             name: name.to_owned(),
-            table: Table::new(placers),
+            routes: RouteTable::new(placers),
             upstream: Upstream::default(),
-            gate: Gate::default(),
+            admission: Admission::default(),
             budgets: Mutex::default(),
-            burn: Burn::default(),
-            since: Uptime::start(),
+            slo_counts: SloCounts::default(),
+            uptime: Uptime::start(),
             stop,
             health: Health::default(),
             refresh_now: Notify::new(),
@@ -55,19 +56,20 @@
         })
     }
 
-    /// Whether it is ready for work; set by what it hears of placers.
+    /// Readiness: set while the routes are fresh and the entry is not draining.
     #[must_use]
     pub fn health(&self) -> Health {
         self.health.clone()
     }
 
-    /// Version of the configuration that is applied; 0 if none is.
+    /// Version of the applied configuration; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> config::Version {
-        self.table.version()
+        self.routes.version()
     }
 
-    /// Keeps routes and configuration up to date, until it ends.
+    /// Starts a task that refreshes routes and configuration until shutdown, at this interval and
+    /// whenever a request is about to be retried.
     pub fn spawn(self: &Arc<Self>, every: Duration) {
         let entry = Arc::clone(self);
         self.stop.spawn(async move {
@@ -83,34 +85,34 @@
     }
 
     async fn refresh(&self) {
-        let Some((placer, ask)) = self.table.ask(&self.name) else {
+        let Some((placer, query)) = self.routes.next_query(&self.name) else {
             return;
         };
-        let asked = self.since.elapsed();
-        match self.upstream.routes(&placer, ask).await {
-            Ok(routes) => self.table.learn(routes, asked),
+        let queried_at = self.uptime.elapsed();
+        match self.upstream.routes(&placer, query).await {
+            Ok(routes) => self.routes.update(routes, queried_at),
             Err(_) => {
-                self.table.turn();
+                self.routes.next_placer();
                 self.refresh_now.notify_one();
-                tokio::time::sleep(BACKOFF).await;
+                tokio::time::sleep(MIN_BACKOFF).await;
             }
         }
         self.refreshed.notify_waiters();
-        let fresh = self.table.is_fresh(self.since.elapsed());
+        let fresh = self.routes.is_fresh(self.uptime.elapsed());
         self.health.set_ready(fresh && !self.stop.is_draining());
     }
 
-    /// Runs a quick request.
+    /// Runs a quick request and counts its outcome.
     pub async fn run(&self, request: Request) -> Answer {
-        let began = self.since.elapsed();
+        let started_at = self.uptime.elapsed();
         let (team, service) = (request.team.clone(), request.service.clone());
-        let answer = self.checked(request, began).await;
-        self.count(&team, &service, &answer, began);
+        let answer = self.admit_and_run(request, started_at).await;
+        self.count(&team, &service, &answer, started_at);
         answer
     }
 
-    async fn checked(&self, request: Request, began: Duration) -> Answer {
-        let applied = match self.serving() {
+    async fn admit_and_run(&self, request: Request, started_at: Duration) -> Answer {
+        let applied = match self.serving_config() {
             Ok(applied) => applied,
             Err(fault) => return fault.into(),
         };
@@ -127,55 +129,60 @@
         let Some(rack) = home::key(cell, service, &request.key) else {
             return Answer::fault(Kind::NoOwner, "the region has no rack");
         };
-        let Some(mut pass) = self.gate.enter(&request.team, team.concurrency, rack) else {
+        let Some(mut permit) = self.admission.admit(&request.team, team.concurrency, rack) else {
             let fault = Fault::new(Kind::Busy, "too many requests are under way");
-            return fault.with_retry_after(comeback(service)).into();
+            return fault.with_retry_after(retry_after(service)).into();
         };
         let answer = self
-            .tries(&request, rack, cell.policy.retry_share, began)
+            .run_with_retries(&request, rack, cell.policy.retry_share, started_at)
             .await;
         if matches!(answer, Answer::Done(_)) {
-            pass.answered(self.since.elapsed().saturating_sub(began));
+            permit.record_latency(self.uptime.elapsed().saturating_sub(started_at));
         }
         answer
     }
 
-    /// Tries the request at its owner, and again where that is safe and may help.
-    async fn tries(
+    /// Sends the request to the owner of its rack; retries while the fault is retryable, the search
+    /// time is not used up and the team's retry budget allows it.
+    async fn run_with_retries(
         &self,
         request: &Request,
         rack: &str,
         retry_share: f64,
-        began: Duration,
+        started_at: Duration,
     ) -> Answer {
-        let expires = began + request.budget();
-        let mut ledger = Ledger::default();
-        let mut backoff = BACKOFF;
-        self.pay(&request.team, retry_share);
+        let deadline = started_at + request.budget();
+        let mut history = AttemptHistory::default();
+        let mut backoff = MIN_BACKOFF;
+        self.deposit_retry_share(&request.team, retry_share);
         loop {
-            let left = expires.saturating_sub(self.since.elapsed());
-            if left.is_zero() {
-                return ledger.answer(Answer::fault(Kind::Deadline, "the deadline has passed"));
+            let remaining = deadline.saturating_sub(self.uptime.elapsed());
+            if remaining.is_zero() {
+                return history
+                    .final_answer(Answer::fault(Kind::Deadline, "the deadline has passed"));
             }
-            let budget_ms = (left.as_millis() as u64).max(1);
-            let again = Request {
+            let budget_ms = (remaining.as_millis() as u64).max(1);
+            let attempt = Request {
                 budget_ms,
                 ..request.clone()
             };
-            let answer = match self.table.owner(rack) {
+            let answer = match self.routes.owner(rack) {
                 None => Answer::fault(Kind::NoOwner, "the rack has no owner at the moment"),
-                Some(owner) => match self.upstream.run(&owner.address, rack, again).await {
+                Some(owner) => match self.upstream.run(&owner.address, rack, attempt).await {
                     Ok(answer) => answer,
-                    Err(Missed::NotSent) => Answer::fault(Kind::NoOwner, "its owner is gone"),
-                    Err(Missed::NoAnswer) => {
-                        ledger.lost();
+                    Err(CallFailure::NotSent) => Answer::fault(Kind::NoOwner, "its owner is gone"),
+                    Err(CallFailure::NoAnswer) => {
+                        history.record_lost_answer();
                         Answer::fault(Kind::OwnerLost, "its owner gave no answer")
                     }
                 },
             };
-            let spent = self.since.elapsed().saturating_sub(began);
-            if !may_help(&answer) || spent > SEARCH || !self.may_retry(&request.team, &answer) {
-                return ledger.answer(answer);
+            let elapsed = self.uptime.elapsed().saturating_sub(started_at);
+            if !is_retryable(&answer)
+                || elapsed > MAX_OWNER_SEARCH
+                || !self.may_retry(&request.team, &answer)
+            {
+                return history.final_answer(answer);
             }
             metrics::counter!("lentilyoke_retries_total").increment(1);
             self.await_routes(backoff).await;
@@ -186,55 +193,57 @@
     /// Submits a job.
     pub async fn submit(&self, job: Job) -> Result<State, Fault> {
         let team = job.team.clone();
-        self.job_call(&team, |address, home| {
+        self.call_job_owner(&team, |address, home| {
             let job = job.clone();
             async move { self.upstream.submit(&address, &home, job).await }
         })
         .await
     }
 
-    /// Tells where a job stands.
+    /// Returns the state of a job.
     pub async fn watch(&self, team: &str, job: &str) -> Result<State, Fault> {
-        self.job_call(team, |address, home| async move {
+        self.call_job_owner(team, |address, home| async move {
             self.upstream.watch(&address, &home, team, job).await
         })
         .await
     }
 
-    /// Withdraws a job.
+    /// Cancels a job.
     pub async fn cancel(&self, team: &str, job: &str) -> Result<State, Fault> {
-        self.job_call(team, |address, home| async move {
+        self.call_job_owner(team, |address, home| async move {
             self.upstream.cancel(&address, &home, team, job).await
         })
         .await
     }
 
-    /// Calls the owner of the team's home rack. Every such call may be made again: a job is known
-    /// by its id.
-    async fn job_call<F, R>(&self, team: &str, call: F) -> Result<State, Fault>
+    /// Calls the owner of the team's home rack. All these calls are idempotent, since a job is
+    /// identified by its id, so they are retried without a budget.
+    async fn call_job_owner<F, R>(&self, team: &str, call: F) -> Result<State, Fault>
     where
         F: Fn(String, String) -> R,
-        R: Future<Output = Result<Result<State, Fault>, Missed>>,
+        R: Future<Output = Result<Result<State, Fault>, CallFailure>>,
     {
-        let began = self.since.elapsed();
-        let applied = self.serving()?;
+        let started_at = self.uptime.elapsed();
+        let applied = self.serving_config()?;
         let unknown = || Fault::new(Kind::UnknownTeam, format!("there is no team {team:?}"));
-        let known = applied.cell.team(team).ok_or_else(unknown)?;
-        let home = home::team(&applied.cell, team, known)
+        let team_config = applied.cell.team(team).ok_or_else(unknown)?;
+        let home = home::team(&applied.cell, team, team_config)
             .ok_or_else(|| Fault::new(Kind::NoOwner, "the region has no rack"))?;
-        let mut ledger = Ledger::default();
-        let mut backoff = BACKOFF;
+        let mut history = AttemptHistory::default();
+        let mut backoff = MIN_BACKOFF;
         loop {
-            let result = match self.table.owner(home) {
+            let result = match self.routes.owner(home) {
                 None => Err(Fault::new(
                     Kind::NoOwner,
                     "the rack has no owner at the moment",
                 )),
                 Some(owner) => match call(owner.address, home.to_owned()).await {
                     Ok(result) => result,
-                    Err(Missed::NotSent) => Err(Fault::new(Kind::NoOwner, "its owner is gone")),
-                    Err(Missed::NoAnswer) => {
-                        ledger.lost();
+                    Err(CallFailure::NotSent) => {
+                        Err(Fault::new(Kind::NoOwner, "its owner is gone"))
+                    }
+                    Err(CallFailure::NoAnswer) => {
+                        history.record_lost_answer();
                         Err(Fault::new(Kind::OwnerLost, "its owner gave no answer"))
                     }
                 },
@@ -244,8 +253,10 @@
                 Err(fault) => fault,
             };
             let answer = Answer::Fault(fault);
-            if !may_help(&answer) || self.since.elapsed().saturating_sub(began) > SEARCH {
-                return match ledger.answer(answer) {
+            if !is_retryable(&answer)
+                || self.uptime.elapsed().saturating_sub(started_at) > MAX_OWNER_SEARCH
+            {
+                return match history.final_answer(answer) {
                     Answer::Fault(fault) => Err(fault),
                     Answer::Done(_) => Err(Fault::new(Kind::OwnerLost, "no answer")),
                 };
@@ -255,41 +266,43 @@
         }
     }
 
-    /// The configuration to go by, if the entry may serve.
-    fn serving(&self) -> Result<Arc<Applied>, Fault> {
+    /// The applied configuration, if the entry is not draining and its routes are fresh.
+    fn serving_config(&self) -> Result<Arc<AppliedConfig>, Fault> {
         if self.stop.is_draining() {
             return Err(Fault::new(Kind::Draining, "this entry is stopping"));
         }
-        let fresh = self.table.is_fresh(self.since.elapsed());
-        let applied = self.table.applied().filter(|_| fresh);
+        let fresh = self.routes.is_fresh(self.uptime.elapsed());
+        let applied = self.routes.applied().filter(|_| fresh);
         applied.ok_or_else(|| Fault::new(Kind::NoOwner, "this entry hears of no placer"))
     }
 
-    /// Asks for routes now, and waits for them or for this long.
-    async fn await_routes(&self, longest: Duration) {
+    /// Requests a refresh of the routes and waits for it, for `max_wait` at most, then pauses for
+    /// [`MIN_BACKOFF`].
+    async fn await_routes(&self, max_wait: Duration) {
         let refreshed = self.refreshed.notified();
         self.refresh_now.notify_one();
-        drop(tokio::time::timeout(longest, refreshed).await);
-        tokio::time::sleep(BACKOFF).await;
+        drop(tokio::time::timeout(max_wait, refreshed).await);
+        tokio::time::sleep(MIN_BACKOFF).await;
     }
 
-    fn pay(&self, team: &str, share: f64) {
+    fn deposit_retry_share(&self, team: &str, share: f64) {
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let budget = budgets.entry(team.to_owned());
-        let budget = budget.or_insert_with(|| RetryBudget::new(share, SAVED_RETRIES));
+        let budget = budget.or_insert_with(|| RetryBudget::new(share, MAX_SAVED_RETRIES));
         budget.set_share(share);
         budget.deposit();
     }
 
-    /// A try that reached no owner costs nobody anything, so it needs no budget.
+    /// Whether the team may retry. An attempt that reached no owner caused no load, so its retry is
+    /// not charged to the budget.
     fn may_retry(&self, team: &str, answer: &Answer) -> bool {
         let free = matches!(answer, Answer::Fault(f) if f.kind == Kind::NoOwner);
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         free || budgets.get_mut(team).is_some_and(RetryBudget::try_withdraw)
     }
 
-    fn count(&self, team: &str, service: &str, answer: &Answer, began: Duration) {
-        let took = self.since.elapsed().saturating_sub(began);
+    fn count(&self, team: &str, service: &str, answer: &Answer, started_at: Duration) {
+        let latency = self.uptime.elapsed().saturating_sub(started_at);
         let kind = match answer {
             Answer::Done(_) => "done",
             Answer::Fault(fault) => fault.kind.as_str(),
@@ -298,37 +311,40 @@
         metrics::counter!("lentilyoke_answers_total", "class" => class, "kind" => kind)
             .increment(1);
         metrics::histogram!("lentilyoke_answer_seconds", "class" => class)
-            .record(took.as_secs_f64());
+            .record(latency.as_secs_f64());
         if answer.class() == Class::Refused {
             return;
         }
-        let Some(applied) = self.table.applied() else {
+        let Some(applied) = self.routes.applied() else {
             return;
         };
-        if let Some(level) = applied.cell.service(service) {
-            let good = matches!(answer, Answer::Done(_)) && took <= level.target_latency;
-            self.burn.count(service, team, level.objective, good);
+        if let Some(service_config) = applied.cell.service(service) {
+            let good =
+                matches!(answer, Answer::Done(_)) && latency <= service_config.target_latency;
+            self.slo_counts
+                .count(service, team, service_config.objective, good);
         }
     }
 }
 
-/// Whether another try may end better: the owner may have changed.
-fn may_help(answer: &Answer) -> bool {
+/// Whether another attempt may succeed because the owner may have changed meanwhile.
+fn is_retryable(answer: &Answer) -> bool {
     let Answer::Fault(fault) = answer else {
         return false;
     };
-    let changing = [
+    let retryable = [
         Kind::NoOwner,
         Kind::NotOwner,
         Kind::NoAuthority,
         Kind::Draining,
         Kind::OwnerLost,
     ];
-    changing.contains(&fault.kind)
+    retryable.contains(&fault.kind)
 }
 
-/// When it makes sense to come back: some of what is under way is done by then.
-fn comeback(service: &Service) -> Duration {
+/// Delay suggested to a caller that was not admitted: by then some of the requests in flight have
+/// completed.
+fn retry_after(service: &Service) -> Duration {
     service
         .max_run
         .min(Duration::from_secs(1))
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! The process that callers talk to.
+//! The HTTP front end of the scheduler: the process that callers connect to.
 //!
-//! * [`Entry`]: one entry; [`Entry::spawn`] starts what it does beside serving.
+//! * [`Entry`]: one front end; [`Entry::spawn`] starts the background refresh of its routes.
 //! * [`serve::router`]: its HTTP interface, described in `docs/API.md`.
-//! * [`Ledger`]: what may be said after several tries at one request.
+//! * [`AttemptHistory`]: decides which answer may be returned after several attempts at a request.
 //! * [`Settings`]: flags and environment variables.
 
 mod admission;
@@ -16,10 +16,10 @@
 mod slo_counts;
 mod upstream;
 
-pub use admission::Gate;
-pub use attempts::Ledger;
+pub use admission::Admission;
+pub use attempts::AttemptHistory;
 pub use entry::Entry;
-pub use route_table::Table;
+pub use route_table::RouteTable;
 pub use settings::Settings;
-pub use slo_counts::{Burn, Minute};
-pub use upstream::{Missed, Upstream};
+pub use slo_counts::{SloCounts, SloMinute};
+pub use upstream::{CallFailure, Upstream};
--- a/crates/entry/src/respond.rs
+++ b/crates/entry/src/respond.rs
@@ -1,4 +1,4 @@
-//! Turns answers into HTTP.
+//! Builds HTTP responses from answers.
 
 use axum::Json;
 use axum::http::header::RETRY_AFTER;
@@ -7,10 +7,10 @@
 use serde_json::json;
 use wire::{Answer, Class, Fault, State};
 
-/// Header that tells what the caller may conclude.
+/// Response header with the class of the answer: done, refused, not run, or may have run.
 const ANSWER: HeaderName = HeaderName::from_static("lentilyoke-answer");
 
-/// The answer to a quick request.
+/// Response to a quick request.
 pub(crate) fn answer(answer: Answer) -> Response {
     match answer {
         Answer::Done(body) => (StatusCode::OK, headers(Class::Done), body.0).into_response(),
@@ -18,7 +18,7 @@
     }
 }
 
-/// The answer to a call about a job.
+/// Response to a call about a job.
 pub(crate) fn job(result: Result<State, Fault>) -> Response {
     match result {
         Ok(state) => (StatusCode::OK, headers(Class::Done), Json(state)).into_response(),
@@ -26,7 +26,8 @@
     }
 }
 
-/// Something went wrong.
+/// Response for a fault: status and class by its kind, the reason as JSON, and `Retry-After` in
+/// whole seconds, rounded up, if a retry makes sense.
 pub(crate) fn fault(fault: &Fault) -> Response {
     let row = fault.kind.row();
     let status = StatusCode::from_u16(row.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/entry/src/route_table.rs
+++ b/crates/entry/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Who owns what, as an entry knows it.
+//! Owners of racks and the applied configuration, as an entry last received them from a placer.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,35 +9,35 @@
 use resource::id;
 use wire::{Owner, RouteQuery, Routes};
 
-/// A configuration that is applied.
+/// A validated configuration that requests are served by.
 #[derive(Debug)]
-pub(crate) struct Applied {
+pub(crate) struct AppliedConfig {
     pub(crate) version: Version,
     pub(crate) cell: Cell,
 }
 
-/// Owners of racks, and the configuration.
+/// Owners of racks, addresses of placers, and the applied configuration.
 #[derive(Debug, Default)]
-pub struct Table {
-    applied: ArcSwapOption<Applied>,
+pub struct RouteTable {
+    applied: ArcSwapOption<AppliedConfig>,
     inner: Mutex<Inner>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     owners: BTreeMap<id::Rack, Owner>,
-    /// Placers to ask, the present one first.
+    /// Addresses of placers; the first one is queried.
     placers: Vec<String>,
     generation: u64,
-    refreshed: Option<Duration>,
+    refreshed_at: Option<Duration>,
 }
 
-/// An entry that has not heard of any placer for this long does not serve: it may have been paused
-/// while a configuration was accepted that it does not know.
-pub(crate) const FRESH: Duration = Duration::from_millis(2_500);
+/// Maximum age of the routes. An entry without an answer from a placer for this long does not
+/// serve: it may have been suspended or cut off while a newer configuration was accepted.
+pub(crate) const MAX_ROUTE_AGE: Duration = Duration::from_millis(2_500);
 
-impl Table {
-    /// Knows nothing but these placers.
+impl RouteTable {
+    /// An empty table that queries these placers.
     #[must_use]
     pub fn new(placers: Vec<String>) -> Self {
         let inner = Inner {
@@ -50,29 +50,29 @@
         }
     }
 
-    /// The configuration that is applied.
-    pub(crate) fn applied(&self) -> Option<Arc<Applied>> {
+    /// The applied configuration; `None` until the first one is received.
+    pub(crate) fn applied(&self) -> Option<Arc<AppliedConfig>> {
         self.applied.load_full()
     }
 
-    /// Version of the configuration that is applied; 0 if none is.
+    /// Version of the applied configuration; 0 if there is none.
     pub fn version(&self) -> Version {
         self.applied().map_or(0, |a| a.version)
     }
 
-    /// Whether a placer was heard of lately.
+    /// Whether a configuration is applied and the routes are younger than `MAX_ROUTE_AGE`.
     pub fn is_fresh(&self, now: Duration) -> bool {
-        let refreshed = self.lock().refreshed;
-        refreshed.is_some_and(|at| now.saturating_sub(at) < FRESH) && self.version() > 0
+        let refreshed_at = self.lock().refreshed_at;
+        refreshed_at.is_some_and(|at| now.saturating_sub(at) < MAX_ROUTE_AGE) && self.version() > 0
     }
 
-    /// The owner of a rack.
+    /// The owner of a rack, if it has one.
     pub fn owner(&self, rack: &str) -> Option<Owner> {
         self.lock().owners.get(rack).cloned()
     }
 
-    /// The placer to ask, and what to ask it.
-    pub(crate) fn ask(&self, entry: &str) -> Option<(String, RouteQuery)> {
+    /// Address of the placer to query, and the query. `None` if no placer is known.
+    pub(crate) fn next_query(&self, entry: &str) -> Option<(String, RouteQuery)> {
         let applied = self.version();
         let inner = self.lock();
         let placer = inner.placers.first()?.clone();
@@ -87,13 +87,14 @@
         ))
     }
 
-    /// Takes note of an answer to what was asked at `asked`.
-    pub fn learn(&self, routes: Routes, asked: Duration) {
+    /// Applies the answer to a query that was sent at `queried_at`. The age of the routes counts
+    /// from then, since the answer may have been in transit for long.
+    pub fn update(&self, routes: Routes, queried_at: Duration) {
         if let Some((version, raw)) = routes.config {
             self.apply(version, raw);
         }
         let mut inner = self.lock();
-        inner.refreshed = Some(asked);
+        inner.refreshed_at = Some(queried_at);
         inner.generation = routes.generation;
         if let Some(owners) = routes.owners {
             inner.owners = owners.into_iter().collect();
@@ -105,8 +106,9 @@
         }
     }
 
-    /// The placer did not answer: asks the next one from now on, and all that it knows.
-    pub(crate) fn turn(&self) {
+    /// Switches to the next placer after a failed query. Generation 0 requests its complete routes,
+    /// since generations of different placers are not comparable.
+    pub(crate) fn next_placer(&self) {
         let mut inner = self.lock();
         inner.generation = 0;
         if !inner.placers.is_empty() {
@@ -114,8 +116,8 @@
         }
     }
 
-    /// Only a newer configuration is applied: an older one, from a placer that was cut off, would
-    /// bring back what operators have replaced.
+    /// Applies a configuration if it is newer. An older one, from a placer that was cut off, would
+    /// undo a change by operators.
     fn apply(&self, version: Version, raw: config::raw::Cell) {
         if version <= self.version() {
             return;
@@ -124,9 +126,9 @@
             Ok(cell) => {
                 log::info!(config = version; "configuration applied");
                 self.applied
-                    .store(Some(Arc::new(Applied { version, cell })));
+                    .store(Some(Arc::new(AppliedConfig { version, cell })));
             }
-            Err(error) => log::error!("configuration {version} is not accepted: {error}"),
+            Err(error) => log::error!("configuration {version} rejected: {error}"),
         }
     }
 
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface towards callers; described in `docs/API.md`.
+//! The HTTP interface for callers; described in `docs/API.md`.
 
 use std::future::IntoFuture as _;
 use std::sync::Arc;
@@ -19,47 +19,47 @@
 
 type Shared = State<Arc<Entry>>;
 
-/// How often a watched job is looked at.
-const WATCH_EVERY: Duration = Duration::from_millis(100);
-/// Longest wait for a job, in milliseconds.
+/// Interval at which the state of a watched job is queried.
+const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum wait of one watch call, in milliseconds.
 const MAX_WAIT_MS: u64 = 30_000;
 
-/// How to watch a job.
+/// Query parameters of a watch call.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Watch {
-    /// Longest wait for the job to be over, in milliseconds.
+struct WatchQuery {
+    /// Maximum wait for the job to be over, in milliseconds.
     wait_ms: u64,
 }
 
-/// Serves callers until the entry drains; then takes no new connection, finishes what is in hand,
-/// at most for so long, and ends.
-pub async fn run(listener: TcpListener, entry: Arc<Entry>, longest: Duration) {
+/// Serves callers until the entry drains; then accepts no new connection, completes the requests
+/// in flight, for `max_drain` at most, and returns.
+pub async fn run(listener: TcpListener, entry: Arc<Entry>, max_drain: Duration) {
     let stop = entry.stop.clone();
     let draining = stop.clone();
     let server = axum::serve(listener, router(entry))
         .with_graceful_shutdown(async move { draining.draining().await })
         .into_future();
-    let given_up = async {
+    let drain_timeout = async {
         stop.draining().await;
-        tokio::time::sleep(longest).await;
+        tokio::time::sleep(max_drain).await;
     };
     tokio::select! {
         _ = server => {}
-        () = given_up => log::warn!("some callers were still waiting after {longest:?}"),
+        () = drain_timeout => log::warn!("requests still in flight after {max_drain:?}"),
     }
 }
 
-/// All calls that callers make, and readiness for the balancer.
+/// The calls of callers, readiness for the load balancer, and counts for operators.
 pub fn router(entry: Arc<Entry>) -> Router {
     let jobs = put(submit).get(watch).delete(cancel);
     Router::new()
         .route("/v1/requests/{id}", post(request))
-        .route("/v1/requests", post(no_id))
+        .route("/v1/requests", post(missing_id))
         .route("/v1/jobs/{team}/{id}", jobs)
         .route("/ready", get(ready))
         .route("/burn", get(burn))
-        .fallback(no_route)
+        .fallback(unknown_path)
         .layer(DefaultBodyLimit::max(Body::MAX))
         .with_state(entry)
 }
@@ -70,10 +70,11 @@
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
 ) -> Response {
-    let request = whole(body).and_then(|body| parse::request(&id, &headers, &body));
+    let request = complete_body(body).and_then(|body| parse::request(&id, &headers, &body));
     match request {
         Ok(request) => {
-            // A task of its own: a caller that goes away must not stop work half-way.
+            // A task of its own: axum drops the handler when the caller disconnects, which would
+            // cancel the request half-way.
             let running = tokio::spawn(async move { entry.run(request).await });
             match running.await {
                 Ok(answer) => respond::answer(answer),
@@ -89,7 +90,7 @@
     Path((team, id)): Path<(String, String)>,
     body: Result<Bytes, BytesRejection>,
 ) -> Response {
-    match whole(body).and_then(|body| parse::job(&team, &id, &body)) {
+    match complete_body(body).and_then(|body| parse::job(&team, &id, &body)) {
         Ok(job) => respond::job(entry.submit(job).await),
         Err(fault) => respond::fault(&fault),
     }
@@ -98,17 +99,17 @@
 async fn watch(
     State(entry): Shared,
     Path((team, id)): Path<(String, String)>,
-    Query(watch): Query<Watch>,
+    Query(watch): Query<WatchQuery>,
 ) -> Response {
-    let longest = Duration::from_millis(watch.wait_ms.min(MAX_WAIT_MS));
-    let deadline = tokio::time::Instant::now() + longest;
+    let max_wait = Duration::from_millis(watch.wait_ms.min(MAX_WAIT_MS));
+    let deadline = tokio::time::Instant::now() + max_wait;
     loop {
         let state = entry.watch(&team, &id).await;
         let over = state.as_ref().is_ok_and(|state| state.phase.is_over());
         if over || state.is_err() || tokio::time::Instant::now() >= deadline {
             return respond::job(state);
         }
-        tokio::time::sleep(WATCH_EVERY).await;
+        tokio::time::sleep(WATCH_INTERVAL).await;
     }
 }
 
@@ -125,22 +126,22 @@
 }
 
 async fn burn(State(entry): Shared) -> Response {
-    Json(entry.burn.minutes()).into_response()
+    Json(entry.slo_counts.minutes()).into_response()
 }
 
-async fn no_id() -> Response {
+async fn missing_id() -> Response {
     respond::fault(&Fault::new(
         Kind::BadInput,
         "the id: missing; use /v1/requests/ID",
     ))
 }
 
-async fn no_route() -> Response {
+async fn unknown_path() -> Response {
     respond::fault(&Fault::new(Kind::BadInput, "there is no such path"))
 }
 
-/// The whole body, or the reason why it is not taken.
-fn whole(body: Result<Bytes, BytesRejection>) -> Result<Bytes, Fault> {
+/// The body if it was received completely and is not too large.
+fn complete_body(body: Result<Bytes, BytesRejection>) -> Result<Bytes, Fault> {
     body.map_err(|rejection| match rejection.status() {
         StatusCode::PAYLOAD_TOO_LARGE => Fault::new(
             Kind::TooLarge,
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -6,7 +6,7 @@
 use clap::Parser;
 use clap::builder::RangedU64ValueParser;
 
-/// Takes requests from callers and gives each one true answer.
+/// Accepts requests from callers and forwards each to the owner of its rack.
 #[derive(Clone, Debug, Parser)]
 #[command(name = "lentilyoke-entry", version)]
 pub struct Settings {
@@ -19,7 +19,7 @@
     /// Address to listen on for callers; port 0 takes any free one.
     #[arg(long, env = "LENTILYOKE_LISTEN", default_value = "127.0.0.1:8080")]
     pub listen: SocketAddr,
-    /// Addresses of placers to ask at the start, separated by commas; this host's own first.
+    /// Addresses of placers to query at the start, separated by commas; this host's own first.
     #[arg(
         long,
         env = "LENTILYOKE_PLACERS",
@@ -27,11 +27,11 @@
         required = true
     )]
     pub placers: Vec<SocketAddr>,
-    /// How often a placer is asked who owns what, in milliseconds (50 to 1000).
+    /// Interval at which routes are queried from a placer, in milliseconds (50 to 1000).
     #[arg(long, env = "LENTILYOKE_ROUTES_MS", default_value_t = 300,
           value_parser = RangedU64ValueParser::<u64>::new().range(50..=1_000))]
     pub routes_ms: u64,
-    /// How long stopping may take for what is in hand, in milliseconds (100 to 60000).
+    /// Maximum time to complete requests in flight when stopping, in milliseconds (100 to 60000).
     #[arg(long, env = "LENTILYOKE_DRAIN_MS", default_value_t = 10_000,
           value_parser = RangedU64ValueParser::<u64>::new().range(100..=60_000))]
     pub drain_ms: u64,
@@ -41,9 +41,9 @@
 }
 
 impl Settings {
-    /// How often a placer is asked who owns what.
+    /// Interval at which routes are queried from a placer.
     #[must_use]
-    pub const fn routes_every(&self) -> Duration {
+    pub const fn routes_interval(&self) -> Duration {
         Duration::from_millis(self.routes_ms)
     }
 }
--- a/crates/entry/src/slo_counts.rs
+++ b/crates/entry/src/slo_counts.rs
@@ -1,5 +1,5 @@
-//! Counts what service levels are judged by: per minute, service and team, how many requests came
-//! and how many of them were done within the objective.
+//! Request counts for service-level objectives: per minute, service and team, how many requests
+//! were received and how many of them completed within the target latency.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, PoisonError};
@@ -7,65 +7,65 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Minutes that are kept: six hours.
-const KEEP: usize = 360;
+/// Number of minutes with requests that are retained: six hours under steady load.
+const KEPT_MINUTES: usize = 360;
 
-/// One minute of one service and team.
+/// Counts of one service and team in one minute.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Minute {
-    /// Minutes since 1970.
+pub struct SloMinute {
+    /// Start of the minute, in minutes since the Unix epoch.
     pub minute: u64,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// Requests that came, without those that callers got wrong.
+    /// Requests received, without those refused because of a mistake of the caller.
     pub all: u64,
-    /// Those that were done within the objective.
+    /// Requests completed within the target latency of the service.
     pub good: u64,
-    /// The objective, such as 0.999.
+    /// Required share of good requests, such as 0.999.
     pub objective: f64,
 }
 
-/// One minute, by service and team.
-type Counts = BTreeMap<(String, String), Minute>;
+/// Counts of one minute, by service and team.
+type MinuteCounts = BTreeMap<(String, String), SloMinute>;
 
-/// The last hours, minute by minute.
+/// Counts of the retention period, oldest minute first.
 #[derive(Debug, Default)]
-pub struct Burn {
-    minutes: Mutex<VecDeque<(u64, Counts)>>,
+pub struct SloCounts {
+    minutes: Mutex<VecDeque<(u64, MinuteCounts)>>,
 }
 
-impl Burn {
-    /// Counts one request.
+impl SloCounts {
+    /// Adds one request to the current minute and drops minutes past the retention period.
     pub fn count(&self, service: &str, team: &str, objective: f64, good: bool) {
-        let minute = minute();
+        let minute = current_minute();
         let mut minutes = self.minutes.lock().unwrap_or_else(PoisonError::into_inner);
         if minutes.back().is_none_or(|(at, _)| *at != minute) {
             minutes.push_back((minute, BTreeMap::new()));
         }
-        while minutes.len() > KEEP {
+        while minutes.len() > KEPT_MINUTES {
             minutes.pop_front();
         }
         let Some((_, counts)) = minutes.back_mut() else {
             return;
         };
-        let name = (service.to_owned(), team.to_owned());
-        let count = counts.entry(name).or_insert_with(|| Minute {
+        let key = (service.to_owned(), team.to_owned());
+        let count = counts.entry(key).or_insert_with(|| SloMinute {
             minute,
             service: service.to_owned(),
             team: team.to_owned(),
             objective,
-            ..Minute::default()
+            ..SloMinute::default()
         });
         count.all += 1;
         count.good += u64::from(good);
         count.objective = objective;
     }
 
-    /// All that is kept.
-    pub fn minutes(&self) -> Vec<Minute> {
+    /// All retained counts, oldest minute first.
+    pub fn minutes(&self) -> Vec<SloMinute> {
         let minutes = self.minutes.lock().unwrap_or_else(PoisonError::into_inner);
         minutes
             .iter()
@@ -74,9 +74,9 @@
     }
 }
 
-fn minute() -> u64 {
-    let since = SystemTime::now()
+fn current_minute() -> u64 {
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or(Duration::ZERO);
-    since.as_secs() / 60
+    since_epoch.as_secs() / 60
 }
--- a/crates/entry/tests/cell/mod.rs
+++ b/crates/entry/tests/cell/mod.rs
@@ -1,10 +1,10 @@
-//! A cell of real processes' parts inside a test: one placer and one entry, over TCP on loopback,
-//! with stand-ins for the platform and the workers behind them.
+//! A cell inside the test process: one placer and one entry, over TCP on loopback, with a fake
+//! platform and fake workers.
 
 #![allow(
     dead_code,
     unreachable_pub,
-    reason = "each test file uses a part of it"
+    reason = "each test file uses a part of this module"
 )]
 
 use std::net::SocketAddr;
@@ -92,14 +92,14 @@
             address,
             serving,
         };
-        cell.settle().await;
+        cell.wait_until_serving().await;
         cell
     }
 
-    /// Waits until a request is done.
-    async fn settle(&self) {
+    /// Waits until a request succeeds.
+    async fn wait_until_serving(&self) {
         for n in 0..2_000 {
-            let answer = ask(
+            let answer = post_request(
                 self.address,
                 &format!("settle-{n}"),
                 &headers("k", true),
@@ -111,10 +111,10 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("nothing was served");
+        panic!("no request succeeded within 2000 attempts");
     }
 
-    pub fn runs(&self, id: &str) -> usize {
+    pub fn run_count(&self, id: &str) -> usize {
         let id = format!("officers/{id}");
         let journals = self.racks.journals();
         journals
@@ -132,7 +132,7 @@
     }
 }
 
-/// Serves an entry that knows these placers.
+/// Serves an entry that gets its routes from these placers.
 pub async fn serve_entry(
     placers: Vec<String>,
     stop: &Shutdown,
@@ -145,9 +145,9 @@
     (address, serving)
 }
 
-/// What a caller got.
+/// Response as a caller receives it.
 #[derive(Debug)]
-pub struct Got {
+pub struct Reply {
     pub status: u16,
     pub answer: String,
     pub retry_after: Option<String>,
@@ -166,7 +166,7 @@
     ]
 }
 
-pub async fn ask(entry: SocketAddr, id: &str, headers: &Headers, body: &str) -> Got {
+pub async fn post_request(entry: SocketAddr, id: &str, headers: &Headers, body: &str) -> Reply {
     call(
         entry,
         Method::POST,
@@ -183,7 +183,7 @@
     path: &str,
     headers: &Headers,
     body: &str,
-) -> Got {
+) -> Reply {
     use http_body_util::{BodyExt as _, Full};
     use hyper_util::client::legacy::Client;
     use hyper_util::rt::TokioExecutor;
@@ -195,9 +195,9 @@
         request = request.header(*name, value);
     }
     let body: Full<bytes::Bytes> = Full::from(body.to_owned());
-    let reply = client.request(request.body(body).unwrap()).await.unwrap();
+    let response = client.request(request.body(body).unwrap()).await.unwrap();
     let header = |name: &str| {
-        reply
+        response
             .headers()
             .get(name)
             .and_then(|value| value.to_str().ok())
@@ -207,9 +207,9 @@
         header("lentilyoke-answer").unwrap_or_default(),
         header("retry-after"),
     );
-    let status = reply.status().as_u16();
-    let body = reply.into_body().collect().await.unwrap().to_bytes();
-    Got {
+    let status = response.status().as_u16();
+    let body = response.into_body().collect().await.unwrap().to_bytes();
+    Reply {
         status,
         answer,
         retry_after,
--- a/crates/entry/tests/input.rs
+++ b/crates/entry/tests/input.rs
@@ -1,10 +1,10 @@
-//! Bad input: one clear error each, and nothing runs.
+//! Invalid input is refused with the name of the invalid part, and nothing runs.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
 mod cell;
 
-use cell::{Cell, Headers, ask, call, headers};
+use cell::{Cell, Headers, call, headers, post_request};
 use hyper::Method;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
@@ -22,9 +22,10 @@
     headers
 }
 
-/// Callers see: the status of the table, "refused", and the name of what is wrong.
+/// Each invalid header, name or body returns its status, class "refused", and names the invalid
+/// part; the request does not run.
 #[tokio::test]
-async fn every_mistake_has_its_own_answer() {
+async fn each_invalid_part_is_refused_by_name() {
     let cell = Cell::start().await;
     let large = "x".repeat(70_000);
     let cases: Vec<(Headers, &str, u16, &str)> = vec![
@@ -65,17 +66,17 @@
         (headers("k", true), &large, 413, "65536 bytes"),
     ];
     for (n, (headers, body, status, reason)) in cases.into_iter().enumerate() {
-        let got = ask(cell.address, &format!("bad-{n}"), &headers, body).await;
+        let got = post_request(cell.address, &format!("bad-{n}"), &headers, body).await;
         assert_eq!(got.status, status, "{got:?}");
         assert_eq!(got.answer, "refused", "{got:?}");
         assert!(got.body.contains(reason), "{got:?}");
         assert_eq!(got.retry_after, None);
-        assert_eq!(cell.runs(&format!("bad-{n}")), 0);
+        assert_eq!(cell.run_count(&format!("bad-{n}")), 0);
     }
     cell.end().await;
 }
 
-/// Callers see: "refused" for a request without an id, and for a path that does not exist.
+/// A request without an id and a path that does not exist return class "refused".
 #[tokio::test]
 async fn a_missing_id_and_an_unknown_path_are_refused() {
     let cell = Cell::start().await;
@@ -94,7 +95,7 @@
     cell.end().await;
 }
 
-/// Callers see: "refused" with the reason for a job that is malformed or can never run.
+/// A job that is malformed or fits no worker returns class "refused" with the reason.
 #[tokio::test]
 async fn bad_jobs_are_refused() {
     let cell = Cell::start().await;
@@ -161,10 +162,10 @@
     cell.end().await;
 }
 
-/// Callers see: a broken connection or a refusal, never an answer to half of what they meant. The
-/// body ends before its declared length; what came so far must not run.
+/// Guards against running a truncated body: the connection closes before the declared content
+/// length. The caller gets a closed connection or a refusal, and nothing runs.
 #[tokio::test]
-async fn half_a_body_does_not_run() {
+async fn a_truncated_body_does_not_run() {
     let cell = Cell::start().await;
     let mut stream = TcpStream::connect(cell.address).await.unwrap();
     let mut head =
@@ -180,11 +181,11 @@
     let mut reply = String::new();
     drop(stream.read_to_string(&mut reply).await);
     assert!(!reply.contains("200 OK"), "{reply}");
-    assert_eq!(cell.runs("half"), 0);
+    assert_eq!(cell.run_count("half"), 0);
     cell.end().await;
 }
 
-/// Callers see: a job from its submission to its end, and again after it was withdrawn.
+/// A submitted batch job is watched until it finishes; a service job is cancelled.
 #[tokio::test]
 async fn a_job_is_submitted_watched_and_cancelled() {
     let cell = Cell::start().await;
