--- a/crates/model/src/tasks.rs
+++ b/crates/model/src/tasks.rs
@@ -54,11 +54,11 @@
 /// The task as the home rack's owner knows it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum TaskView {
-    /// An earlier owner may have started it. The racks that were queried are a bit mask.
+    /// An earlier owner may have started it. `queried` is a bit mask of the racks queried so far.
     Unknown { queried: u8 },
     /// It waits for a start.
     Waiting,
-    /// A start command was sent to a rack.
+    /// A start command was sent to this rack, or the rack was found to run this attempt.
     Commanded {
         rack: usize,
         attempt: u8,
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Rack {
     epoch: u8,
-    /// Epoch and serial of the last message that its owner received.
+    /// Epoch and serial of the last message that its owner received from an owner of the home rack.
     last_message: (u8, u8),
     /// Attempts that run on its workers.
     running: BTreeSet<u8>,
@@ -89,7 +89,9 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Command {
     rack: usize,
+    /// Epoch of the rack's owner that the command is addressed to.
     rack_epoch: u8,
+    /// Epoch of the home rack's owner that sends the command.
     epoch: u8,
     serial: u8,
     attempt: u8,
