--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,7 +1,7 @@
 //! The stand-ins over HTTP.
 
-mod hosts;
-mod table;
+mod machine;
+mod platform;
 
-pub use hosts::{Control, machines};
-pub use table::{Scanned, platform};
+pub use machine::{Control, machines};
+pub use platform::{Scanned, platform};
