--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -70,13 +70,13 @@
 
     /// Starts a task that refreshes routes and configuration until shutdown, at this interval and
     /// whenever a request is about to be retried.
-    pub fn spawn(self: &Arc<Self>, every: Duration) {
+    pub fn spawn(self: &Arc<Self>, interval: Duration) {
         let entry = Arc::clone(self);
         self.stop.spawn(async move {
             loop {
                 entry.refresh().await;
                 tokio::select! {
-                    () = tokio::time::sleep(every) => {}
+                    () = tokio::time::sleep(interval) => {}
                     () = entry.refresh_now.notified() => {}
                     () = entry.stop.ended() => return,
                 }
--- a/crates/placer/tests/jobs.rs
+++ b/crates/placer/tests/jobs.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use resource::Size;
-use standin::{Faults, Mischief};
+use standin::{Faults, WorkerFaults};
 use wire::{Kind, Phase, Shape};
 use world::{World, job, ms, secs, until};
 
@@ -74,9 +74,9 @@
     let victim = names.iter().find(|n| held(n) > 0).unwrap().clone();
     world.racks.set(
         &victim,
-        Mischief {
+        WorkerFaults {
             frozen: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     let began = tokio::time::Instant::now();
@@ -290,9 +290,9 @@
     world.await_job("hungry", secs(5), |s| s.running == 4).await;
     world.racks.set(
         "r1-0",
-        Mischief {
+        WorkerFaults {
             usage_percent: 150,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     world
@@ -308,9 +308,9 @@
     let world = placers(1, 3, 1).await;
     world.racks.set(
         "r1-1",
-        Mischief {
+        WorkerFaults {
             leaving: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     tokio::time::sleep(secs(3)).await;
--- a/crates/placer/tests/outages.rs
+++ b/crates/placer/tests/outages.rs
@@ -158,9 +158,9 @@
     world.await_job("watch", secs(10), |s| s.running == 6).await;
     let freeze = |frozen| {
         for n in 0..3 {
-            let mischief = standin::Mischief {
+            let mischief = standin::WorkerFaults {
                 frozen,
-                ..standin::Mischief::default()
+                ..standin::WorkerFaults::default()
             };
             world.racks.set(&format!("z1-{n}"), mischief);
         }
@@ -185,7 +185,7 @@
     until(secs(15), || world.active("p1", "z1")).await;
     let answer = world.ask_at("p1", request("c", &lost, false, 5)).await;
     assert_eq!(answer.class(), Class::Done);
-    until(secs(30), || world.racks.held().len() == 6).await;
+    until(secs(30), || world.racks.running_attempts().len() == 6).await;
     world.check_attempts();
     world.check();
     world.end().await;
--- a/crates/placer/tests/requests.rs
+++ b/crates/placer/tests/requests.rs
@@ -4,7 +4,7 @@
 
 mod world;
 
-use standin::{Faults, Mischief};
+use standin::{Faults, WorkerFaults};
 use wire::{Answer, Class, Kind};
 use world::{World, ms, request, secs, until};
 
@@ -22,7 +22,7 @@
     }
 }
 
-fn set_all(world: &World, mischief: Mischief) {
+fn set_all(world: &World, mischief: WorkerFaults) {
     for n in 0..3 {
         world.racks.set(&format!("r1-{n}"), mischief);
     }
@@ -145,14 +145,14 @@
     tokio::time::sleep(ms(100)).await;
     set_all(
         &world,
-        Mischief {
+        WorkerFaults {
             frozen: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     let answer = first.await.unwrap();
     assert_eq!(answer.class(), Class::MayHaveRun);
-    set_all(&world, Mischief::default());
+    set_all(&world, WorkerFaults::default());
     tokio::time::sleep(secs(1)).await;
     let second = world.ask(request("b", "seat", true, 5)).await;
     assert_eq!(second.class(), Class::Done);
@@ -167,9 +167,9 @@
     let world = one_placer().await;
     set_all(
         &world,
-        Mischief {
+        WorkerFaults {
             loses_answers: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     let answer = world.ask(request("a", "seat", false, 5)).await;
@@ -233,9 +233,9 @@
     let world = one_placer().await;
     world.racks.set(
         "r1-0",
-        Mischief {
+        WorkerFaults {
             fails: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     let mut failed = 0;
@@ -259,9 +259,9 @@
     });
     world.racks.set(
         "r1-0",
-        Mischief {
+        WorkerFaults {
             leaving: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     world.platform.unlist("r1-0", false);
--- a/crates/placer/tests/schedules.rs
+++ b/crates/placer/tests/schedules.rs
@@ -12,7 +12,7 @@
 use placer::Server;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use standin::{Faults, Mischief};
+use standin::{Faults, WorkerFaults};
 use wire::rpc::PlacerServer as _;
 use wire::{Answer, Class, Shape};
 use world::{World, job, ms, request, secs};
@@ -136,9 +136,9 @@
         self.world.platform.set(faults);
     }
 
-    fn mischief(&self, worker: u32, change: impl FnOnce(&mut Mischief)) {
+    fn mischief(&self, worker: u32, change: impl FnOnce(&mut WorkerFaults)) {
         self.world.racks.with(&name_of(worker), |machine| {
-            let mut mischief = machine.mischief();
+            let mut mischief = machine.faults();
             change(&mut mischief);
             machine.set(mischief);
         });
@@ -179,7 +179,7 @@
             placer.faults.cut_peers(false);
         }
         for worker in 0..WORKERS * 2 {
-            self.mischief(worker, |mischief| *mischief = Mischief::default());
+            self.mischief(worker, |mischief| *mischief = WorkerFaults::default());
         }
         tokio::time::sleep(secs(30)).await;
         for told in &mut self.told {
--- a/crates/placer/tests/world/mod.rs
+++ b/crates/placer/tests/world/mod.rs
@@ -247,7 +247,7 @@
 
     /// Panics if two attempts at one task run at this moment.
     pub fn check_attempts(&self) {
-        let held = self.racks.held();
+        let held = self.racks.running_attempts();
         for (n, one) in held.iter().enumerate() {
             let other = held[n + 1..].iter().find(|other| other.same_task(one));
             assert_eq!(other, None, "two attempts at one task run");
--- a/crates/standin/src/bin/lentilyoke-standin.rs
+++ b/crates/standin/src/bin/lentilyoke-standin.rs
@@ -1,4 +1,5 @@
-//! Stand-ins as programs: `platform`, or `rack` with its workers.
+//! The fakes as programs: `platform`, `rack` with its workers, and `link`; `control` and `stats`
+//! act on a running platform.
 
 use std::future::IntoFuture as _;
 use std::net::SocketAddr;
@@ -12,11 +13,11 @@
 use resource::Size;
 use snafu::{OptionExt as _, ResultExt as _, Whatever, whatever};
 use standin::serve;
-use standin::{Carried, Counts, Faults, Machine, Platform};
+use standin::{Counts, Faults, LinkTraffic, Machine, Platform};
 use telemetry::Shutdown;
 use tokio::net::TcpListener;
 
-/// Small stand-ins for the platform and for racks of workers.
+/// Fakes of the platform, of racks of workers and of a link between regions.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Settings {
@@ -26,7 +27,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Role {
-    /// Serves the platform: table, objects, host list.
+    /// Serves a fake platform: table, object store and host list.
     Platform {
         /// Address to listen on.
         #[arg(long, env = "LENTILYOKE_LISTEN", default_value = "127.0.0.1:7000")]
@@ -34,44 +35,45 @@
         /// Age of the host list, in milliseconds.
         #[arg(long, default_value_t = 3_000)]
         lag_ms: u64,
-        /// Every call takes this much longer, in milliseconds.
+        /// Latency added to every call, in milliseconds.
         #[arg(long, default_value_t = 0)]
         slow_ms: u64,
     },
-    /// Makes a running platform misbehave; without flags it behaves again.
+    /// Sets the faults of a running platform; without flags it works normally again.
     Control {
         /// Address of the platform.
         #[arg(long, default_value = "127.0.0.1:7000")]
         platform: String,
-        /// Nothing works.
+        /// Every call fails.
         #[arg(long)]
         down: bool,
-        /// Every call takes this much longer, in milliseconds.
+        /// Latency added to every call, in milliseconds.
         #[arg(long, default_value_t = 0)]
         slow_ms: u64,
-        /// So many of the next transactions take effect, but their answers are lost.
+        /// Number of further transactions that take effect while their answers are lost.
         #[arg(long, default_value_t = 0)]
         lose: u32,
         /// Age of the host list, in milliseconds.
         #[arg(long, default_value_t = 3_000)]
         lag_ms: u64,
     },
-    /// Prints what a running platform has done: writes, reads, rows written.
+    /// Prints the totals of a running platform: writes, reads, rows written.
     Stats {
         /// Address of the platform.
         #[arg(long, default_value = "127.0.0.1:7000")]
         platform: String,
     },
-    /// Passes connections on to another address, late, and prints each second what it has carried.
+    /// Relays connections to another address with added latency, and prints the bytes carried each
+    /// second.
     Link {
-        /// Where to.
+        /// Address that connections are relayed to.
         #[arg(long)]
         to: SocketAddr,
-        /// How late each byte is, one way, in milliseconds.
+        /// Latency added in each direction, in milliseconds.
         #[arg(long, default_value_t = 20)]
         delay_ms: u64,
     },
-    /// Serves the workers of one rack and lists them at the platform.
+    /// Serves the fake workers of one rack and registers them with the platform.
     Rack {
         /// Name of the rack.
         #[arg(long)]
@@ -113,7 +115,7 @@
                 slow_ms,
                 ..Faults::default()
             });
-            let address = listen_on(listen, serve::platform(store), &stop).await?;
+            let address = spawn_server(listen, serve::platform_router(store), &stop).await?;
             println!("platform {address}");
         }
         Role::Control {
@@ -143,11 +145,13 @@
                 .call(hyper::Method::GET, &url, Vec::new(), limit)
                 .await;
             let reply = reply.whatever_context("the platform does not answer")?;
-            let counts: Counts = reply.json().whatever_context("it is not a platform")?;
+            let counts: Counts = reply
+                .json()
+                .whatever_context("the answer is not that of a fake platform")?;
             println!("{} {} {}", counts.writes, counts.reads, counts.rows);
             stop.drain();
         }
-        Role::Link { to, delay_ms } => link_to(to, delay_ms, &stop).await?,
+        Role::Link { to, delay_ms } => run_link(to, delay_ms, &stop).await?,
         Role::Rack {
             rack,
             platform,
@@ -159,10 +163,10 @@
         } => {
             let size = Size::new(cores * 1_000, memory_mib, accelerators);
             for nth in 0..workers {
-                let control = serve::Control::new(Machine::new(size, slots, 1));
-                stop.spawn(control.clone().tick(stop.clone()));
+                let served = serve::ServedMachine::new(Machine::new(size, slots, 1));
+                stop.spawn(served.clone().tick(stop.clone()));
                 let any = SocketAddr::from(([127, 0, 0, 1], 0));
-                let address = listen_on(any, serve::machines(control), &stop).await?;
+                let address = spawn_server(any, serve::machine_router(served), &stop).await?;
                 let name = format!("{rack}-{nth}");
                 register(&platform, &name, &rack, address).await?;
                 println!("worker {name} {address}");
@@ -174,7 +178,7 @@
     Ok(())
 }
 
-async fn listen_on(
+async fn spawn_server(
     address: SocketAddr,
     router: Router,
     stop: &Shutdown,
@@ -217,33 +221,33 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    let error = last.whatever_context("no try was made")?;
+    let error = last.whatever_context("no attempt was made")?;
     whatever!("the platform does not answer: {error}")
 }
 
-async fn link_to(to: SocketAddr, delay_ms: u64, stop: &Shutdown) -> Result<(), Whatever> {
+async fn run_link(to: SocketAddr, delay_ms: u64, stop: &Shutdown) -> Result<(), Whatever> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(any)
         .await
         .whatever_context("can't listen")?;
     let address = listener.local_addr().whatever_context("no address")?;
     println!("link {address}");
-    let carried = Arc::new(Carried::default());
-    let (counts, ended) = (Arc::clone(&carried), stop.clone());
+    let traffic = Arc::new(LinkTraffic::default());
+    let (counts, ended) = (Arc::clone(&traffic), stop.clone());
     stop.spawn(async move {
         while ended.sleep(Duration::from_secs(1)).await {
-            let (there, back) = (&counts.there, &counts.back);
+            let (outbound, inbound) = (&counts.outbound, &counts.inbound);
             println!(
                 "bytes {} {}",
-                there.load(Ordering::Relaxed),
-                back.load(Ordering::Relaxed)
+                outbound.load(Ordering::Relaxed),
+                inbound.load(Ordering::Relaxed)
             );
         }
     });
     let (delay, ended) = (Duration::from_millis(delay_ms), stop.clone());
     stop.spawn(async move {
         tokio::select! {
-            () = standin::link(listener, to.to_string(), delay, carried) => {}
+            () = standin::link(listener, to.to_string(), delay, traffic) => {}
             () = ended.ended() => {}
         }
     });
--- a/crates/standin/src/journal.rs
+++ b/crates/standin/src/journal.rs
@@ -1,32 +1,33 @@
-//! What workers really did, for tests to check.
+//! Record of what a fake worker executed, for assertions of tests.
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of the wall clock, so that journals of several processes can be laid side by side.
+/// Unix time in milliseconds in served workers, so that journals of several processes can be
+/// compared; milliseconds since the start of the test in [`Racks`](crate::Racks).
 type Millis = u64;
 
-/// One quick request that was run.
+/// One execution of a quick request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Span {
-    /// Team and id of the request.
+    /// Team and id of the request, as `team/id`.
     pub id: String,
-    /// Service and key.
+    /// Service and key of the request, as `service/key`.
     pub key: String,
-    /// When it began.
+    /// Start of the execution.
     pub from: Millis,
-    /// When it ended; `None` while it runs.
+    /// End of the execution; `None` while it runs.
     pub until: Option<Millis>,
 }
 
-/// What a worker did.
+/// All executions of a worker.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Journal {
-    /// Quick requests that it ran.
+    /// Executions of quick requests, in the order of their start.
     pub runs: Vec<Span>,
-    /// Names of task attempts that it started: `team/job/index/attempt`.
+    /// Task attempts in the order of their start, as `team/job/index/attempt`.
     pub starts: Vec<String>,
-    /// How often what it held was more than it has.
+    /// Number of task starts after which the running tasks exceeded the size of the worker.
     pub over: u32,
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for what is outside the system.
+//! Fakes of the external systems, for tests and demonstrations.
 //!
-//! * [`Platform`]: table, object store and lagging host list; can be down, slow, or lose answers.
-//! * [`Machine`]: one worker with its executor; can leave, freeze, or fail everything.
-//! * [`Racks`]: many machines that are called inside a test.
-//! * [`link`]: a link between regions, which is late and counts what it carries.
+//! * [`Platform`]: table, object store and stale host list; can be down, slow, or lose answers.
+//! * [`Machine`]: one worker with its executor; can leave, freeze, or fail all its work.
+//! * [`Racks`]: many machines inside a test process, without a network.
+//! * [`link`]: a TCP relay that adds the latency of a link between regions and counts bytes.
 //! * [`serve`]: platform and machines over HTTP.
 
 mod journal;
@@ -14,7 +14,7 @@
 pub mod serve;
 
 pub use journal::{Journal, Span};
-pub use link::{Carried, link};
-pub use machine::{Machine, Mischief};
+pub use link::{LinkTraffic, link};
+pub use machine::{Machine, WorkerFaults};
 pub use platform::{Counts, Faults, Platform};
 pub use racks::Racks;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A link between regions: passes bytes on late, and counts them.
+//! A TCP relay that adds latency and counts bytes, as a fake of a link between regions.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,50 +9,52 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Bytes that a link has carried, to the far side and back.
+/// Bytes that a link has carried in each direction.
 #[derive(Debug, Default)]
-pub struct Carried {
-    /// From whoever connects.
-    pub there: AtomicU64,
-    /// To whoever connects.
-    pub back: AtomicU64,
+pub struct LinkTraffic {
+    /// Bytes from the connecting side to the target.
+    pub outbound: AtomicU64,
+    /// Bytes from the target to the connecting side.
+    pub inbound: AtomicU64,
 }
 
-/// Passes connections on to `to`, each byte `delay` late; never returns unless listening fails.
-pub async fn link(listener: TcpListener, to: String, delay: Duration, carried: Arc<Carried>) {
-    while let Ok((near, _)) = listener.accept().await {
-        let (to, carried) = (to.clone(), Arc::clone(&carried));
+/// Relays connections to `to` and delivers each byte after `delay`; returns only if accepting a
+/// connection fails.
+pub async fn link(listener: TcpListener, to: String, delay: Duration, traffic: Arc<LinkTraffic>) {
+    while let Ok((client, _)) = listener.accept().await {
+        let (to, traffic) = (to.clone(), Arc::clone(&traffic));
         tokio::spawn(async move {
-            if let Ok(far) = TcpStream::connect(&to).await {
-                pass(near, far, delay, &carried).await;
+            if let Ok(server) = TcpStream::connect(&to).await {
+                relay(client, server, delay, &traffic).await;
             }
         });
     }
 }
 
-async fn pass(near: TcpStream, far: TcpStream, delay: Duration, carried: &Carried) {
-    drop(near.set_nodelay(true));
-    drop(far.set_nodelay(true));
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let there = one_way(near_in, far_out, delay, &carried.there);
-    let back = one_way(far_in, near_out, delay, &carried.back);
-    tokio::join!(there, back);
+async fn relay(client: TcpStream, server: TcpStream, delay: Duration, traffic: &LinkTraffic) {
+    drop(client.set_nodelay(true));
+    drop(server.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let outbound = relay_one_way(client_read, server_write, delay, &traffic.outbound);
+    let inbound = relay_one_way(server_read, client_write, delay, &traffic.inbound);
+    tokio::join!(outbound, inbound);
 }
 
-/// Reading and writing are apart, so that what is read while something waits is not held up more.
-async fn one_way(
+/// Relays one direction. Reading and writing run concurrently: data that is read while earlier data
+/// waits is delayed from its own time of arrival, so the delays don't add up.
+async fn relay_one_way(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     delay: Duration,
     count: &AtomicU64,
 ) {
-    const CHUNKS: usize = 1_024;
-    const CHUNK: usize = 16 * 1_024;
-    let (queue, mut late) = mpsc::channel::<(Instant, Vec<u8>)>(CHUNKS);
+    const MAX_QUEUED_CHUNKS: usize = 1_024;
+    const CHUNK_BYTES: usize = 16 * 1_024;
+    let (queue, mut delayed) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_QUEUED_CHUNKS);
     let read = async move {
         loop {
-            let mut chunk = vec![0; CHUNK];
+            let mut chunk = vec![0; CHUNK_BYTES];
             match from.read(&mut chunk).await {
                 Ok(n) if n > 0 => {
                     chunk.truncate(n);
@@ -66,8 +68,8 @@
         }
     };
     let write = async move {
-        while let Some((due, chunk)) = late.recv().await {
-            sleep_until(due).await;
+        while let Some((deliver_at, chunk)) = delayed.recv().await {
+            sleep_until(deliver_at).await;
             if to.write_all(&chunk).await.is_err() {
                 return;
             }
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -1,4 +1,4 @@
-//! One worker with its executor.
+//! A fake worker with its executor.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -14,108 +14,111 @@
 
 use crate::journal::{Journal, Span};
 
-/// How a worker misbehaves.
+/// Faults that a worker can be switched to.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Mischief {
-    /// It is leaving: it says so and takes nothing new.
+pub struct WorkerFaults {
+    /// Reports that it is leaving and refuses new work.
     pub leaving: bool,
-    /// It answers nothing.
+    /// Answers no call.
     pub frozen: bool,
-    /// It fails everything that it starts.
+    /// Fails every task and quick request that it starts.
     pub fails: bool,
-    /// It runs what it is asked and loses the answers.
+    /// Runs quick requests, but their answers are lost.
     pub loses_answers: bool,
-    /// Share of the declared size that tasks use, in percent; 0 leaves the usual.
+    /// Share of the declared size that tasks use, in percent; 0 selects the default share.
     pub usage_percent: u32,
 }
 
-/// Runs that are remembered for [`Machine::void`].
-const REMEMBERED: usize = 4_096;
-/// Usual share of the declared size that tasks use, in percent.
-const USAGE_PERCENT: u64 = 60;
-/// Usage is reported this late, in milliseconds.
+/// Maximum number of completed runs that are kept for [`Machine::void`].
+const MAX_COMPLETED_RUNS: usize = 4_096;
+/// Default share of the declared size that tasks use, in percent.
+const DEFAULT_USAGE_PERCENT: u64 = 60;
+/// Time after the start of a task before its usage is reported, in milliseconds; 0 is reported
+/// until then.
 const USAGE_LAG: Moment = 2_000;
 
-/// One worker; moments are passed in, in its own milliseconds.
+/// One worker. It has no clock: callers pass in the time, in milliseconds of the worker's own
+/// clock.
 #[derive(Debug)]
 pub struct Machine {
     size: Size,
     slots: u32,
     slot: Slot,
-    mischief: Mischief,
-    tasks: BTreeMap<TaskId, Held>,
+    faults: WorkerFaults,
+    tasks: BTreeMap<TaskId, RunningTask>,
     ended: Vec<Ended>,
-    seen: BTreeSet<TaskId>,
-    runs: BTreeMap<(String, u64), Active>,
-    past: VecDeque<((String, u64), Option<Ran>)>,
+    known_attempts: BTreeSet<TaskId>,
+    runs: BTreeMap<(String, u64), ActiveRun>,
+    completed: VecDeque<((String, u64), Option<Ran>)>,
     journal: Journal,
 }
 
 #[derive(Debug)]
-struct Held {
+struct RunningTask {
     task: Task,
     since: Moment,
     expires: Moment,
 }
 
 #[derive(Debug)]
-struct Active {
+struct ActiveRun {
     key: String,
     until: Moment,
     span: usize,
 }
 
 impl Machine {
-    /// A worker of this size, in this life.
+    /// A worker of this size and incarnation that runs up to `slots` quick requests at once.
     #[must_use]
     pub fn new(size: Size, slots: u32, incarnation: id::Incarnation) -> Self {
         Self {
             size,
             slots,
             slot: Slot::new(incarnation),
-            mischief: Mischief::default(),
+            faults: WorkerFaults::default(),
             tasks: BTreeMap::new(),
             ended: Vec::new(),
-            seen: BTreeSet::new(),
+            known_attempts: BTreeSet::new(),
             runs: BTreeMap::new(),
-            past: VecDeque::new(),
+            completed: VecDeque::new(),
             journal: Journal::default(),
         }
     }
 
-    /// Begins a new life: all but the journal is lost.
+    /// Restarts the worker under the next incarnation. Tasks and runs are lost; the journal and the
+    /// faults are kept.
     pub fn restart(&mut self) {
         let journal = std::mem::take(&mut self.journal);
-        let mischief = self.mischief;
+        let faults = self.faults;
         *self = Self::new(self.size, self.slots, self.slot.incarnation() + 1);
         self.journal = journal;
-        self.mischief = mischief;
+        self.faults = faults;
     }
 
-    /// Sets how it misbehaves.
-    pub const fn set(&mut self, mischief: Mischief) {
-        self.mischief = mischief;
+    /// Replaces the faults.
+    pub const fn set(&mut self, faults: WorkerFaults) {
+        self.faults = faults;
     }
 
-    /// How it misbehaves.
+    /// The current faults.
     #[must_use]
-    pub const fn mischief(&self) -> Mischief {
-        self.mischief
+    pub const fn faults(&self) -> WorkerFaults {
+        self.faults
     }
 
-    /// Attempts at tasks that it runs.
-    pub fn holds(&self) -> impl Iterator<Item = &TaskId> {
+    /// Task attempts that are running.
+    pub fn running_attempts(&self) -> impl Iterator<Item = &TaskId> {
         self.tasks.keys()
     }
 
-    /// What it did.
+    /// Record of its executions.
     #[must_use]
     pub const fn journal(&self) -> &Journal {
         &self.journal
     }
 
-    /// Its present life and owner.
+    /// Its incarnation and the epoch of its owner.
     #[must_use]
     pub const fn hello(&self) -> Hello {
         Hello {
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Is taken over.
+    /// Accepts a new owner.
     ///
     /// # Errors
     /// As [`Slot::adopt`].
@@ -137,7 +140,7 @@
         })
     }
 
-    /// Renews its leases and tells its state.
+    /// Renews the leases of all tasks, drops the acknowledged ends, and returns its state.
     ///
     /// # Errors
     /// [`Refusal::Fenced`] for another epoch.
@@ -145,8 +148,8 @@
         self.slot.admit(pulse.epoch, pulse.life, 0, 0)?;
         self.tick(now);
         if pulse.lease_ms > 0 && now <= pulse.not_after {
-            for held in self.tasks.values_mut() {
-                held.expires = held.expires.max(now + pulse.lease_ms);
+            for running_task in self.tasks.values_mut() {
+                running_task.expires = running_task.expires.max(now + pulse.lease_ms);
             }
         }
         self.ended
@@ -154,24 +157,24 @@
         Ok(self.report(now))
     }
 
-    /// Begins to run a quick request.
+    /// Starts a quick request. `recorded_at` is the time that the journal gets.
     ///
     /// # Errors
-    /// A [`Refusal`], after which it will never run.
-    pub fn begin(&mut self, run: &Run, now: Moment, wall: u64) -> Result<(), Refusal> {
+    /// A [`Refusal`]: this attempt will never run.
+    pub fn begin_run(&mut self, run: &Run, now: Moment, recorded_at: u64) -> Result<(), Refusal> {
         self.slot.admit(run.epoch, run.life, now, run.not_after)?;
-        if self.mischief.leaving {
+        if self.faults.leaving {
             return Err(Refusal::Leaving);
         }
         let name = (run.id.clone(), run.attempt);
-        if self.runs.contains_key(&name) || self.past.iter().any(|(n, _)| *n == name) {
+        if self.runs.contains_key(&name) || self.completed.iter().any(|(n, _)| *n == name) {
             return Err(Refusal::Voided);
         }
         if self.runs.len() >= self.slots as usize {
             return Err(Refusal::Full);
         }
         let (id, key) = (run.id.clone(), run.key.clone());
-        let active = Active {
+        let active = ActiveRun {
             key: key.clone(),
             until: now + run.run_ms,
             span: self.journal.runs.len(),
@@ -179,18 +182,18 @@
         self.journal.runs.push(Span {
             id,
             key,
-            from: wall,
+            from: recorded_at,
             until: None,
         });
         self.runs.insert(name, active);
         Ok(())
     }
 
-    /// Ends a quick request with its answer; `None` if it was voided meanwhile.
-    pub fn end(&mut self, run: &Run, wall: u64) -> Option<Ran> {
+    /// Completes a quick request and returns its answer; `None` if the run was voided meanwhile.
+    pub fn end_run(&mut self, run: &Run, recorded_at: u64) -> Option<Ran> {
         let name = (run.id.clone(), run.attempt);
-        self.close(&name, wall)?;
-        let result = if self.mischief.fails {
+        self.close_run(&name, recorded_at)?;
+        let result = if self.faults.fails {
             Err("switched to fail".to_owned())
         } else {
             Ok(answer(run))
@@ -200,26 +203,27 @@
             attempt: run.attempt,
             result,
         };
-        self.remember(name, Some(ran.clone()));
+        self.record_completed(name, Some(ran.clone()));
         Some(ran)
     }
 
-    /// Makes sure that an attempt does not run (any more).
+    /// Ensures that an attempt at a quick request is not running and will not start; returns what
+    /// became of it.
     ///
     /// # Errors
     /// [`Refusal::Fenced`] for another epoch.
-    pub fn void(&mut self, void: &Void, wall: u64) -> Result<Voided, Refusal> {
+    pub fn void(&mut self, void: &Void, recorded_at: u64) -> Result<Voided, Refusal> {
         self.slot.admit(void.epoch, self.slot.incarnation(), 0, 0)?;
         let name = (void.id.clone(), void.attempt);
-        if self.close(&name, wall).is_some() {
-            self.remember(name, None);
+        if self.close_run(&name, recorded_at).is_some() {
+            self.record_completed(name, None);
             return Ok(Voided::Stopped);
         }
-        match self.past.iter().find(|(n, _)| *n == name) {
+        match self.completed.iter().find(|(n, _)| *n == name) {
             Some((_, Some(ran))) => Ok(Voided::Ended(ran.clone())),
             Some((_, None)) => Ok(Voided::Stopped),
             None => {
-                self.remember(name, None);
+                self.record_completed(name, None);
                 Ok(Voided::Never)
             }
         }
@@ -228,72 +232,74 @@
     /// Starts a task.
     ///
     /// # Errors
-    /// A [`Refusal`], after which it will never start.
+    /// A [`Refusal`]: this attempt will never start.
     pub fn start(&mut self, start: &Start, now: Moment) -> Result<(), Refusal> {
         self.slot
             .admit(start.epoch, start.life, now, start.not_after)?;
-        if self.mischief.leaving {
+        if self.faults.leaving {
             return Err(Refusal::Leaving);
         }
-        if !self.seen.insert(start.task.id.clone()) {
+        if !self.known_attempts.insert(start.task.id.clone()) {
             return Err(Refusal::Voided);
         }
         let id = &start.task.id;
         let name = format!("{}/{}/{}/{}", id.team, id.job, id.index, id.attempt);
         self.journal.starts.push(name);
         let expires = now + start.lease_ms;
-        let held = Held {
+        let running_task = RunningTask {
             task: start.task.clone(),
             since: now,
             expires,
         };
-        self.tasks.insert(start.task.id.clone(), held);
+        self.tasks.insert(start.task.id.clone(), running_task);
         let total: Size = self.tasks.values().map(|h| h.task.size).sum();
-        // It could refuse; but then no test would see that an owner gave it too much.
+        // Overload is recorded rather than refused, so that tests detect an owner that assigns too
+        // much.
         if !total.fits(self.size) {
             self.journal.over += 1;
         }
         Ok(())
     }
 
-    /// Stops a task, saving its work if asked to.
+    /// Stops a task, with a checkpoint of its work if requested; `None` if it was not running. A
+    /// later start of the same attempt is refused.
     ///
     /// # Errors
     /// [`Refusal::Fenced`] for another epoch.
     pub fn stop(&mut self, stop: &Stop, now: Moment) -> Result<Option<Stopped>, Refusal> {
         self.slot.admit(stop.epoch, self.slot.incarnation(), 0, 0)?;
-        self.seen.insert(stop.task.clone());
-        let Some(held) = self.tasks.remove(&stop.task) else {
+        self.known_attempts.insert(stop.task.clone());
+        let Some(running_task) = self.tasks.remove(&stop.task) else {
             return Ok(None);
         };
-        let done = held.task.saved_ms + (now - held.since);
+        let done = running_task.task.saved_ms + (now - running_task.since);
         Ok(Some(Stopped {
             saved_ms: if stop.checkpoint { done } else { 0 },
         }))
     }
 
-    /// Slows a task down.
+    /// Limits the usage of all tasks to their declared size.
     ///
     /// # Errors
     /// [`Refusal::Fenced`] for another epoch.
     pub fn throttle(&mut self, throttle: &Throttle) -> Result<(), Refusal> {
         self.slot
             .admit(throttle.epoch, self.slot.incarnation(), 0, 0)?;
-        self.mischief.usage_percent = self.mischief.usage_percent.min(100);
+        self.faults.usage_percent = self.faults.usage_percent.min(100);
         Ok(())
     }
 
-    /// Lets time pass: tasks finish, fail, or lose their leases; overlong runs are ended.
+    /// Advances the time: ends tasks that have finished or failed, or whose lease has expired.
     pub fn tick(&mut self, now: Moment) {
-        let fails = self.mischief.fails;
-        let over = |held: &Held| {
-            let worked = held.task.saved_ms + (now - held.since);
-            let finishes = held.task.shape != Shape::Service;
-            if now >= held.expires {
+        let fails = self.faults.fails;
+        let end_state = |running_task: &RunningTask| {
+            let worked_ms = running_task.task.saved_ms + (now - running_task.since);
+            let has_end = running_task.task.shape != Shape::Service;
+            if now >= running_task.expires {
                 Some(AttemptState::Lost)
             } else if fails {
                 Some(AttemptState::Failed)
-            } else if finishes && worked >= held.task.run_ms {
+            } else if has_end && worked_ms >= running_task.task.run_ms {
                 Some(AttemptState::Finished)
             } else {
                 None
@@ -302,79 +308,80 @@
         let done: Vec<(TaskId, AttemptState)> = self
             .tasks
             .iter()
-            .filter_map(|(id, h)| Some((id.clone(), over(h)?)))
+            .filter_map(|(id, h)| Some((id.clone(), end_state(h)?)))
             .collect();
         for (task, fate) in done {
-            if let Some(held) = self.tasks.remove(&task) {
+            if let Some(running_task) = self.tasks.remove(&task) {
                 self.ended.push(Ended {
                     task,
-                    home: held.task.home,
+                    home: running_task.task.home,
                     fate,
                 });
             }
         }
     }
 
-    /// How long a run takes: what its body asks for, if it says `work_ms=N`.
+    /// Duration of a run: `N` ms if the body contains `work_ms=N`, otherwise 2 ms; at most
+    /// `run_ms`.
     #[must_use]
-    pub fn work(run: &Run) -> Duration {
+    pub fn run_duration(run: &Run) -> Duration {
         let text = String::from_utf8_lossy(&run.body.0);
-        let asked = text.split("work_ms=").nth(1).and_then(|rest| {
+        let requested = text.split("work_ms=").nth(1).and_then(|rest| {
             let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
             digits.parse().ok()
         });
-        Duration::from_millis(asked.unwrap_or(2).min(run.run_ms))
+        Duration::from_millis(requested.unwrap_or(2).min(run.run_ms))
     }
 
     fn report(&self, now: Moment) -> Report {
-        let percent = match self.mischief.usage_percent {
-            0 => USAGE_PERCENT,
+        let percent = match self.faults.usage_percent {
+            0 => DEFAULT_USAGE_PERCENT,
             p => u64::from(p),
         };
-        let running = |held: &Held| {
-            let size = held.task.size;
-            let shown = now.saturating_sub(held.since) >= USAGE_LAG;
-            let percent = if shown { percent } else { 0 };
+        let running = |running_task: &RunningTask| {
+            let size = running_task.task.size;
+            let measured = now.saturating_sub(running_task.since) >= USAGE_LAG;
+            let percent = if measured { percent } else { 0 };
             let usage = Size::new(
                 size.millicores * percent / 100,
                 size.memory_mib * percent / 100,
                 size.accelerators,
             );
             Running {
-                task: held.task.clone(),
+                task: running_task.task.clone(),
                 usage,
             }
         };
-        let occupied = |a: &Active| Occupied {
+        let occupied = |a: &ActiveRun| Occupied {
             key: a.key.clone(),
             until: a.until,
         };
         Report {
             clock: now,
-            leaving: self.mischief.leaving,
+            leaving: self.faults.leaving,
             tasks: self.tasks.values().map(running).collect(),
             ended: self.ended.clone(),
             runs: self.runs.values().map(occupied).collect(),
         }
     }
 
-    fn close(&mut self, name: &(String, u64), wall: u64) -> Option<()> {
+    fn close_run(&mut self, name: &(String, u64), recorded_at: u64) -> Option<()> {
         let active = self.runs.remove(name)?;
         if let Some(span) = self.journal.runs.get_mut(active.span) {
-            span.until = Some(wall);
+            span.until = Some(recorded_at);
         }
         Some(())
     }
 
-    fn remember(&mut self, name: (String, u64), ran: Option<Ran>) {
-        self.past.push_back((name, ran));
-        if self.past.len() > REMEMBERED {
-            self.past.pop_front();
+    fn record_completed(&mut self, name: (String, u64), ran: Option<Ran>) {
+        self.completed.push_back((name, ran));
+        if self.completed.len() > MAX_COMPLETED_RUNS {
+            self.completed.pop_front();
         }
     }
 }
 
-/// The answer names the request, so that a caller can tell it from anybody else's.
+/// The answer contains id and key of the request, so that tests detect answers to other requests.
 fn answer(run: &Run) -> Body {
     let text = String::from_utf8_lossy(&run.body.0);
     Body(format!("{} {} {text}", run.id, run.key).into_bytes())
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! A platform: table, object store, lagging host list.
+//! A fake platform in memory: table, object store and stale host list.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,33 +12,33 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// How the platform misbehaves.
+/// Faults that the platform can be switched to.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Nothing works.
+    /// Every call fails.
     pub down: bool,
-    /// Every call takes this much longer, in milliseconds.
+    /// Latency added to every call, in milliseconds.
     pub slow_ms: u64,
-    /// So many of the next transactions take effect, but their answers are lost.
+    /// Number of further transactions that take effect while their answers are lost.
     pub lose: u32,
-    /// The host list is this old, in milliseconds.
+    /// Age of the host list that calls return, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// What the platform has done so far.
+/// Totals of the calls that the platform served.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Counts {
-    /// Transactions that were asked for.
+    /// Transactions requested, including those with conflicts, and objects written.
     pub writes: u64,
-    /// Scans, lists and objects that were read.
+    /// Scans, host lists and objects read.
     pub reads: u64,
-    /// Rows that were written.
+    /// Rows written.
     pub rows: u64,
 }
 
-/// A platform in memory.
+/// Table, object store and host list in memory.
 #[derive(Debug, Default)]
 pub struct Platform {
     inner: Mutex<Inner>,
@@ -48,67 +48,67 @@
 struct Inner {
     version: Version,
     rows: BTreeMap<String, (Version, Option<String>)>,
-    /// Keys in the order in which they were last written.
-    log: BTreeMap<Version, Vec<String>>,
+    /// Keys by the version of their last write.
+    keys_by_version: BTreeMap<Version, Vec<String>>,
     objects: BTreeMap<String, Vec<u8>>,
-    /// States of the host list with the times at which they came about.
-    lists: VecDeque<(Option<Instant>, Vec<Host>)>,
+    /// States of the host list with the times of their changes, oldest first.
+    host_lists: VecDeque<(Option<Instant>, Vec<Host>)>,
     faults: Faults,
     counts: Counts,
 }
 
 impl Platform {
-    /// Sets how the platform misbehaves.
+    /// Replaces the faults.
     pub fn set(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// How the platform misbehaves.
+    /// The current faults.
     pub fn faults(&self) -> Faults {
         self.lock().faults.clone()
     }
 
-    /// What it has done so far.
+    /// Totals of the calls so far.
     pub fn counts(&self) -> Counts {
         self.lock().counts
     }
 
-    /// Lists a host, or changes how it is listed.
+    /// Adds a host to the host list, or replaces its entry.
     pub fn list(&self, host: Host) {
         let mut inner = self.lock();
         let mut list = inner
-            .lists
+            .host_lists
             .back()
             .map(|(_, list)| list.clone())
             .unwrap_or_default();
         list.retain(|h| h.name != host.name);
         list.push(host);
         list.sort_by(|a, b| a.name.cmp(&b.name));
-        inner.lists.push_back((Some(Instant::now()), list));
+        inner.host_lists.push_back((Some(Instant::now()), list));
     }
 
-    /// Lists a host as leaving, or as gone.
-    pub fn unlist(&self, name: &str, gone: bool) {
+    /// Marks a host as leaving, or removes it if `removed`.
+    pub fn unlist(&self, name: &str, removed: bool) {
         let mut inner = self.lock();
         let mut list = inner
-            .lists
+            .host_lists
             .back()
             .map(|(_, list)| list.clone())
             .unwrap_or_default();
-        if gone {
+        if removed {
             list.retain(|h| h.name != name);
         } else if let Some(host) = list.iter_mut().find(|h| h.name == name) {
             host.standing = Standing::Leaving;
         }
-        inner.lists.push_back((Some(Instant::now()), list));
+        inner.host_lists.push_back((Some(Instant::now()), list));
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Is late or fails, as told.
-    async fn stumble(&self) -> Result<(), Error> {
+    /// Delays or fails the call according to the faults.
+    async fn inject_faults(&self) -> Result<(), Error> {
         let Faults { down, slow_ms, .. } = self.faults();
         if slow_ms > 0 {
             tokio::time::sleep(Duration::from_millis(slow_ms)).await;
@@ -132,7 +132,7 @@
         }
     }
 
-    fn holds(&self, check: &Check) -> bool {
+    fn check_holds(&self, check: &Check) -> bool {
         match self.rows.get(&check.key) {
             Some((version, Some(_))) => *version == check.version,
             _ => check.version == 0,
@@ -141,7 +141,10 @@
 
     fn commit(&mut self, transaction: Transaction) -> Result<Version, Error> {
         self.counts.writes += 1;
-        let failed = transaction.checks.iter().filter(|check| !self.holds(check));
+        let failed = transaction
+            .checks
+            .iter()
+            .filter(|check| !self.check_holds(check));
         let rows: Vec<Row> = failed.map(|check| self.row(&check.key)).collect();
         if !rows.is_empty() {
             return Err(Error::Conflict { rows });
@@ -153,14 +156,17 @@
                 .rows
                 .insert(write.key.clone(), (self.version, write.value));
             if let Some((version, _)) = old
-                && let Some(keys) = self.log.get_mut(&version)
+                && let Some(keys) = self.keys_by_version.get_mut(&version)
             {
                 keys.retain(|key| *key != write.key);
                 if keys.is_empty() {
-                    self.log.remove(&version);
+                    self.keys_by_version.remove(&version);
                 }
             }
-            self.log.entry(self.version).or_default().push(write.key);
+            self.keys_by_version
+                .entry(self.version)
+                .or_default()
+                .push(write.key);
         }
         if self.faults.lose > 0 {
             self.faults.lose -= 1;
@@ -174,7 +180,10 @@
     fn scan(&mut self, prefixes: &[&str], since: Version) -> Scan {
         self.counts.reads += 1;
         let wanted = |key: &str| prefixes.iter().any(|p| key.starts_with(p));
-        let keys = self.log.range(since + 1..).flat_map(|(_, keys)| keys);
+        let keys = self
+            .keys_by_version
+            .range(since + 1..)
+            .flat_map(|(_, keys)| keys);
         let rows: Vec<Row> = keys
             .filter(|key| wanted(key))
             .map(|key| self.row(key))
@@ -185,15 +194,15 @@
         }
     }
 
-    fn listed(&mut self) -> Vec<Host> {
+    fn visible_hosts(&mut self) -> Vec<Host> {
         self.counts.reads += 1;
         let lag = Duration::from_millis(self.faults.lag_ms);
         let now = Instant::now();
         let old = |at: &Option<Instant>| at.is_none_or(|at| now.duration_since(at) >= lag);
-        while self.lists.len() > 1 && self.lists.get(1).is_some_and(|(at, _)| old(at)) {
-            self.lists.pop_front();
+        while self.host_lists.len() > 1 && self.host_lists.get(1).is_some_and(|(at, _)| old(at)) {
+            self.host_lists.pop_front();
         }
-        self.lists
+        self.host_lists
             .front()
             .filter(|(at, _)| old(at))
             .map(|(_, l)| l.clone())
@@ -204,12 +213,12 @@
 #[async_trait]
 impl Table for Platform {
     async fn commit(&self, transaction: Transaction) -> Result<Version, Error> {
-        self.stumble().await?;
+        self.inject_faults().await?;
         self.lock().commit(transaction)
     }
 
     async fn scan(&self, prefixes: &[&str], since: Version) -> Result<Scan, Error> {
-        self.stumble().await?;
+        self.inject_faults().await?;
         Ok(self.lock().scan(prefixes, since))
     }
 }
@@ -217,8 +226,8 @@
 #[async_trait]
 impl Hosts for Platform {
     async fn hosts(&self, racks: &[id::Rack]) -> Result<Vec<Host>, Error> {
-        self.stumble().await?;
-        let mut list = self.lock().listed();
+        self.inject_faults().await?;
+        let mut list = self.lock().visible_hosts();
         list.retain(|host| racks.is_empty() || racks.contains(&host.rack));
         Ok(list)
     }
@@ -227,7 +236,7 @@
 #[async_trait]
 impl Objects for Platform {
     async fn put(&self, name: &str, value: Vec<u8>) -> Result<(), Error> {
-        self.stumble().await?;
+        self.inject_faults().await?;
         let mut inner = self.lock();
         inner.counts.writes += 1;
         inner.objects.insert(name.to_owned(), value);
@@ -235,7 +244,7 @@
     }
 
     async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
-        self.stumble().await?;
+        self.inject_faults().await?;
         let mut inner = self.lock();
         inner.counts.reads += 1;
         Ok(inner.objects.get(name).cloned())
--- a/crates/standin/src/racks.rs
+++ b/crates/standin/src/racks.rs
@@ -1,4 +1,4 @@
-//! Many machines that are called inside a test.
+//! Many fake workers inside a test process, called without a network.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,35 +14,35 @@
 };
 use worker::{Error, Host, Refusal};
 
-use crate::{Journal, Machine, Mischief};
+use crate::{Journal, Machine, WorkerFaults};
 
-/// Machines by address.
+/// Fake workers by address.
 #[derive(Clone, Debug)]
 pub struct Racks {
-    since: Uptime,
+    uptime: Uptime,
     machines: Arc<Mutex<BTreeMap<String, Machine>>>,
 }
 
 impl Default for Racks {
     fn default() -> Self {
         Self {
-            since: Uptime::start(),
+            uptime: Uptime::start(),
             machines: Arc::default(),
         }
     }
 }
 
 impl Racks {
-    /// Adds a machine.
+    /// Adds a worker of this size that runs up to `slots` quick requests at once.
     pub fn add(&self, address: &str, size: Size, slots: u32) {
         self.lock()
             .insert(address.to_owned(), Machine::new(size, slots, 1));
     }
 
-    /// Does something to a machine.
+    /// Calls `change` with the worker at this address.
     ///
     /// # Panics
-    /// If there is none at this address.
+    /// If there is no worker at this address.
     pub fn with<T>(&self, address: &str, change: impl FnOnce(&mut Machine) -> T) -> T {
         let mut machines = self.lock();
         let Some(machine) = machines.get_mut(address) else {
@@ -51,24 +51,24 @@
         change(machine)
     }
 
-    /// Lets a machine misbehave.
-    pub fn set(&self, address: &str, mischief: Mischief) {
-        self.with(address, |machine| machine.set(mischief));
+    /// Replaces the faults of a worker.
+    pub fn set(&self, address: &str, faults: WorkerFaults) {
+        self.with(address, |machine| machine.set(faults));
     }
 
-    /// Attempts at tasks that run at this moment, on all machines.
+    /// Task attempts that are running now, on all workers.
     #[must_use]
-    pub fn held(&self) -> Vec<TaskId> {
+    pub fn running_attempts(&self) -> Vec<TaskId> {
         let now = self.now();
         let mut machines = self.lock();
         machines.values_mut().for_each(|machine| machine.tick(now));
         machines
             .values()
-            .flat_map(|machine| machine.holds().cloned())
+            .flat_map(|machine| machine.running_attempts().cloned())
             .collect()
     }
 
-    /// Journals of all machines, by address.
+    /// Journals of all workers, by address.
     #[must_use]
     pub fn journals(&self) -> BTreeMap<String, Journal> {
         self.lock()
@@ -82,16 +82,16 @@
     }
 
     fn now(&self) -> Moment {
-        self.since.elapsed().as_millis() as Moment
+        self.uptime.elapsed().as_millis() as Moment
     }
 
-    /// Calls a machine, unless it is frozen, in which case nothing ever answers.
+    /// Calls a worker. A frozen one gives no answer until the caller's timeout.
     async fn call<T>(
         &self,
         address: &str,
         call: impl FnOnce(&mut Machine, Moment) -> Result<T, Refusal>,
     ) -> Result<T, Error> {
-        let frozen = self.lock().get(address).map(|m| m.mischief().frozen);
+        let frozen = self.lock().get(address).map(|m| m.faults().frozen);
         match frozen {
             None => {
                 return Err(Error::NotSent {
@@ -130,13 +130,12 @@
     }
 
     async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<Ran, Error> {
-        self.call(address, |m, now| m.begin(&run, now, now)).await?;
-        tokio::time::sleep(Machine::work(&run)).await;
+        self.call(address, |m, now| m.begin_run(&run, now, now))
+            .await?;
+        tokio::time::sleep(Machine::run_duration(&run)).await;
         let now = self.now();
-        let ran = self.with(address, |m| m.end(&run, now));
-        if self.with(address, |m| {
-            m.mischief().loses_answers || m.mischief().frozen
-        }) {
+        let ran = self.with(address, |m| m.end_run(&run, now));
+        if self.with(address, |m| m.faults().loses_answers || m.faults().frozen) {
             tokio::time::sleep(limit).await;
             return Err(Error::NoAnswer {
                 reason: "the answer was lost".to_owned(),
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,7 +1,7 @@
-//! The stand-ins over HTTP.
+//! The fakes over HTTP.
 
 mod machine;
 mod platform;
 
-pub use machine::{Control, machines};
-pub use platform::{Scanned, platform};
+pub use machine::{ServedMachine, machine_router};
+pub use platform::{ScanQuery, platform_router};
--- a/crates/standin/src/serve/machine.rs
+++ b/crates/standin/src/serve/machine.rs
@@ -1,4 +1,4 @@
-//! One worker over HTTP.
+//! A fake worker over HTTP.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -13,31 +13,31 @@
 use worker::Refusal;
 use worker::call::{Adopt, Moment, Pulse, Run, Start, Stop, Throttle, Void};
 
-use crate::{Machine, Mischief};
+use crate::{Machine, WorkerFaults};
 
-/// How often tasks are looked at.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval at which the time of the worker advances, and a frozen worker is checked for its end.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A worker that is served.
+/// A fake worker with the clock of its process.
 #[derive(Clone, Debug)]
-pub struct Control {
+pub struct ServedMachine {
     machine: Arc<Mutex<Machine>>,
-    since: Uptime,
+    uptime: Uptime,
 }
 
-impl Control {
-    /// Serves this machine from now on.
+impl ServedMachine {
+    /// Wraps a worker; its clock starts now.
     #[must_use]
     pub fn new(machine: Machine) -> Self {
         Self {
             machine: Arc::new(Mutex::new(machine)),
-            since: Uptime::start(),
+            uptime: Uptime::start(),
         }
     }
 
-    /// Lets time pass until the program ends.
-    pub async fn tick(self, ending: Shutdown) {
-        while ending.sleep(TICK).await {
+    /// Advances the time of the worker until shutdown.
+    pub async fn tick(self, stop: Shutdown) {
+        while stop.sleep(TICK_INTERVAL).await {
             let now = self.now();
             self.lock().tick(now);
         }
@@ -48,16 +48,16 @@
     }
 
     fn now(&self) -> Moment {
-        self.since.elapsed().as_millis() as Moment
+        self.uptime.elapsed().as_millis() as Moment
     }
 
-    /// Calls the machine, unless it is frozen: then nothing answers until it thaws.
+    /// Calls the worker; while it is frozen, waits and does not answer.
     async fn call<T: Serialize>(
         &self,
         call: impl FnOnce(&mut Machine, Moment) -> Result<T, Refusal>,
     ) -> Response {
-        while self.lock().mischief().frozen {
-            tokio::time::sleep(TICK).await;
+        while self.lock().faults().frozen {
+            tokio::time::sleep(TICK_INTERVAL).await;
         }
         let now = self.now();
         match call(&mut self.lock(), now) {
@@ -67,8 +67,8 @@
     }
 }
 
-/// Serves a worker: its own calls, and `/control` and `/journal` for whoever runs it.
-pub fn machines(control: Control) -> Router {
+/// The calls of a worker, and `/control`, `/restart` and `/journal` for tests and operators.
+pub fn machine_router(served: ServedMachine) -> Router {
     Router::new()
         .route("/hello", post(hello))
         .route("/adopt", post(adopt))
@@ -78,33 +78,35 @@
         .route("/start", post(start))
         .route("/stop", post(stop))
         .route("/throttle", post(throttle))
-        .route("/control", post(mischief))
+        .route("/control", post(set_faults))
         .route("/restart", post(restart))
         .route("/journal", get(journal))
-        .with_state(control)
+        .with_state(served)
 }
 
-async fn hello(State(control): State<Control>) -> Response {
-    control.call(|m, _| Ok(m.hello())).await
+async fn hello(State(served): State<ServedMachine>) -> Response {
+    served.call(|m, _| Ok(m.hello())).await
 }
 
-async fn adopt(State(control): State<Control>, Json(adopt): Json<Adopt>) -> Response {
-    control.call(|m, now| m.adopt(&adopt, now)).await
+async fn adopt(State(served): State<ServedMachine>, Json(adopt): Json<Adopt>) -> Response {
+    served.call(|m, now| m.adopt(&adopt, now)).await
 }
 
-async fn pulse(State(control): State<Control>, Json(pulse): Json<Pulse>) -> Response {
-    control.call(|m, now| m.pulse(&pulse, now)).await
+async fn pulse(State(served): State<ServedMachine>, Json(pulse): Json<Pulse>) -> Response {
+    served.call(|m, now| m.pulse(&pulse, now)).await
 }
 
-async fn run(State(control): State<Control>, Json(run): Json<Run>) -> Response {
-    let begun = control.call(|m, now| m.begin(&run, now, wall())).await;
-    if begun.status() != StatusCode::OK {
-        return begun;
+async fn run(State(served): State<ServedMachine>, Json(run): Json<Run>) -> Response {
+    let started = served
+        .call(|m, now| m.begin_run(&run, now, unix_ms()))
+        .await;
+    if started.status() != StatusCode::OK {
+        return started;
     }
-    tokio::time::sleep(Machine::work(&run)).await;
-    let ran = control.lock().end(&run, wall());
-    let mischief = control.lock().mischief();
-    if mischief.loses_answers || mischief.frozen {
+    tokio::time::sleep(Machine::run_duration(&run)).await;
+    let ran = served.lock().end_run(&run, unix_ms());
+    let faults = served.lock().faults();
+    if faults.loses_answers || faults.frozen {
         std::future::pending::<()>().await;
     }
     match ran {
@@ -113,35 +115,35 @@
     }
 }
 
-async fn void(State(control): State<Control>, Json(void): Json<Void>) -> Response {
-    control.call(|m, _| m.void(&void, wall())).await
+async fn void(State(served): State<ServedMachine>, Json(void): Json<Void>) -> Response {
+    served.call(|m, _| m.void(&void, unix_ms())).await
 }
 
-async fn start(State(control): State<Control>, Json(start): Json<Start>) -> Response {
-    control.call(|m, now| m.start(&start, now)).await
+async fn start(State(served): State<ServedMachine>, Json(start): Json<Start>) -> Response {
+    served.call(|m, now| m.start(&start, now)).await
 }
 
-async fn stop(State(control): State<Control>, Json(stop): Json<Stop>) -> Response {
-    control.call(|m, now| m.stop(&stop, now)).await
+async fn stop(State(served): State<ServedMachine>, Json(stop): Json<Stop>) -> Response {
+    served.call(|m, now| m.stop(&stop, now)).await
 }
 
-async fn throttle(State(control): State<Control>, Json(throttle): Json<Throttle>) -> Response {
-    control.call(|m, _| m.throttle(&throttle)).await
+async fn throttle(State(served): State<ServedMachine>, Json(throttle): Json<Throttle>) -> Response {
+    served.call(|m, _| m.throttle(&throttle)).await
 }
 
-async fn mischief(State(control): State<Control>, Json(mischief): Json<Mischief>) {
-    control.lock().set(mischief);
+async fn set_faults(State(served): State<ServedMachine>, Json(faults): Json<WorkerFaults>) {
+    served.lock().set(faults);
 }
 
-async fn restart(State(control): State<Control>) {
-    control.lock().restart();
+async fn restart(State(served): State<ServedMachine>) {
+    served.lock().restart();
 }
 
-async fn journal(State(control): State<Control>) -> Response {
-    Json(control.lock().journal().clone()).into_response()
+async fn journal(State(served): State<ServedMachine>) -> Response {
+    Json(served.lock().journal().clone()).into_response()
 }
 
-fn wall() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |d| d.as_millis() as u64)
+fn unix_ms() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |d| d.as_millis() as u64)
 }
--- a/crates/standin/src/serve/platform.rs
+++ b/crates/standin/src/serve/platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! The fake platform over HTTP.
 
 use std::sync::Arc;
 
@@ -13,27 +13,28 @@
 
 use crate::{Faults, Platform};
 
-/// Asks for rows.
+/// Body of a scan: rows under these prefixes that changed after version `since`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Scanned {
+pub struct ScanQuery {
     prefixes: Vec<String>,
     since: u64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Listed {
+struct HostsQuery {
     racks: Vec<String>,
 }
 
 type Shared = State<Arc<Platform>>;
 
-/// Most bytes in one call.
-const MAX_BODY: usize = 16 * 1024 * 1024;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Serves a platform: its own calls, and `/control`, `/stats` and `/register` for whoever runs it.
-pub fn platform(platform: Arc<Platform>) -> Router {
+/// The calls of the platform, and `/register`, `/unlist`, `/control` and `/stats` for tests and
+/// operators.
+pub fn platform_router(platform: Arc<Platform>) -> Router {
     Router::new()
         .route("/table/commit", post(commit))
         .route("/table/scan", post(scan))
@@ -43,29 +44,29 @@
         .route("/unlist/{name}", post(unlist))
         .route("/control", post(control))
         .route("/stats", get(stats))
-        .layer(DefaultBodyLimit::max(MAX_BODY))
+        .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
         .with_state(platform)
 }
 
 async fn commit(State(platform): Shared, Json(transaction): Json<Transaction>) -> Response {
     match platform.commit(transaction).await {
         Ok(version) => Json(version).into_response(),
-        Err(error) => failed(error),
+        Err(error) => error_response(error),
     }
 }
 
-async fn scan(State(platform): Shared, Json(asked): Json<Scanned>) -> Response {
-    let prefixes: Vec<&str> = asked.prefixes.iter().map(String::as_str).collect();
-    match platform.scan(&prefixes, asked.since).await {
+async fn scan(State(platform): Shared, Json(query): Json<ScanQuery>) -> Response {
+    let prefixes: Vec<&str> = query.prefixes.iter().map(String::as_str).collect();
+    match platform.scan(&prefixes, query.since).await {
         Ok(scan) => Json(scan).into_response(),
-        Err(error) => failed(error),
+        Err(error) => error_response(error),
     }
 }
 
-async fn list(State(platform): Shared, Json(asked): Json<Listed>) -> Response {
-    match platform.hosts(&asked.racks).await {
+async fn list(State(platform): Shared, Json(query): Json<HostsQuery>) -> Response {
+    match platform.hosts(&query.racks).await {
         Ok(hosts) => Json(hosts).into_response(),
-        Err(error) => failed(error),
+        Err(error) => error_response(error),
     }
 }
 
@@ -73,14 +74,14 @@
     match platform.get(&name).await {
         Ok(Some(value)) => value.into_response(),
         Ok(None) => StatusCode::NOT_FOUND.into_response(),
-        Err(error) => failed(error),
+        Err(error) => error_response(error),
     }
 }
 
 async fn write(State(platform): Shared, Path(name): Path<String>, value: Bytes) -> Response {
     match platform.put(&name, value.to_vec()).await {
         Ok(()) => StatusCode::OK.into_response(),
-        Err(error) => failed(error),
+        Err(error) => error_response(error),
     }
 }
 
@@ -100,8 +101,9 @@
     Json(platform.counts()).into_response()
 }
 
-/// A lost answer is shown as a connection that breaks: the body is shorter than it says.
-fn failed(error: Error) -> Response {
+/// Response for an error of the platform. A lost answer becomes a truncated JSON body, from which
+/// the client can't tell whether its transaction took effect.
+fn error_response(error: Error) -> Response {
     match error {
         Error::Down { .. } => StatusCode::SERVICE_UNAVAILABLE.into_response(),
         Error::Lost { .. } => (StatusCode::OK, "{").into_response(),
--- a/crates/standin/tests/link.rs
+++ b/crates/standin/tests/link.rs
@@ -1,4 +1,4 @@
-//! The link between regions passes on everything, in order, and counts it.
+//! The fake link between regions relays all bytes in order and counts them.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -6,26 +6,27 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use standin::{Carried, link};
+use standin::{LinkTraffic, link};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Both sides see what the other sent, whole; the link has counted both ways.
+/// Guards against lost or reordered bytes: an echo of 200000 bytes returns unchanged, and the link
+/// has counted them in both directions.
 #[tokio::test]
-async fn a_link_carries_everything_both_ways() {
-    let far = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let to = far.local_addr().unwrap().to_string();
-    let near = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = near.local_addr().unwrap();
-    let carried = Arc::new(Carried::default());
-    let linking = tokio::spawn(link(
-        near,
+async fn a_link_relays_both_directions_completely() {
+    let target = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let to = target.local_addr().unwrap().to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let traffic = Arc::new(LinkTraffic::default());
+    let relay = tokio::spawn(link(
+        listener,
         to,
         Duration::from_millis(1),
-        Arc::clone(&carried),
+        Arc::clone(&traffic),
     ));
     let echo = tokio::spawn(async move {
-        let (mut stream, _) = far.accept().await.unwrap();
+        let (mut stream, _) = target.accept().await.unwrap();
         let mut all = Vec::new();
         stream.read_to_end(&mut all).await.unwrap();
         stream.write_all(&all).await.unwrap();
@@ -37,8 +38,8 @@
     let mut got = Vec::new();
     read.read_to_end(&mut got).await.unwrap();
     assert!(got == sent, "{} bytes of {}", got.len(), sent.len());
-    assert_eq!(carried.there.load(Ordering::Relaxed), 200_000);
-    assert_eq!(carried.back.load(Ordering::Relaxed), 200_000);
+    assert_eq!(traffic.outbound.load(Ordering::Relaxed), 200_000);
+    assert_eq!(traffic.inbound.load(Ordering::Relaxed), 200_000);
     echo.await.unwrap();
-    linking.abort();
+    relay.abort();
 }
