--- a/crates/placer/tests/jobs.rs
+++ b/crates/placer/tests/jobs.rs
@@ -6,7 +6,7 @@
 
 use cluster::{Cluster, job, ms, secs, wait_until};
 use resource::Size;
-use standin::{Faults, Mischief};
+use standin::{Faults, WorkerFaults};
 use wire::{Kind, Phase, Shape};
 
 async fn placers(racks: usize, workers: u32, n: usize) -> Cluster {
@@ -76,9 +76,9 @@
     let victim = names.iter().find(|n| held(n) > 0).unwrap().clone();
     cluster.racks.set(
         &victim,
-        Mischief {
+        WorkerFaults {
             frozen: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     let started_at = tokio::time::Instant::now();
@@ -307,9 +307,9 @@
         .await;
     cluster.racks.set(
         "r1-0",
-        Mischief {
+        WorkerFaults {
             usage_percent: 150,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     cluster
@@ -325,9 +325,9 @@
     let cluster = placers(1, 3, 1).await;
     cluster.racks.set(
         "r1-1",
-        Mischief {
+        WorkerFaults {
             leaving: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     tokio::time::sleep(secs(3)).await;
--- a/crates/placer/tests/outages.rs
+++ b/crates/placer/tests/outages.rs
@@ -165,9 +165,9 @@
         .await;
     let freeze = |frozen| {
         for n in 0..3 {
-            let mischief = standin::Mischief {
+            let mischief = standin::WorkerFaults {
                 frozen,
-                ..standin::Mischief::default()
+                ..standin::WorkerFaults::default()
             };
             cluster.racks.set(&format!("z1-{n}"), mischief);
         }
@@ -192,7 +192,7 @@
     wait_until(secs(15), || cluster.is_active("p1", "z1")).await;
     let answer = cluster.send_to("p1", request("c", &lost, false, 5)).await;
     assert_eq!(answer.class(), Class::Done);
-    wait_until(secs(30), || cluster.racks.held().len() == 6).await;
+    wait_until(secs(30), || cluster.racks.running_attempts().len() == 6).await;
     cluster.check_no_duplicate_attempts();
     cluster.check_invariants();
     cluster.end().await;
--- a/crates/placer/tests/requests.rs
+++ b/crates/placer/tests/requests.rs
@@ -6,7 +6,7 @@
 mod cluster;
 
 use cluster::{Cluster, ms, request, secs, wait_until};
-use standin::{Faults, Mischief};
+use standin::{Faults, WorkerFaults};
 use wire::{Answer, Class, Kind};
 
 async fn one_placer() -> Cluster {
@@ -23,7 +23,7 @@
     }
 }
 
-fn set_all(cluster: &Cluster, mischief: Mischief) {
+fn set_all(cluster: &Cluster, mischief: WorkerFaults) {
     for n in 0..3 {
         cluster.racks.set(&format!("r1-{n}"), mischief);
     }
@@ -148,14 +148,14 @@
     tokio::time::sleep(ms(100)).await;
     set_all(
         &cluster,
-        Mischief {
+        WorkerFaults {
             frozen: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     let answer = first.await.unwrap();
     assert_eq!(answer.class(), Class::MayHaveRun);
-    set_all(&cluster, Mischief::default());
+    set_all(&cluster, WorkerFaults::default());
     tokio::time::sleep(secs(1)).await;
     let second = cluster.send(request("b", "seat", true, 5)).await;
     assert_eq!(second.class(), Class::Done);
@@ -170,9 +170,9 @@
     let cluster = one_placer().await;
     set_all(
         &cluster,
-        Mischief {
+        WorkerFaults {
             loses_answers: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     let answer = cluster.send(request("a", "seat", false, 5)).await;
@@ -236,9 +236,9 @@
     let cluster = one_placer().await;
     cluster.racks.set(
         "r1-0",
-        Mischief {
+        WorkerFaults {
             fails: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     let mut failed = 0;
@@ -263,9 +263,9 @@
     });
     cluster.racks.set(
         "r1-0",
-        Mischief {
+        WorkerFaults {
             leaving: true,
-            ..Mischief::default()
+            ..WorkerFaults::default()
         },
     );
     cluster.platform.unlist("r1-0", false);
--- a/crates/placer/tests/schedules.rs
+++ b/crates/placer/tests/schedules.rs
@@ -14,7 +14,7 @@
 use placer::Server;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use standin::{Faults, Mischief};
+use standin::{Faults, WorkerFaults};
 use wire::rpc::PlacerServer as _;
 use wire::{Answer, Class, Shape};
 
@@ -137,9 +137,9 @@
         self.cluster.platform.set(faults);
     }
 
-    fn mischief(&self, worker: u32, change: impl FnOnce(&mut Mischief)) {
+    fn mischief(&self, worker: u32, change: impl FnOnce(&mut WorkerFaults)) {
         self.cluster.racks.with(&name_of(worker), |machine| {
-            let mut mischief = machine.mischief();
+            let mut mischief = machine.faults();
             change(&mut mischief);
             machine.set(mischief);
         });
@@ -181,7 +181,7 @@
             placer.faults.cut_peers(false);
         }
         for worker in 0..WORKERS * 2 {
-            self.mischief(worker, |mischief| *mischief = Mischief::default());
+            self.mischief(worker, |mischief| *mischief = WorkerFaults::default());
         }
         tokio::time::sleep(secs(30)).await;
         for answers in &mut self.answers {
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,7 +1,7 @@
-//! The stand-ins over HTTP.
+//! The fakes over HTTP.
 
-mod hosts;
-mod table;
+mod machine;
+mod platform;
 
-pub use hosts::{Control, machines};
-pub use table::{Scanned, platform};
+pub use machine::{ServedMachine, machine_router};
+pub use platform::{ScanQuery, platform_router};
