--- a/crates/cell/src/clock.rs
+++ b/crates/cell/src/clock.rs
@@ -40,10 +40,10 @@
     ///
     /// let ms = Duration::from_millis;
     /// let clock = Clock::new(500, ms(10), ms(30));
-    /// assert!(clock.before(ms(1_030)) <= 500 + 1_000);
+    /// assert!(clock.earliest_moment(ms(1_030)) <= 500 + 1_000);
     /// ```
     #[must_use]
-    pub fn before(&self, time: Now) -> Moment {
+    pub fn earliest_moment(&self, time: Now) -> Moment {
         let ahead = time.saturating_sub(self.received);
         let ahead = ahead - ahead / DRIFT;
         self.moment + ahead.as_millis() as Moment
@@ -51,7 +51,7 @@
 
     /// A time that certainly comes no earlier than the worker's `moment`.
     #[must_use]
-    pub fn after(&self, moment: Moment) -> Now {
+    pub fn latest_time(&self, moment: Moment) -> Now {
         let ahead = Duration::from_millis(moment.saturating_sub(self.moment));
         self.received + ahead + ahead / DRIFT
     }
--- a/crates/cell/src/desk.rs
+++ b/crates/cell/src/desk.rs
@@ -1,8 +1,8 @@
 //! The jobs at home in one rack, as the rack's owner looks after them.
 //!
 //! All jobs of a team are at home in one rack, so one owner knows what the team uses and its quota
-//! is exact. What must last is in the job's row ([`Saved`]); which task runs where is not stored:
-//! a new owner asks the owners of all racks ([`Desk::counted`]).
+//! is exact. What must last is in the job's row ([`SavedJob`]); which task runs where is not stored:
+//! a new owner asks the owners of all racks ([`JobScheduler::apply_inventory`]).
 
 mod digests;
 mod plan;
@@ -16,8 +16,8 @@
 use wire::{Event, Fate, Fault, Inventory, Job, Kind, Phase, Placed, Placement, Shape, State};
 
 pub use digests::Digests;
-pub use plan::Plan;
-pub use work::Saved;
+pub use plan::Dispatch;
+pub use work::SavedJob;
 
 use crate::Now;
 use work::{Part, Work};
@@ -30,7 +30,7 @@
 
 /// The jobs at home in one rack.
 #[derive(Debug)]
-pub struct Desk {
+pub struct JobScheduler {
     home: id::Rack,
     epoch: id::Epoch,
     jobs: BTreeMap<Name, Work>,
@@ -44,7 +44,7 @@
     waiting: BTreeSet<Name>,
 }
 
-impl Desk {
+impl JobScheduler {
     /// A desk without jobs.
     #[must_use]
     pub const fn new(home: id::Rack, epoch: id::Epoch) -> Self {
@@ -63,7 +63,7 @@
 
     /// Takes the jobs of an earlier owner, from their rows. What runs where is not known until
     /// every rack was asked.
-    pub fn recover(&mut self, saved: impl IntoIterator<Item = Saved>, cell: &Cell, now: Now) {
+    pub fn recover(&mut self, saved: impl IntoIterator<Item = SavedJob>, cell: &Cell, now: Now) {
         for saved in saved {
             let name = (saved.job.team.clone(), saved.job.id.clone());
             self.arrivals += 1;
@@ -71,7 +71,7 @@
             self.jobs.insert(name, work);
         }
         for rack in cell.racks.keys() {
-            self.doubt(rack, now);
+            self.mark_unknown(rack, now);
         }
     }
 
@@ -123,7 +123,7 @@
 
     /// Racks on which something runs of jobs that are over, with team and job.
     #[must_use]
-    pub fn leftovers(&self) -> Vec<(id::Rack, id::Team, id::Job)> {
+    pub fn running_tasks_of_ended_jobs(&self) -> Vec<(id::Rack, id::Team, id::Job)> {
         let over = self.jobs.values().filter(|w| w.phase.is_over());
         let place = |w: &Work| {
             let (team, job) = (w.job.team.clone(), w.job.id.clone());
@@ -135,7 +135,7 @@
     }
 
     /// The owner of a rack has answered an order.
-    pub fn placed(&mut self, order: &wire::Order, reply: &Placed) {
+    pub fn order_answered(&mut self, order: &wire::Order, reply: &Placed) {
         for (task, placement) in order.tasks.iter().zip(&reply.placements) {
             if *placement == Placement::Placed {
                 continue;
@@ -151,14 +151,14 @@
     }
 
     /// An order was not answered, or a rack has a new owner: what it holds is not known.
-    pub fn doubt(&mut self, rack: &str, now: Now) {
+    pub fn mark_unknown(&mut self, rack: &str, now: Now) {
         self.doubts
             .entry(rack.to_owned())
             .or_insert(now.saturating_sub(DOUBT));
     }
 
     /// Whether some rack is to be asked what it holds now.
-    pub fn doubtful(&mut self, now: Now) -> bool {
+    pub fn inventory_due(&mut self, now: Now) -> bool {
         let mut due = false;
         for asked in self.doubts.values_mut() {
             if now >= *asked + DOUBT {
@@ -170,12 +170,12 @@
     }
 
     /// A rack has said what it holds.
-    pub fn counted(&mut self, inventory: &Inventory) {
+    pub fn apply_inventory(&mut self, inventory: &Inventory) {
         if !self.doubts.contains_key(&inventory.rack) {
             return;
         }
         for event in &inventory.news {
-            self.event(event);
+            self.apply_event(event);
         }
         for holding in &inventory.holdings {
             let id = &holding.task;
@@ -208,7 +208,7 @@
     }
 
     /// The owner of a rack says what became of an attempt.
-    pub fn event(&mut self, event: &Event) {
+    pub fn apply_event(&mut self, event: &Event) {
         let id = &event.task;
         let name = (id.team.clone(), id.job.clone());
         let Some(work) = self.jobs.get_mut(&name) else {
@@ -229,7 +229,7 @@
 
     /// Gangs of which a member has ended before its work was done: the rest must be stopped, and
     /// then all start anew.
-    pub fn broken_gangs(&mut self) -> Vec<(wire::Gang, Vec<id::Rack>)> {
+    pub fn gangs_to_restart(&mut self) -> Vec<(wire::Gang, Vec<id::Rack>)> {
         let broken = self
             .jobs
             .values_mut()
@@ -238,7 +238,7 @@
     }
 
     /// Rows of jobs that have changed since the last call.
-    pub fn unsaved(&mut self) -> Vec<Saved> {
+    pub fn take_unsaved(&mut self) -> Vec<SavedJob> {
         let names = std::mem::take(&mut self.dirty);
         names
             .iter()
@@ -248,14 +248,14 @@
     }
 
     /// A row could not be written; it is tried again.
-    pub fn not_saved(&mut self, saved: &Saved) {
+    pub fn save_failed(&mut self, saved: &SavedJob) {
         self.dirty
             .insert((saved.job.team.clone(), saved.job.id.clone()));
     }
 
     /// Forgets all but the last `keep` jobs that are over and have nothing left running; tells
     /// whose rows can be deleted.
-    pub fn forget_over(&mut self, keep: usize) -> Vec<(id::Team, id::Job)> {
+    pub fn remove_ended(&mut self, keep: usize) -> Vec<(id::Team, id::Job)> {
         let over = |w: &&Work| w.phase.is_over() && w.racks().is_empty();
         let mut done: Vec<(u64, Name)> = self
             .jobs
@@ -348,7 +348,7 @@
     Ok(())
 }
 
-impl Desk {
+impl JobScheduler {
     /// Whether a job can ever run in this cell.
     ///
     /// # Errors
--- a/crates/cell/src/desk/digests.rs
+++ b/crates/cell/src/desk/digests.rs
@@ -29,7 +29,7 @@
     }
 
     /// The owner of a rack has told its room.
-    pub fn learn(&mut self, digest: &Digest) {
+    pub fn update(&mut self, digest: &Digest) {
         let places = self.places.entry(digest.rack.clone()).or_default();
         while places.len() < digest.free.len() {
             places.push(self.index.len());
@@ -60,22 +60,22 @@
     }
 
     /// Nothing is known of a rack any more.
-    pub fn forget(&mut self, rack: &str) {
-        self.learn(&Digest {
+    pub fn remove(&mut self, rack: &str) {
+        self.update(&Digest {
             rack: rack.to_owned(),
             ..Digest::default()
         });
     }
 
     /// A rack with room for a task; the room counts as taken until the owner tells otherwise.
-    pub fn take(&mut self, rule: Rule, size: Size) -> Option<&id::Rack> {
+    pub fn reserve(&mut self, rule: Rule, size: Size) -> Option<&id::Rack> {
         let at = self.index.place(rule, size)?;
         self.index.reserve(at, size);
         self.rack_of.get(at)
     }
 
     /// A rack where a task of this band would be made room for by others; the room counts as taken.
-    pub fn take_yielding(&mut self, size: Size, band: Band) -> Option<id::Rack> {
+    pub fn reserve_preemptible(&mut self, size: Size, band: Band) -> Option<id::Rack> {
         for (rack, workers) in &mut self.yielding {
             let places = self.places.get(rack)?;
             for ((urgent, lent), place) in workers.iter_mut().zip(places) {
--- a/crates/cell/src/desk/plan.rs
+++ b/crates/cell/src/desk/plan.rs
@@ -8,7 +8,7 @@
 use wire::{Band, Gang, Mode, Order, Shape, Task, TaskId};
 
 use super::work::Part;
-use super::{Desk, Digests, Name};
+use super::{Digests, JobScheduler, Name};
 
 /// Tasks that are placed in one round, at most, so that a round stays short.
 const ROUND: usize = 512;
@@ -20,7 +20,7 @@
 
 /// Something to be done now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Plan {
+pub enum Dispatch {
     /// Start tasks, each by itself.
     Start(Order),
     /// Hold room on all these racks, in this order, then start all or let go of all.
@@ -33,10 +33,10 @@
     },
 }
 
-impl Desk {
+impl JobScheduler {
     /// Decides which waiting tasks go where: urgent work first, then services, then teams that use
     /// least of their quota.
-    pub fn plan(&mut self, cell: &Cell, digests: &mut Digests) -> Vec<Plan> {
+    pub fn schedule(&mut self, cell: &Cell, digests: &mut Digests) -> Vec<Dispatch> {
         let mut used = self.usage();
         let mut orders: BTreeMap<id::Rack, Vec<Task>> = BTreeMap::new();
         let mut plans = Vec::new();
@@ -75,7 +75,7 @@
         }
         for (rack, tasks) in orders {
             let from = self.next_serial();
-            plans.push(Plan::Start(Order {
+            plans.push(Dispatch::Start(Order {
                 epoch: digests.epoch(&rack),
                 rack,
                 from,
@@ -150,9 +150,9 @@
             };
             let (size, shape) = (work.job.size, work.job.shape);
             let rule = rule(shape, cell);
-            let rack = digests.take(rule, size).cloned().or_else(|| {
+            let rack = digests.reserve(rule, size).cloned().or_else(|| {
                 (band > Band::Borrowed)
-                    .then(|| digests.take_yielding(size, band))
+                    .then(|| digests.reserve_preemptible(size, band))
                     .flatten()
             });
             let Some(rack) = rack else {
@@ -173,7 +173,7 @@
         cell: &Cell,
         used: &mut Size,
         digests: &mut Digests,
-    ) -> Option<Plan> {
+    ) -> Option<Dispatch> {
         let work = self.jobs.get_mut(name)?;
         let whole = work.parts.iter().all(|p| matches!(p, Part::Waiting { .. }));
         if work.breaking() && !work.racks().is_empty() || !whole {
@@ -189,7 +189,7 @@
             QuotaStatus::Exceeded => return None,
         };
         let mut trial = digests.clone();
-        let rack = |_| trial.take(Rule::BestFit, size).cloned();
+        let rack = |_| trial.reserve(Rule::BestFit, size).cloned();
         let racks: Vec<id::Rack> = (0..n).map(rack).collect::<Option<_>>()?;
         *digests = trial;
         *used = used.plus(total);
@@ -215,7 +215,7 @@
             }
         };
         let orders = by_rack.into_iter().map(order).collect();
-        Some(Plan::Gang { gang, orders })
+        Some(Dispatch::Gang { gang, orders })
     }
 
     /// The band that one more task of a job would have; `None` if it must wait.
--- a/crates/cell/src/desk/work.rs
+++ b/crates/cell/src/desk/work.rs
@@ -12,7 +12,7 @@
 /// What must last of a job: its row in the platform's table.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Saved {
+pub struct SavedJob {
     /// The job.
     pub job: Job,
     /// Where it stands.
@@ -23,7 +23,7 @@
     pub restarts: u32,
 }
 
-impl Saved {
+impl SavedJob {
     /// Prefix of the rows of all jobs.
     pub const PREFIX: &str = "job/";
 
@@ -94,7 +94,7 @@
         }
     }
 
-    pub(super) fn recovered(saved: Saved, arrival: u64) -> Self {
+    pub(super) fn recovered(saved: SavedJob, arrival: u64) -> Self {
         let mut work = Self::new(saved.job, arrival);
         work.phase = saved.phase;
         work.restarts = saved.restarts;
@@ -110,7 +110,7 @@
         work
     }
 
-    pub(super) fn saved(&self) -> Saved {
+    pub(super) fn saved(&self) -> SavedJob {
         let mut finished: Vec<(u32, u32)> = Vec::new();
         for (index, part) in (0u32..).zip(&self.parts) {
             if *part != Part::Finished {
@@ -122,7 +122,7 @@
             }
         }
         let (job, phase) = (self.job.clone(), self.phase);
-        Saved {
+        SavedJob {
             job,
             phase,
             finished,
--- a/crates/cell/src/fence.rs
+++ b/crates/cell/src/fence.rs
@@ -5,7 +5,7 @@
 //! a new owner can't reach: an old owner that still reaches them would go on there. So
 //!
 //! * an owner acts only while a **majority** of the rack's workers has acknowledged its epoch
-//!   within [`AUTHORITY`], counted from when it asked ([`Authority`]);
+//!   within [`AUTHORITY_VALIDITY`], counted from when it asked ([`Authority`]);
 //! * a new owner acts at once if it has fenced every worker, and otherwise once it has fenced a
 //!   majority and then waited until the old one's proof and its last run have expired
 //!   ([`Takeover`]).
@@ -22,9 +22,9 @@
 use crate::Now;
 
 /// How long one round of acknowledgements lets an owner act.
-pub const AUTHORITY: Duration = Duration::from_millis(2_000);
+pub const AUTHORITY_VALIDITY: Duration = Duration::from_millis(2_000);
 
-/// Allowance for the drift between two hosts' clocks over [`Takeover::WAIT`].
+/// Allowance for the drift between two hosts' clocks over [`Takeover::MAX_DELAY`].
 const DRIFT: Duration = Duration::from_millis(100);
 
 /// The workers that decide about a rack.
@@ -39,16 +39,16 @@
 /// An owner's proof that it is still the owner.
 ///
 /// ```
-/// use cell::fence::{AUTHORITY, Authority};
+/// use cell::fence::{AUTHORITY_VALIDITY, Authority};
 /// use std::time::Duration;
 ///
 /// let workers = ["w0", "w1", "w2"].map(String::from);
 /// let mut proof = Authority::new(workers.into_iter().collect());
 /// let ms = Duration::from_millis;
 /// proof.acknowledge("w0", ms(100));
-/// assert_eq!(proof.until(), None);
+/// assert_eq!(proof.valid_until(), None);
 /// proof.acknowledge("w2", ms(300));
-/// assert_eq!(proof.until(), Some(ms(100) + AUTHORITY));
+/// assert_eq!(proof.valid_until(), Some(ms(100) + AUTHORITY_VALIDITY));
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Authority {
@@ -88,17 +88,17 @@
 
     /// Until when the owner may act; `None` if no majority has acknowledged it.
     #[must_use]
-    pub fn until(&self) -> Option<Now> {
+    pub fn valid_until(&self) -> Option<Now> {
         let mut asked: Vec<Now> = self.asked.values().copied().collect();
         asked.sort_unstable_by(|a, b| b.cmp(a));
         let nth = asked.get(majority(self.roster.len()) - 1)?;
-        Some(*nth + AUTHORITY)
+        Some(*nth + AUTHORITY_VALIDITY)
     }
 
     /// Whether the owner may act now.
     #[must_use]
-    pub fn holds(&self, now: Now) -> bool {
-        self.until().is_some_and(|until| now < until)
+    pub fn is_valid(&self, now: Now) -> bool {
+        self.valid_until().is_some_and(|until| now < until)
     }
 }
 
@@ -113,7 +113,7 @@
 impl Takeover {
     /// Time from fencing a majority to the first action: by then the old owner's proof has
     /// expired, and so has every run that it started on a worker that was not fenced.
-    pub const WAIT: Duration = AUTHORITY
+    pub const MAX_DELAY: Duration = AUTHORITY_VALIDITY
         .saturating_add(config::MAX_RUN)
         .saturating_add(DRIFT);
 
@@ -138,7 +138,7 @@
 
     /// Whether a worker obeys the new epoch.
     #[must_use]
-    pub fn has(&self, worker: &str) -> bool {
+    pub fn has_fenced(&self, worker: &str) -> bool {
         self.fenced.contains(worker)
     }
 
@@ -146,15 +146,17 @@
     #[must_use]
     pub fn ready(&self, now: Now) -> bool {
         let all = self.rosters.iter().all(|r| self.count(r) == r.len());
-        all || self.majority_at.is_some_and(|at| now >= at + Self::WAIT)
+        all || self
+            .majority_at
+            .is_some_and(|at| now >= at + Self::MAX_DELAY)
     }
 
     /// Whether no task can run that the new owner has not seen: every worker was fenced, or the
     /// old owner's last heartbeat has expired, and with it every task lease that it renewed.
     #[must_use]
-    pub fn complete(&self, now: Now) -> bool {
+    pub fn knows_all_tasks(&self, now: Now) -> bool {
         let all = self.rosters.iter().all(|r| self.count(r) == r.len());
-        let last = AUTHORITY + crate::LEASE + DRIFT * 3;
+        let last = AUTHORITY_VALIDITY + crate::TASK_LEASE + DRIFT * 3;
         all || self.majority_at.is_some_and(|at| now >= at + last)
     }
 
--- a/crates/cell/src/host.rs
+++ b/crates/cell/src/host.rs
@@ -28,7 +28,7 @@
 
 /// One adopted worker.
 #[derive(Clone, Debug)]
-pub struct Host {
+pub struct WorkerState {
     /// Its address, `ip:port`.
     pub address: String,
     /// Its present life.
@@ -38,25 +38,25 @@
     /// Quick requests that its executor runs at once.
     pub slots: u32,
     /// Quick requests that it runs, as far as is known.
-    pub runs: u32,
+    pub running: u32,
     /// Whether the platform's list says that it is leaving.
     pub listed_leaving: bool,
     /// Whether it says so itself.
-    pub says_leaving: bool,
+    pub reports_leaving: bool,
     /// Whether it gets work.
     pub trust: Trust,
     /// Its time.
     pub clock: Clock,
     /// When it was last asked, with an answer.
-    pub answered: Now,
+    pub last_answer: Now,
     /// When its leases were last renewed, whether or not it answered.
-    pub renewed: Now,
+    pub leases_renewed: Now,
     /// Ended attempts that it may forget.
     pub forget: Vec<TaskId>,
-    rule: Cusum,
+    failure_detector: Cusum,
 }
 
-impl Host {
+impl WorkerState {
     /// A worker that was adopted by a call made at `sent`.
     #[must_use]
     pub fn new(
@@ -71,47 +71,47 @@
             incarnation,
             size: adopted.size,
             slots: adopted.slots,
-            runs: 0,
+            running: 0,
             listed_leaving: false,
-            says_leaving: adopted.report.leaving,
+            reports_leaving: adopted.report.leaving,
             trust: Trust::Trusted,
             clock: Clock::new(adopted.report.clock, sent, received),
-            answered: sent,
-            renewed: received,
+            last_answer: sent,
+            leases_renewed: received,
             forget: Vec::new(),
-            rule: Cusum::new(EVIDENCE),
+            failure_detector: Cusum::new(EVIDENCE),
         }
     }
 
     /// Whether it may be given new work: it answers, stays and is trusted.
     #[must_use]
-    pub fn open(&self, now: Now) -> bool {
+    pub fn accepts_work(&self, now: Now) -> bool {
         let trusted = match self.trust {
             Trust::Trusted => true,
             Trust::Suspect(until) => now >= until,
             Trust::Probing => false,
         };
-        let silent = now.saturating_sub(self.answered) > Self::SILENT;
-        trusted && !silent && !self.listed_leaving && !self.says_leaving
+        let silent = now.saturating_sub(self.last_answer) > Self::MAX_SILENCE;
+        trusted && !silent && !self.listed_leaving && !self.reports_leaving
     }
 
     /// A worker that has not answered for this long gets no new work.
-    pub const SILENT: Duration = Duration::from_millis(1_500);
+    pub const MAX_SILENCE: Duration = Duration::from_millis(1_500);
 
     /// Work was sent to it.
-    pub fn sent(&mut self) {
+    pub fn work_sent(&mut self) {
         if matches!(self.trust, Trust::Suspect(_)) {
             self.trust = Trust::Probing;
         }
     }
 
     /// Work that it was given has ended.
-    pub fn outcome(&mut self, failed: bool, now: Now) {
-        let broken = self.rule.record(failed);
+    pub fn record_outcome(&mut self, failed: bool, now: Now) {
+        let broken = self.failure_detector.record(failed);
         self.trust = match (self.trust, failed) {
             (Trust::Probing, true) => Trust::Suspect(now + PROBE_AFTER),
             (Trust::Probing, false) => {
-                self.rule.reset();
+                self.failure_detector.reset();
                 Trust::Trusted
             }
             (Trust::Trusted, _) if broken => Trust::Suspect(now + PROBE_AFTER),
@@ -121,7 +121,7 @@
 
     /// The worker's moment that comes no later than `time`.
     #[must_use]
-    pub fn before(&self, time: Now) -> Moment {
-        self.clock.before(time)
+    pub fn earliest_moment(&self, time: Now) -> Moment {
+        self.clock.earliest_moment(time)
     }
 }
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -4,7 +4,7 @@
 //! * [`fence`]: the proof that an owner is still the owner, and when a new one may begin.
 //! * [`Record`]: a rack's row in the platform's table.
 //! * [`Rack`]: workers, quick requests and tasks of one rack.
-//! * [`Desk`]: the jobs at home in one rack.
+//! * [`JobScheduler`]: the jobs at home in one rack.
 //! * [`Clock`]: a worker's time as its owner knows it.
 
 mod clock;
@@ -18,11 +18,11 @@
 mod task;
 
 pub use clock::Clock;
-pub use desk::{Desk, Digests, Plan, Saved};
-pub use host::{Host, Trust};
+pub use desk::{Digests, Dispatch, JobScheduler, SavedJob};
+pub use host::{Trust, WorkerState};
 pub use ownership::{Event, Ownership, Stage};
-pub use quick::{Go, Next, Over, Ticket};
-pub use rack::{LEASE, Rack, Settings};
+pub use quick::{Next, QuickRun, RunOutcome, Ticket};
+pub use rack::{Rack, Settings, TASK_LEASE};
 pub use record::Record;
 pub use task::{Command, Outcome};
 
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// This process should own the rack.
-    Wanted,
+    Assigned,
     /// The workers' present lives are known.
     Greeted,
     /// The table has given the rack to this process.
@@ -26,7 +26,7 @@
     /// Another owner has the rack.
     Deposed,
     /// Another process should own the rack.
-    Unwanted,
+    Unassigned,
     /// Nothing is in hand any more, and the row says so.
     Released,
 }
@@ -55,7 +55,7 @@
 /// use cell::{Event, Ownership, Stage};
 ///
 /// let mut ownership = Ownership::new();
-/// for event in [Event::Wanted, Event::Greeted, Event::Taken(7), Event::Ready] {
+/// for event in [Event::Assigned, Event::Greeted, Event::Taken(7), Event::Ready] {
 ///     ownership.handle(&event);
 /// }
 /// assert_eq!(ownership.stage(), Stage::Active);
@@ -117,7 +117,7 @@
     #[state]
     fn watching(event: &Event) -> Outcome<State> {
         match event {
-            Event::Wanted => Transition(State::greeting()),
+            Event::Assigned => Transition(State::greeting()),
             _ => Handled,
         }
     }
@@ -126,7 +126,7 @@
     fn greeting(event: &Event) -> Outcome<State> {
         match event {
             Event::Greeted => Transition(State::taking()),
-            Event::Refused | Event::Unwanted => Transition(State::watching()),
+            Event::Refused | Event::Unassigned => Transition(State::watching()),
             _ => Handled,
         }
     }
@@ -155,7 +155,7 @@
     fn active(event: &Event) -> Outcome<State> {
         match event {
             // The same owner takes its rack again to change the roster.
-            Event::Wanted => Transition(State::greeting()),
+            Event::Assigned => Transition(State::greeting()),
             _ => Super,
         }
     }
@@ -164,7 +164,7 @@
     fn releasing(event: &Event) -> Outcome<State> {
         match event {
             Event::Released => Transition(State::watching()),
-            Event::Unwanted => Handled,
+            Event::Unassigned => Handled,
             _ => Super,
         }
     }
@@ -173,7 +173,7 @@
     fn owning(event: &Event) -> Outcome<State> {
         match event {
             Event::Deposed => Transition(State::watching()),
-            Event::Unwanted => Transition(State::releasing()),
+            Event::Unassigned => Transition(State::releasing()),
             _ => Handled,
         }
     }
--- a/crates/cell/src/quick.rs
+++ b/crates/cell/src/quick.rs
@@ -16,14 +16,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
     /// Start this request.
-    Start(Go),
+    Start(QuickRun),
     /// Nothing can start now.
     Idle,
 }
 
 /// A request that has a worker and its key to itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Go {
+pub struct QuickRun {
     /// The request.
     pub ticket: Ticket,
     /// Service and key.
@@ -41,12 +41,12 @@
     /// Last moment, by the worker's time, at which it may start.
     pub not_after: Moment,
     /// The same by the owner's time, on the late side.
-    pub latest: Now,
+    pub start_deadline: Now,
 }
 
 /// How a started request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Over {
+pub enum RunOutcome {
     /// It is certainly over; whether the worker failed it.
     Known {
         /// Whether the worker failed it.
@@ -57,7 +57,7 @@
     /// It may still run, at most this long after its latest start.
     Unknown {
         /// Longest run.
-        run: Duration,
+        max_run: Duration,
     },
 }
 
--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -4,7 +4,7 @@
 mod report;
 mod run;
 
-pub use place::LEASE;
+pub use place::TASK_LEASE;
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use worker::call::Adopted;
 
 use crate::fence::{Authority, Roster};
-use crate::host::Host;
+use crate::host::WorkerState;
 use crate::quick::Quick;
 use crate::task::{Placed, Stage};
 use crate::{Clock, Now};
@@ -25,9 +25,9 @@
     /// Rule that puts batch tasks on workers.
     pub batch: Rule,
     /// Quick requests that wait, at most.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Share kept above measured usage.
-    pub margin: f64,
+    pub usage_margin: f64,
     /// Whether idle declared resources of batch work are given to others.
     pub reclaim: bool,
 }
@@ -36,8 +36,8 @@
     fn default() -> Self {
         Self {
             batch: Rule::BestFit,
-            queue: 256,
-            margin: 0.25,
+            max_queued: 256,
+            usage_margin: 0.25,
             reclaim: false,
         }
     }
@@ -47,8 +47,8 @@
     fn from(policy: &config::Policy) -> Self {
         Self {
             batch: policy.batch.into(),
-            queue: policy.queue,
-            margin: policy.margin,
+            max_queued: policy.queue,
+            usage_margin: policy.margin,
             reclaim: policy.reclaim,
         }
     }
@@ -64,7 +64,7 @@
     settings: Settings,
     authority: Authority,
     active: bool,
-    hosts: BTreeMap<id::Worker, Host>,
+    hosts: BTreeMap<id::Worker, WorkerState>,
     quick: Quick,
     attempts: u64,
     /// Slots whose runs may still be going on, until then.
@@ -97,7 +97,7 @@
     }
 
     /// Takes the same rack again, under a new epoch and roster, keeping what is known.
-    pub fn retake(&mut self, epoch: id::Epoch, roster: Roster) {
+    pub fn reacquire(&mut self, epoch: id::Epoch, roster: Roster) {
         self.epoch = epoch;
         self.authority = Authority::new(roster);
         self.active = false;
@@ -132,14 +132,14 @@
 
     /// Whether the owner may start something now.
     #[must_use]
-    pub fn acts(&self, now: Now) -> bool {
-        self.active && self.authority.holds(now)
+    pub fn may_act(&self, now: Now) -> bool {
+        self.active && self.authority.is_valid(now)
     }
 
     /// Whether a majority of the workers has acknowledged the owner of late.
     #[must_use]
-    pub fn proved(&self, now: Now) -> bool {
-        self.authority.holds(now)
+    pub fn has_authority(&self, now: Now) -> bool {
+        self.authority.is_valid(now)
     }
 
     /// The workers that prove ownership.
@@ -150,17 +150,17 @@
 
     /// An adopted worker.
     #[must_use]
-    pub fn host(&self, worker: &str) -> Option<&Host> {
+    pub fn host(&self, worker: &str) -> Option<&WorkerState> {
         self.hosts.get(worker)
     }
 
     /// All adopted workers.
-    pub fn hosts(&self) -> impl Iterator<Item = (&id::Worker, &Host)> {
+    pub fn hosts(&self) -> impl Iterator<Item = (&id::Worker, &WorkerState)> {
         self.hosts.iter()
     }
 
     /// Marks a worker as the platform lists it.
-    pub fn list(&mut self, worker: &str, leaving: bool) {
+    pub fn set_listed_leaving(&mut self, worker: &str, leaving: bool) {
         if let Some(host) = self.hosts.get_mut(worker) {
             host.listed_leaving = leaving;
         }
@@ -183,15 +183,15 @@
             .filter(|h| h.incarnation == incarnation);
         if let Some(host) = known {
             host.clock = clock;
-            host.answered = sent;
+            host.last_answer = sent;
         } else {
-            self.bury(worker);
-            let mut host = Host::new(address, incarnation, adopted, sent, received);
+            self.remove_worker(worker);
+            let mut host = WorkerState::new(address, incarnation, adopted, sent, received);
             for run in &adopted.report.runs {
-                let until = clock.after(run.until);
+                let until = clock.latest_time(run.until);
                 self.quick.block(&run.key, until);
                 self.lapses.push((until, worker.to_owned(), incarnation));
-                host.runs += 1;
+                host.running += 1;
             }
             self.hosts.insert(worker.to_owned(), host);
         }
@@ -200,7 +200,7 @@
     }
 
     /// The worker's present life has ended: nothing that it ran runs any more.
-    pub fn bury(&mut self, worker: &str) {
+    pub fn remove_worker(&mut self, worker: &str) {
         self.authority.revoke(worker);
         if self.hosts.remove(worker).is_none() {
             return;
@@ -218,7 +218,7 @@
     }
 
     /// Listens to the owner of a home rack; `false` if a later message was heard before.
-    pub fn hear(&mut self, from: &Seniority) -> bool {
+    pub fn accept_message(&mut self, from: &Seniority) -> bool {
         let latest = self.seniors.entry(from.home.clone()).or_default();
         let message = (from.epoch, from.serial);
         if message <= *latest {
@@ -229,7 +229,7 @@
     }
 
     /// Owners of home racks before this epoch are not listened to any more.
-    pub fn outrank(&mut self, home: &str, epoch: id::Epoch) {
+    pub fn reject_older_owners(&mut self, home: &str, epoch: id::Epoch) {
         let latest = self.seniors.entry(home.to_owned()).or_default();
         *latest = (*latest).max((epoch, 0));
     }
@@ -261,7 +261,7 @@
         let open = || {
             self.hosts
                 .iter()
-                .filter(|(_, h)| self.active && h.open(now))
+                .filter(|(_, h)| self.active && h.accepts_work(now))
         };
         Digest {
             rack: self.name.clone(),
@@ -278,12 +278,12 @@
 
     /// News for the owners of home racks that they have not confirmed yet.
     #[must_use]
-    pub fn news(&self) -> &[(id::Rack, Event)] {
+    pub fn unconfirmed_events(&self) -> &[(id::Rack, Event)] {
         &self.events
     }
 
     /// The owner of this home rack has taken note of these events.
-    pub fn confirmed(&mut self, home: &str, seen: &[Event]) {
+    pub fn confirm_events(&mut self, home: &str, seen: &[Event]) {
         self.events
             .retain(|(h, event)| h != home || !seen.contains(event));
         let ended = seen.iter().filter(|event| event.fate.is_over());
@@ -297,12 +297,12 @@
     /// State of the rack for operators.
     #[must_use]
     pub fn status(&self, stage: &str, now: Now) -> RackStatus {
-        let host = |(name, host): (&id::Worker, &Host)| {
+        let host = |(name, host): (&id::Worker, &WorkerState)| {
             let free = self.free(name, host);
             (
                 name.clone(),
                 host.size.saturating_minus(free),
-                host.open(now),
+                host.accepts_work(now),
             )
         };
         RackStatus {
@@ -318,12 +318,12 @@
 
     /// Whether any quick request waits or runs, as far as this owner knows.
     #[must_use]
-    pub fn quick_in_hand(&self) -> bool {
-        self.quick.len() > 0 || self.hosts.values().any(|h| h.runs > 0)
+    pub fn has_quick_requests(&self) -> bool {
+        self.quick.len() > 0 || self.hosts.values().any(|h| h.running > 0)
     }
 
     /// What is free for new tasks on a worker: neither taken nor promised.
-    fn free(&self, worker: &str, host: &Host) -> Size {
+    fn free(&self, worker: &str, host: &WorkerState) -> Size {
         let taken = self
             .tasks
             .values()
@@ -334,7 +334,7 @@
     }
 
     /// What tasks may take on a worker at this very moment.
-    fn room_now(&self, worker: &str, host: &Host) -> Size {
+    fn room_now(&self, worker: &str, host: &WorkerState) -> Size {
         let occupied = self
             .tasks
             .values()
@@ -355,8 +355,8 @@
     }
 
     fn rooms(&self, now: Now, siblings_of: &TaskId) -> (Vec<id::Worker>, Vec<Capacity>) {
-        let open = self.hosts.iter().filter(|(_, host)| host.open(now));
-        let room = |(name, host): (&id::Worker, &Host)| {
+        let open = self.hosts.iter().filter(|(_, host)| host.accepts_work(now));
+        let room = |(name, host): (&id::Worker, &WorkerState)| {
             let sibling = |t: &&Placed| {
                 t.host == *name
                     && t.task.id.job == siblings_of.job
--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -13,7 +13,7 @@
 use crate::task::{Command, Outcome, Placed, Stage, stopped};
 
 /// How long a task may run on without a heartbeat.
-pub const LEASE: Duration = Duration::from_secs(10);
+pub const TASK_LEASE: Duration = Duration::from_secs(10);
 /// How long room is kept for a gang that is not complete.
 const HOLD: Duration = Duration::from_secs(3);
 /// How long a start may stay on its way to the worker.
@@ -25,7 +25,7 @@
     /// Places the tasks of an order and tells what to say to the workers.
     pub fn place(&mut self, order: &Order, now: Now) -> (Reply, Vec<Command>) {
         let meant = order.epoch == self.epoch;
-        if !meant || !self.acts(now) || !self.hear(&order.from) {
+        if !meant || !self.may_act(now) || !self.accept_message(&order.from) {
             let placements = vec![Placement::NotOwner; order.tasks.len()];
             return (
                 Reply {
@@ -53,7 +53,7 @@
     pub fn commit(&mut self, gang: &Gang, now: Now) -> Option<Vec<Command>> {
         let members = self.members(gang);
         let held = |id: &TaskId| matches!(self.tasks[id].stage, Stage::Held { .. });
-        if !self.acts(now) || members.is_empty() || !members.iter().all(held) {
+        if !self.may_act(now) || members.is_empty() || !members.iter().all(held) {
             return None;
         }
         Some(
@@ -65,7 +65,7 @@
     }
 
     /// Gives up a gang: lets go of what is held, stops what was started.
-    pub fn undo(&mut self, gang: &Gang, now: Now) -> Vec<Command> {
+    pub fn abort(&mut self, gang: &Gang, now: Now) -> Vec<Command> {
         let members = self.members(gang);
         members
             .iter()
@@ -74,7 +74,7 @@
     }
 
     /// Stops every task of a job.
-    pub fn stop(&mut self, team: &str, job: &str, now: Now) -> Vec<Command> {
+    pub fn stop_job(&mut self, team: &str, job: &str, now: Now) -> Vec<Command> {
         let of_job = |id: &&TaskId| id.team == team && id.job == job;
         let ids: Vec<TaskId> = self.tasks.keys().filter(of_job).cloned().collect();
         ids.iter()
@@ -91,7 +91,7 @@
             return;
         }
         match outcome {
-            Outcome::Did { .. } => {
+            Outcome::Done { .. } => {
                 placed.stage = Stage::Running { since: now };
                 let home = placed.task.home.clone();
                 self.tell(home, id.clone(), wire::Fate::Running);
@@ -107,7 +107,7 @@
             return Vec::new();
         };
         let (host, stage) = (placed.host.clone(), placed.stage);
-        if let (Stage::Stopping { preempted, .. }, Outcome::Did { saved_ms }) = (stage, outcome) {
+        if let (Stage::Stopping { preempted, .. }, Outcome::Done { saved_ms }) = (stage, outcome) {
             self.end(id, stopped(preempted, saved_ms));
         }
         self.launch_awaiting(&host, now)
@@ -211,7 +211,7 @@
         if task.band == Band::Borrowed {
             return None;
         }
-        let open = self.hosts.iter().filter(|(_, host)| host.open(now));
+        let open = self.hosts.iter().filter(|(_, host)| host.accepts_work(now));
         let plan = |worker: &id::Worker, free| {
             let lower = self.tasks.values().filter(|t| {
                 t.host == *worker
@@ -246,21 +246,21 @@
 
     /// Tells the worker to start a task that has room there.
     fn launch(&mut self, id: &TaskId, now: Now) -> Option<Command> {
-        let until = self.authority.until()?.min(now + DELIVERY);
+        let until = self.authority.valid_until()?.min(now + DELIVERY);
         let placed = self.tasks.get_mut(id)?;
         let host = self.hosts.get_mut(&placed.host)?;
-        host.sent();
-        host.renewed = host.renewed.max(until);
-        let not_after = host.before(until);
+        host.work_sent();
+        host.leases_renewed = host.leases_renewed.max(until);
+        let not_after = host.earliest_moment(until);
         placed.stage = Stage::Starting {
             not_after,
             sent: now,
         };
         let start = Start {
             epoch: self.epoch,
-            life: host.incarnation,
+            incarnation: host.incarnation,
             not_after,
-            lease_ms: LEASE.as_millis() as u64,
+            lease_ms: TASK_LEASE.as_millis() as u64,
             task: placed.task.clone(),
         };
         Some(Command::Start {
--- a/crates/cell/src/rack/report.rs
+++ b/crates/cell/src/rack/report.rs
@@ -4,10 +4,10 @@
 
 use policy::correct;
 use wire::{Fate, Shape, TaskId};
-use worker::call::{Ended, Pulse, Report, Running, Throttle};
+use worker::call::{EndedTask, Heartbeat, Report, RunningTask, Throttle};
 
 use super::Rack;
-use super::place::LEASE;
+use super::place::TASK_LEASE;
 use crate::task::{Command, Placed, Stage, stopped};
 use crate::{Clock, Now};
 
@@ -19,30 +19,34 @@
 
 impl Rack {
     /// The next heartbeat for a worker, with its address.
-    pub fn pulse(&mut self, worker: &str, now: Now) -> Option<(String, Pulse)> {
-        let until = self.authority.until().filter(|until| now < *until);
+    pub fn next_heartbeat(&mut self, worker: &str, now: Now) -> Option<(String, Heartbeat)> {
+        let until = self.authority.valid_until().filter(|until| now < *until);
         let host = self.hosts.get_mut(worker)?;
-        let renew = until.is_some() && now.saturating_sub(host.answered) < LET_GO;
+        let renew = until.is_some() && now.saturating_sub(host.last_answer) < LET_GO;
         if renew {
-            host.renewed = host.renewed.max(until.unwrap_or(now));
+            host.leases_renewed = host.leases_renewed.max(until.unwrap_or(now));
         }
-        let lease_ms = if renew { LEASE.as_millis() as u64 } else { 0 };
+        let lease_ms = if renew {
+            TASK_LEASE.as_millis() as u64
+        } else {
+            0
+        };
         let forget = host.forget.clone();
-        let pulse = Pulse {
+        let pulse = Heartbeat {
             epoch: self.epoch,
-            life: host.incarnation,
+            incarnation: host.incarnation,
             lease_ms,
-            not_after: host.before(until.unwrap_or(now)),
+            not_after: host.earliest_moment(until.unwrap_or(now)),
             forget,
         };
         Some((host.address.clone(), pulse))
     }
 
     /// A worker has answered a heartbeat that was sent at `sent`.
-    pub fn pulsed(
+    pub fn heartbeat_answered(
         &mut self,
         worker: &str,
-        pulse: &Pulse,
+        pulse: &Heartbeat,
         report: &Report,
         sent: Now,
         now: Now,
@@ -51,8 +55,8 @@
             return Vec::new();
         };
         host.clock = Clock::new(report.clock, sent, now);
-        host.answered = host.answered.max(sent);
-        host.says_leaving = report.leaving;
+        host.last_answer = host.last_answer.max(sent);
+        host.reports_leaving = report.leaving;
         host.forget.retain(|id| !pulse.forget.contains(id));
         if pulse.epoch == self.epoch {
             self.authority.acknowledge(worker, sent);
@@ -100,7 +104,7 @@
         }
     }
 
-    fn ended(&mut self, worker: &str, ended: &Ended, now: Now) {
+    fn ended(&mut self, worker: &str, ended: &EndedTask, now: Now) {
         let known = self.tasks.remove(&ended.task).is_some();
         let host = self.hosts.get_mut(worker);
         let forgetting = host
@@ -108,8 +112,8 @@
             .is_some_and(|h| h.forget.contains(&ended.task));
         if known && let Some(host) = host {
             match ended.fate {
-                Fate::Finished => host.outcome(false, now),
-                Fate::Failed => host.outcome(true, now),
+                Fate::Finished => host.record_outcome(false, now),
+                Fate::Failed => host.record_outcome(true, now),
                 _ => {}
             }
         }
@@ -118,7 +122,7 @@
         }
     }
 
-    fn running(&mut self, worker: &str, running: &Running, now: Now) {
+    fn running(&mut self, worker: &str, running: &RunningTask, now: Now) {
         let id = &running.task.id;
         if !self.tasks.contains_key(id) {
             let stage = Stage::Running { since: now };
@@ -126,7 +130,7 @@
                 .insert(id.clone(), Placed::new(running.task.clone(), worker, stage));
             self.tell(running.task.home.clone(), id.clone(), Fate::Running);
         }
-        let (margin, reclaim) = (self.settings.margin, self.settings.reclaim);
+        let (margin, reclaim) = (self.settings.usage_margin, self.settings.reclaim);
         let Some(placed) = self.tasks.get_mut(id) else {
             return;
         };
@@ -174,7 +178,7 @@
             let batch = here().filter(|t| t.task.shape == Shape::Batch);
             let excess = |t: &&Placed| t.peak.memory_mib.saturating_sub(t.task.size.memory_mib);
             let worst = batch.max_by_key(excess).map(|t| t.id().clone());
-            let now = host.answered;
+            let now = host.last_answer;
             commands.extend(worst.and_then(|id| self.give_up(&id, true, true, now)));
         }
         commands
@@ -182,8 +186,8 @@
 
     /// Tasks of workers that have been silent until their leases ran out are over.
     fn lose_silent(&mut self, now: Now) {
-        let lapsed = |renewed: Now| now > renewed + LEASE + LEASE / 50;
-        let hosts = self.hosts.iter().filter(|(_, h)| lapsed(h.renewed));
+        let lapsed = |renewed: Now| now > renewed + TASK_LEASE + TASK_LEASE / 50;
+        let hosts = self.hosts.iter().filter(|(_, h)| lapsed(h.leases_renewed));
         let silent: Vec<String> = hosts.map(|(name, _)| name.clone()).collect();
         for worker in silent {
             // Only what was started before the last renewal: nothing is started on a silent one.
@@ -222,7 +226,7 @@
 }
 
 /// Corrects what is set aside for a task from what it was seen to use.
-fn measure(placed: &mut Placed, running: &Running, margin: f64, reclaim: bool) {
+fn measure(placed: &mut Placed, running: &RunningTask, margin: f64, reclaim: bool) {
     let (peak, usage) = (placed.peak, running.usage);
     placed.seen += 1;
     placed.peak = resource::Size::new(
--- a/crates/cell/src/rack/run.rs
+++ b/crates/cell/src/rack/run.rs
@@ -7,8 +7,8 @@
 
 use super::Rack;
 use crate::Now;
-use crate::host::Host;
-use crate::quick::{Go, Next, Over, Ticket};
+use crate::host::WorkerState;
+use crate::quick::{Next, QuickRun, RunOutcome, Ticket};
 
 /// Share of its time left that a request may expect to wait; the rest is for its run.
 const PATIENCE: f64 = 0.8;
@@ -21,8 +21,14 @@
     ///
     /// # Errors
     /// A [`Fault`] at once, if the owner may not act, or the request would wait in vain.
-    pub fn enter(&mut self, rank: u8, key: &str, expires: Now, now: Now) -> Result<Ticket, Fault> {
-        if !self.acts(now) {
+    pub fn enqueue(
+        &mut self,
+        rank: u8,
+        key: &str,
+        expires: Now,
+        now: Now,
+    ) -> Result<Ticket, Fault> {
+        if !self.may_act(now) {
             let reason = "the rack's owner can't prove yet that it is the only one";
             return Err(Fault::new(Kind::NoAuthority, reason));
         }
@@ -35,7 +41,7 @@
         }
         let wait = self.quick.wait(slots);
         let patience = expires.saturating_sub(now).mul_f64(PATIENCE);
-        if self.quick.len() >= self.settings.queue || wait > patience {
+        if self.quick.len() >= self.settings.max_queued || wait > patience {
             return Err(Fault::new(Kind::Busy, "the rack is busy").after(comeback(wait)));
         }
         Ok(self.quick.enter(rank, key, expires))
@@ -47,11 +53,11 @@
     }
 
     /// The next request to start, if one can.
-    pub fn next(&mut self, now: Now) -> Next {
-        if !self.acts(now) {
+    pub fn start_next(&mut self, now: Now) -> Next {
+        if !self.may_act(now) {
             return Next::Idle;
         }
-        let Some(until) = self.authority.until() else {
+        let Some(until) = self.authority.valid_until() else {
             return Next::Idle;
         };
         let Some(worker) = self.idlest(now) else {
@@ -62,17 +68,23 @@
         };
         self.attempts += 1;
         let attempt = (self.epoch << ATTEMPT_BITS) | self.attempts;
-        let latest = until.min(expires);
+        let start_deadline = until.min(expires);
         let Some(host) = self.hosts.get_mut(&worker) else {
             return Next::Idle;
         };
         Next::Start(begin(
-            host, worker, ticket, key, self.epoch, attempt, latest,
+            host,
+            worker,
+            ticket,
+            key,
+            self.epoch,
+            attempt,
+            start_deadline,
         ))
     }
 
     /// A started request has ended, or is not waited for any more.
-    pub fn finish(&mut self, go: &Go, over: Over, took: Duration, now: Now) {
+    pub fn finish(&mut self, go: &QuickRun, over: RunOutcome, took: Duration, now: Now) {
         // This owner has lost the rack since, and taken it again; the key may be worked on anew,
         // and must not be freed for a second run.
         if go.epoch < self.since {
@@ -83,28 +95,28 @@
             .get_mut(&go.worker)
             .filter(|h| h.incarnation == go.incarnation);
         match over {
-            Over::Known { failed } => {
+            RunOutcome::Known { failed } => {
                 self.quick.release(&go.key, Some(took));
                 if let Some(host) = host {
-                    host.runs = host.runs.saturating_sub(1);
-                    host.outcome(failed, now);
+                    host.running = host.running.saturating_sub(1);
+                    host.record_outcome(failed, now);
                 }
             }
-            Over::Refused => {
+            RunOutcome::Refused => {
                 self.quick.release(&go.key, None);
                 if let Some(host) = host {
-                    host.runs = host.runs.saturating_sub(1);
+                    host.running = host.running.saturating_sub(1);
                 }
             }
-            Over::Unknown { run } => {
+            RunOutcome::Unknown { max_run } => {
                 // It may run on a worker that can't be asked. The key stays taken until the worker
                 // itself must have ended the run; otherwise the next request for the same key
                 // would work on it in a second place.
-                let until = go.latest + run + margin(run);
+                let until = go.start_deadline + max_run + margin(max_run);
                 self.quick.block(&go.key, until);
                 if let Some(host) = host {
                     self.lapses.push((until, go.worker.clone(), go.incarnation));
-                    host.outcome(true, now);
+                    host.record_outcome(true, now);
                 }
             }
         }
@@ -123,7 +135,7 @@
                 .get_mut(&worker)
                 .filter(|h| h.incarnation == incarnation);
             if let Some(host) = host {
-                host.runs = host.runs.saturating_sub(1);
+                host.running = host.running.saturating_sub(1);
             }
         }
     }
@@ -131,7 +143,7 @@
     fn open_slots(&self, now: Now) -> u32 {
         self.hosts
             .values()
-            .filter(|h| h.open(now))
+            .filter(|h| h.accepts_work(now))
             .map(|h| h.slots)
             .sum()
     }
@@ -141,25 +153,25 @@
         let free = self
             .hosts
             .iter()
-            .filter(|(_, h)| h.open(now) && h.runs < h.slots);
-        let share = |h: &Host| h.runs * 1_000 / h.slots.max(1);
+            .filter(|(_, h)| h.accepts_work(now) && h.running < h.slots);
+        let share = |h: &WorkerState| h.running * 1_000 / h.slots.max(1);
         free.min_by_key(|(_, h)| share(h))
             .map(|(name, _)| name.clone())
     }
 }
 
 fn begin(
-    host: &mut Host,
+    host: &mut WorkerState,
     worker: id::Worker,
     ticket: Ticket,
     key: String,
     epoch: id::Epoch,
     attempt: u64,
-    latest: Now,
-) -> Go {
-    host.runs += 1;
-    host.sent();
-    Go {
+    start_deadline: Now,
+) -> QuickRun {
+    host.running += 1;
+    host.work_sent();
+    QuickRun {
         ticket,
         key,
         worker,
@@ -167,8 +179,8 @@
         address: host.address.clone(),
         epoch,
         attempt,
-        not_after: host.before(latest),
-        latest,
+        not_after: host.earliest_moment(start_deadline),
+        start_deadline,
     }
 }
 
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -35,14 +35,14 @@
     /// use cell::Record;
     ///
     /// let nobody = Record::default();
-    /// let first = nobody.taken("p1", "127.0.0.1:1", ["w0".to_owned()].into());
+    /// let first = nobody.acquired_by("p1", "127.0.0.1:1", ["w0".to_owned()].into());
     /// assert_eq!(first.epoch, 1);
-    /// let second = first.taken("p2", "127.0.0.1:2", ["w1".to_owned()].into());
+    /// let second = first.acquired_by("p2", "127.0.0.1:2", ["w1".to_owned()].into());
     /// assert_eq!(second.epoch, 2);
     /// assert_eq!(second.rosters.len(), 2);
     /// ```
     #[must_use]
-    pub fn taken(&self, placer: &str, address: &str, roster: Roster) -> Self {
+    pub fn acquired_by(&self, placer: &str, address: &str, roster: Roster) -> Self {
         let mut rosters = self.rosters.clone();
         rosters.retain(|old| *old != roster);
         rosters.push(roster);
@@ -56,7 +56,7 @@
 
     /// The row once its owner has fenced all earlier ones: their rosters count no more.
     #[must_use]
-    pub fn settled(&self) -> Self {
+    pub fn without_earlier_rosters(&self) -> Self {
         let rosters = self.rosters.last().cloned().into_iter().collect();
         Self {
             rosters,
--- a/crates/cell/src/task.rs
+++ b/crates/cell/src/task.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     /// The worker did it; work saved by a stop, in milliseconds.
-    Did {
+    Done {
         /// Work saved, in milliseconds.
         saved_ms: u64,
     },
--- a/crates/cell/tests/losses.rs
+++ b/crates/cell/tests/losses.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
-use cell::{Desk, Digests, Plan};
+use cell::{Digests, Dispatch, JobScheduler};
 use config::Builder;
 use resource::Size;
 use wire::{Digest, Event, Fate, Job, Phase, Shape};
@@ -18,7 +18,7 @@
         .team("planners", "north", 64.0, 1_000_000)
         .build()
         .unwrap();
-    let mut desk = Desk::new("r1".to_owned(), 1);
+    let mut desk = JobScheduler::new("r1".to_owned(), 1);
     desk.submit(Job {
         id: "crasher".to_owned(),
         team: "planners".to_owned(),
@@ -31,18 +31,20 @@
     let mut starts = 0;
     for _ in 0..20 {
         let mut digests = Digests::new(Size::new(16_000, 65_536, 0));
-        digests.learn(&Digest {
+        digests.update(&Digest {
             rack: "r1".to_owned(),
             epoch: 1,
             free: vec![Size::new(16_000, 65_536, 0)],
             lent: vec![Size::ZERO],
             yielding: vec![Size::ZERO],
         });
-        for plan in desk.plan(&cell, &mut digests) {
-            let Plan::Start(order) = plan else { continue };
+        for plan in desk.schedule(&cell, &mut digests) {
+            let Dispatch::Start(order) = plan else {
+                continue;
+            };
             for task in order.tasks {
                 starts += 1;
-                desk.event(&Event {
+                desk.apply_event(&Event {
                     task: task.id,
                     fate: Fate::Lost,
                 });
--- a/crates/cell/tests/rack.rs
+++ b/crates/cell/tests/rack.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use cell::{Command, Next, Outcome, Over, Rack, Settings};
+use cell::{Command, Next, Outcome, Rack, RunOutcome, Settings};
 use resource::Size;
 use wire::{Band, Fate, Mode, Order, Placement, Seniority, Shape, Task, TaskId};
 use worker::call::{Adopted, Report};
@@ -89,7 +89,7 @@
         epoch: 3,
         serial: 6,
     };
-    assert!(rack.hear(&asked));
+    assert!(rack.accept_message(&asked));
     let late = order(EPOCH, 5, vec![task(0, 1, Band::Normal)]);
     assert_eq!(place(&mut rack, &late), [Placement::NotOwner]);
 }
@@ -99,7 +99,7 @@
 #[test]
 fn an_order_from_an_owner_that_the_table_has_replaced_is_turned_away() {
     let mut rack = rack();
-    rack.outrank("home", 4);
+    rack.reject_older_owners("home", 4);
     let old = order(EPOCH, 5, vec![task(0, 1, Band::Normal)]);
     assert_eq!(place(&mut rack, &old), [Placement::NotOwner]);
 }
@@ -129,7 +129,7 @@
         let Command::Start { start, .. } = command else {
             panic!("{command:?}")
         };
-        rack.start_outcome(&start.task.id, Outcome::Did { saved_ms: 0 }, NOW);
+        rack.start_outcome(&start.task.id, Outcome::Done { saved_ms: 0 }, NOW);
     }
     let (reply, stops) = rack.place(&order(EPOCH, 2, vec![task(9, 8, Band::Urgent)]), NOW);
     assert_eq!(reply.placements, [Placement::Placed]);
@@ -137,13 +137,13 @@
         panic!("{stops:?}")
     };
     assert!(stop.checkpoint);
-    let more = rack.stop_outcome(&stop.task, Outcome::Did { saved_ms: 50 }, NOW);
+    let more = rack.stop_outcome(&stop.task, Outcome::Done { saved_ms: 50 }, NOW);
     let [Command::Start { start, .. }] = more.as_slice() else {
         panic!("{more:?}")
     };
     assert_eq!(start.task.id.index, 9);
     let preempted = rack
-        .news()
+        .unconfirmed_events()
         .iter()
         .rfind(|(_, event)| event.task == stop.task)
         .unwrap();
@@ -155,8 +155,8 @@
 #[test]
 fn an_owner_without_proof_starts_nothing() {
     let mut rack = rack();
-    let later = NOW + cell::fence::AUTHORITY;
-    assert!(rack.enter(0, "k", later + NOW, later).is_err());
+    let later = NOW + cell::fence::AUTHORITY_VALIDITY;
+    assert!(rack.enqueue(0, "k", later + NOW, later).is_err());
     let placed = rack.place(&order(EPOCH, 1, vec![task(0, 1, Band::Normal)]), later);
     assert_eq!(placed.0.placements, [Placement::NotOwner]);
 }
@@ -167,8 +167,8 @@
 fn the_end_of_a_run_of_a_former_time_frees_nothing() {
     let expires = NOW + Duration::from_secs(1);
     let start = |rack: &mut Rack| {
-        rack.enter(0, "seat", expires, NOW).unwrap();
-        let Next::Start(go) = rack.next(NOW) else {
+        rack.enqueue(0, "seat", expires, NOW).unwrap();
+        let Next::Start(go) = rack.start_next(NOW) else {
             panic!("nothing starts")
         };
         go
@@ -178,9 +178,19 @@
     let mut rack = rack_of(EPOCH + 2);
     let new = start(&mut rack);
     assert_ne!(old.attempt, new.attempt);
-    rack.enter(0, "seat", expires, NOW).unwrap();
-    rack.finish(&old, Over::Known { failed: false }, Duration::ZERO, NOW);
-    assert_eq!(rack.next(NOW), Next::Idle);
-    rack.finish(&new, Over::Known { failed: false }, Duration::ZERO, NOW);
-    assert!(matches!(rack.next(NOW), Next::Start(_)));
+    rack.enqueue(0, "seat", expires, NOW).unwrap();
+    rack.finish(
+        &old,
+        RunOutcome::Known { failed: false },
+        Duration::ZERO,
+        NOW,
+    );
+    assert_eq!(rack.start_next(NOW), Next::Idle);
+    rack.finish(
+        &new,
+        RunOutcome::Known { failed: false },
+        Duration::ZERO,
+        NOW,
+    );
+    assert!(matches!(rack.start_next(NOW), Next::Start(_)));
 }
--- a/crates/entry/tests/cell/mod.rs
+++ b/crates/entry/tests/cell/mod.rs
@@ -16,7 +16,7 @@
 use hyper::Method;
 use jsonrpsee::server::{Server as Listener, ServerHandle};
 use placer::{Node, Options, Rpc, Server};
-use platform::{Host, Standing, Table as _, Transaction};
+use platform::{Host, HostStatus, Table as _, Transaction};
 use resource::Size;
 use standin::{Platform, Racks};
 use telemetry::Shutdown;
@@ -50,12 +50,12 @@
         for n in 0..3 {
             let name = format!("r1-{n}");
             racks.add(&name, Size::new(16_000, 65_536, 0), 8);
-            let (rack, standing) = ("r1".to_owned(), Standing::Live);
+            let (rack, status) = ("r1".to_owned(), HostStatus::Live);
             platform.list(Host {
                 address: name.clone(),
                 name,
                 rack,
-                standing,
+                status,
             });
         }
         let value = serde_json::to_string(&configuration()).unwrap();
--- a/crates/model/src/ownership.rs
+++ b/crates/model/src/ownership.rs
@@ -18,10 +18,10 @@
 //! * The first placer to take over the rack is placer 0: the placers differ in nothing but number.
 //!
 //! Times are stored as remaining ticks, so the search needs no last tick and covers histories of
-//! any length. The workers' rule is the production code ([`worker::Slot`]). The owner's rules are
+//! any length. The workers' rule is the production code ([`worker::EpochFence`]). The owner's rules are
 //! restated here; `tests/conformance.rs` compares them with `cell::fence` on random histories.
 
-use worker::Slot;
+use worker::EpochFence;
 
 use crate::{Spec, Successors};
 
@@ -112,7 +112,7 @@
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Worker {
-    slot: Slot,
+    slot: EpochFence,
     /// Remaining ticks of its run of the key; 0 if it does not run it.
     run_ticks_left: u8,
     /// Attempts that it has started, as a bit mask.
@@ -259,7 +259,7 @@
             if self.guards.fence || u64::from(incarnation) != slot.incarnation() {
                 return;
             }
-            *slot = Slot::new(incarnation.into());
+            *slot = EpochFence::new(incarnation.into());
             _ = slot.adopt(epoch.into(), incarnation.into());
         }
         let changes = next.workers[w] != state.workers[w];
@@ -334,7 +334,7 @@
             let slot = &state.workers[w].slot;
             if state.restarts < self.restarts && slot.epoch() > 0 {
                 let mut next = state.clone();
-                let slot = Slot::new(slot.incarnation() + 1);
+                let slot = EpochFence::new(slot.incarnation() + 1);
                 next.restarts += 1;
                 next.workers[w] = Worker {
                     slot,
@@ -374,7 +374,7 @@
 
     fn initial(&self) -> State {
         let worker = Worker {
-            slot: Slot::new(1),
+            slot: EpochFence::new(1),
             run_ticks_left: 0,
             seen: 0,
         };
--- a/crates/model/tests/conformance.rs
+++ b/crates/model/tests/conformance.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use cell::fence::{AUTHORITY, Authority, Roster, Takeover};
+use cell::fence::{AUTHORITY_VALIDITY, Authority, Roster, Takeover};
 use model::ownership::{Acks, RUN_TICKS, WORKERS, authority, ready};
 use proptest::prelude::*;
 
-/// Ticks of the specification in one [`AUTHORITY`] period.
+/// Ticks of the specification in one [`AUTHORITY_VALIDITY`] period.
 const AUTHORITY_TICKS: u8 = 2;
 
 #[derive(Clone, Copy, Debug)]
@@ -29,7 +29,7 @@
     /// Both always agree on whether an owner may act.
     #[test]
     fn authority_matches_the_specification(events in prop::collection::vec(event(), 0..40)) {
-        let tick = AUTHORITY / u32::from(AUTHORITY_TICKS);
+        let tick = AUTHORITY_VALIDITY / u32::from(AUTHORITY_TICKS);
         let mut code = Authority::new(roster());
         let mut spec: Acks = [None; WORKERS];
         let mut now = Duration::from_secs(100);
@@ -44,14 +44,14 @@
                     spec = spec.map(|left| left.map(|left| left.saturating_sub(1)));
                 }
             }
-            prop_assert_eq!(code.holds(now), authority(&spec, WORKERS / 2 + 1) > 0);
+            prop_assert_eq!(code.is_valid(now), authority(&spec, WORKERS / 2 + 1) > 0);
         }
     }
 
     /// The code never lets a new owner act before the specification does, and both do eventually.
     #[test]
     fn takeover_is_never_earlier_than_in_the_specification(events in prop::collection::vec(event(), 0..40)) {
-        let tick = AUTHORITY / u32::from(AUTHORITY_TICKS);
+        let tick = AUTHORITY_VALIDITY / u32::from(AUTHORITY_TICKS);
         let mut code = Takeover::new(vec![roster()]);
         let mut fenced: Acks = [None; WORKERS];
         let mut takeover_delay = None;
@@ -75,6 +75,6 @@
             prop_assert_eq!(all, all && code.ready(now));
         }
         let majority_fenced = takeover_delay.is_some();
-        prop_assert_eq!(code.ready(now + Takeover::WAIT), majority_fenced);
+        prop_assert_eq!(code.ready(now + Takeover::MAX_DELAY), majority_fenced);
     }
 }
--- a/crates/placer/src/node.rs
+++ b/crates/placer/src/node.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwapOption;
-use cell::{Desk, Digests, Event, Now, Stage};
+use cell::{Digests, Event, JobScheduler, Now, Stage};
 use config::{Cell, Version};
 use platform::{Hosts, Table};
 use resource::id;
@@ -42,7 +42,7 @@
     pub options: Options,
     pub(crate) table: Arc<dyn Table>,
     pub(crate) hosts: Arc<dyn Hosts>,
-    pub(crate) workers: Arc<dyn worker::Host>,
+    pub(crate) workers: Arc<dyn worker::WorkerApi>,
     pub(crate) peers: Arc<dyn Peers>,
     /// Time since its start.
     pub since: Uptime,
@@ -72,7 +72,7 @@
         options: Options,
         table: Arc<dyn Table>,
         hosts: Arc<dyn Hosts>,
-        workers: Arc<dyn worker::Host>,
+        workers: Arc<dyn worker::WorkerApi>,
         peers: Arc<dyn Peers>,
         stop: Shutdown,
     ) -> Arc<Self> {
@@ -115,7 +115,7 @@
         self.beat_now.notify_one();
         let deadline = tokio::time::Instant::now() + self.options.drain;
         for shard in self.shards() {
-            shard.handle(&Event::Unwanted);
+            shard.handle(&Event::Unassigned);
         }
         while tokio::time::Instant::now() < deadline {
             let busy = |s: &Arc<Shard>| s.stage() != Stage::Watching;
@@ -323,7 +323,9 @@
     pub(crate) fn doubt(&self, racks: &[id::Rack]) {
         let now = self.now();
         for shard in self.shards() {
-            shard.with_desk(|desk: &mut Desk| racks.iter().for_each(|rack| desk.doubt(rack, now)));
+            shard.with_desk(|desk: &mut JobScheduler| {
+                racks.iter().for_each(|rack| desk.mark_unknown(rack, now));
+            });
         }
     }
 }
--- a/crates/placer/src/node/beat.rs
+++ b/crates/placer/src/node/beat.rs
@@ -172,10 +172,10 @@
         let owned = owner.as_ref() == Some(&node.options.name);
         match shard.stage() {
             Stage::Watching if mine && reachable && (dead || owned) && !node.stop.is_draining() => {
-                shard.handle(&Event::Wanted);
+                shard.handle(&Event::Assigned);
             }
             Stage::Fencing | Stage::Active if !mine && reachable && ideal.is_some() => {
-                shard.handle(&Event::Unwanted);
+                shard.handle(&Event::Unassigned);
             }
             _ => {}
         }
--- a/crates/placer/src/node/spread.rs
+++ b/crates/placer/src/node/spread.rs
@@ -41,7 +41,7 @@
 
 fn learn(node: &Node, digests: &[wire::Digest]) {
     let mut known = lock(&node.digests);
-    digests.iter().for_each(|digest| known.learn(digest));
+    digests.iter().for_each(|digest| known.update(digest));
 }
 
 fn gauge(node: &Node) {
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use cell::fence::Takeover;
-use cell::{Desk, Event, Go, Next, Now, Ownership, Rack, Record, Stage, Ticket};
+use cell::{Event, JobScheduler, Next, Now, Ownership, QuickRun, Rack, Record, Stage, Ticket};
 use config::Cell;
 use policy::RetryBudget;
 use resource::{Size, id};
@@ -55,9 +55,9 @@
     record: Option<(u64, Record)>,
     rack: Option<Rack>,
     takeover: Takeover,
-    desk: Option<Desk>,
+    desk: Option<JobScheduler>,
     memory: Memory,
-    starts: HashMap<Ticket, oneshot::Sender<Go>>,
+    starts: HashMap<Ticket, oneshot::Sender<QuickRun>>,
     budgets: BTreeMap<id::Team, RetryBudget>,
     listed: BTreeMap<id::Worker, Listed>,
     listed_at: Now,
@@ -183,9 +183,9 @@
     /// What the rack holds of the jobs of one home rack, if this placer owns it.
     pub(crate) fn inventory(&self, from: &Seniority, now: Now) -> Option<Inventory> {
         let mut state = self.state();
-        let complete = state.takeover.complete(now);
+        let complete = state.takeover.knows_all_tasks(now);
         let rack = state.rack.as_mut()?;
-        rack.hear(from)
+        rack.accept_message(from)
             .then(|| rack.inventory(&from.home, complete))
     }
 
@@ -200,14 +200,18 @@
             .unwrap_or_default();
         status.rack.clone_from(&self.name);
         status.stage = stage;
-        let usage = state.desk.as_ref().map(Desk::usage).unwrap_or_default();
+        let usage = state
+            .desk
+            .as_ref()
+            .map(JobScheduler::usage)
+            .unwrap_or_default();
         let team = |(team, (used, waiting)): (String, (Size, u32))| (team, used, waiting);
         status.teams = usage.into_iter().map(team).collect();
         status
     }
 
     /// Does something with the jobs at home here, if this placer looks after them.
-    pub(crate) fn with_desk<T>(&self, change: impl FnOnce(&mut Desk) -> T) -> Option<T> {
+    pub(crate) fn with_desk<T>(&self, change: impl FnOnce(&mut JobScheduler) -> T) -> Option<T> {
         self.state().desk.as_mut().map(change)
     }
 
@@ -226,11 +230,11 @@
         else {
             return;
         };
-        while let Next::Start(go) = rack.next(now) {
+        while let Next::Start(go) = rack.start_next(now) {
             let start = starts.remove(&go.ticket);
             let sent = start.is_some_and(|start| start.send(go.clone()).is_ok());
             if !sent {
-                rack.finish(&go, cell::Over::Refused, Duration::ZERO, now);
+                rack.finish(&go, cell::RunOutcome::Refused, Duration::ZERO, now);
             }
         }
     }
--- a/crates/placer/src/shard/adopt.rs
+++ b/crates/placer/src/shard/adopt.rs
@@ -7,7 +7,7 @@
 use cell::fence::majority;
 use cell::{Event, Record};
 use futures::future::join_all;
-use platform::Standing;
+use platform::HostStatus;
 use resource::id;
 use worker::call::{Adopt, Adopted};
 use worker::{Error, Refusal};
@@ -37,7 +37,7 @@
         };
         let mut state = self.state();
         let listed = |host: platform::Host| {
-            let leaving = host.standing == Standing::Leaving;
+            let leaving = host.status == HostStatus::Leaving;
             (
                 host.name,
                 Listed {
@@ -51,7 +51,7 @@
         if let Some(rack) = &mut state.rack {
             listed
                 .iter()
-                .for_each(|(name, host)| rack.list(name, host.leaving));
+                .for_each(|(name, host)| rack.set_listed_leaving(name, host.leaving));
         }
     }
 
@@ -93,7 +93,7 @@
                 return;
             };
             let missing = |(name, _): &(&id::Worker, &Listed)| {
-                rack.host(name).is_none() || !state.takeover.has(name)
+                rack.host(name).is_none() || !state.takeover.has_fenced(name)
             };
             let open: Vec<(id::Worker, Listed)> = state
                 .listed
@@ -200,7 +200,7 @@
         };
         let (address, (sent, now)) = (&listed.address, asked);
         rack.adopt(name, address, greeted.incarnation, adopted, sent, now);
-        rack.list(name, listed.leaving);
+        rack.set_listed_leaving(name, listed.leaving);
         self.takeover.fence(name, now);
     }
 }
--- a/crates/placer/src/shard/jobs.rs
+++ b/crates/placer/src/shard/jobs.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cell::Plan;
+use cell::Dispatch;
 use futures::future::join_all;
 use wire::{Order, Placement};
 
@@ -56,25 +56,25 @@
             return;
         };
         for digest in node.own_digests() {
-            lock(&node.digests).learn(&digest);
+            lock(&node.digests).update(&digest);
         }
         let plans = {
             let mut state = self.state();
             let Some(desk) = &mut state.desk else {
                 return;
             };
-            desk.plan(&applied.cell, &mut lock(&node.digests))
+            desk.schedule(&applied.cell, &mut lock(&node.digests))
         };
-        let (gangs, orders): (Vec<Plan>, Vec<Plan>) = plans
+        let (gangs, orders): (Vec<Dispatch>, Vec<Dispatch>) = plans
             .into_iter()
-            .partition(|plan| matches!(plan, Plan::Gang { .. }));
+            .partition(|plan| matches!(plan, Dispatch::Gang { .. }));
         let started = orders.into_iter().filter_map(|plan| match plan {
-            Plan::Start(order) => Some(self.order(node, order)),
-            Plan::Gang { .. } => None,
+            Dispatch::Start(order) => Some(self.order(node, order)),
+            Dispatch::Gang { .. } => None,
         });
         join_all(started).await;
         for plan in gangs {
-            if let Plan::Gang { gang, orders } = plan {
+            if let Dispatch::Gang { gang, orders } = plan {
                 self.start_gang(node, &gang, orders).await;
             }
         }
@@ -83,12 +83,12 @@
     /// Sends an order to the owner of its rack; `true` if every task was placed.
     async fn order(self: &Arc<Self>, node: &Arc<Node>, order: Order) -> bool {
         let Some(placed) = node.place_at(&order).await else {
-            self.with_desk(|desk| desk.doubt(&order.rack, node.now()));
+            self.with_desk(|desk| desk.mark_unknown(&order.rack, node.now()));
             return false;
         };
         match &placed.digest {
-            Some(digest) => lock(&node.digests).learn(digest),
-            None => lock(&node.digests).forget(&order.rack),
+            Some(digest) => lock(&node.digests).update(digest),
+            None => lock(&node.digests).remove(&order.rack),
         }
         metrics::counter!("lentilyoke_placements_total").increment(
             placed
@@ -97,7 +97,7 @@
                 .filter(|p| **p == Placement::Placed)
                 .count() as u64,
         );
-        self.with_desk(|desk| desk.placed(&order, &placed));
+        self.with_desk(|desk| desk.order_answered(&order, &placed));
         placed.placements.iter().all(|p| *p == Placement::Placed)
     }
 }
--- a/crates/placer/src/shard/jobs/gang.rs
+++ b/crates/placer/src/shard/jobs/gang.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use cell::Desk;
+use cell::JobScheduler;
 use resource::id;
 use wire::{Gang, Order, Placed, Placement};
 
@@ -29,7 +29,7 @@
         for rack in &held {
             if !self.commit_on(node, rack, gang).await {
                 self.undo_gang(node, gang, &held).await;
-                self.with_desk(|desk| held.iter().for_each(|r| desk.doubt(r, node.now())));
+                self.with_desk(|desk| held.iter().for_each(|r| desk.mark_unknown(r, node.now())));
                 return;
             }
         }
@@ -43,12 +43,12 @@
                 placements,
                 digest: None,
             };
-            self.with_desk(|desk| desk.placed(order, &full));
+            self.with_desk(|desk| desk.order_answered(order, &full));
         }
     }
 
     async fn commit_on(self: &Arc<Self>, node: &Arc<Node>, rack: &str, gang: &Gang) -> bool {
-        let Some(from) = self.with_desk(Desk::next_serial) else {
+        let Some(from) = self.with_desk(JobScheduler::next_serial) else {
             return false;
         };
         node.commit_at(rack, from, gang).await
@@ -61,7 +61,7 @@
         racks: &[id::Rack],
     ) {
         for rack in racks {
-            let Some(from) = self.with_desk(Desk::next_serial) else {
+            let Some(from) = self.with_desk(JobScheduler::next_serial) else {
                 return;
             };
             node.undo_at(rack, from, gang).await;
--- a/crates/placer/src/shard/jobs/intake.rs
+++ b/crates/placer/src/shard/jobs/intake.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use cell::{Desk, Saved};
+use cell::{JobScheduler, SavedJob};
 use platform::{Error, Transaction};
 use wire::{Fault, Job, Kind, State};
 
@@ -19,7 +19,7 @@
         let Some(applied) = node.applied() else {
             return Err(Fault::new(Kind::NoOwner, "no configuration yet"));
         };
-        Desk::admit(&job, &applied.cell)?;
+        JobScheduler::admit(&job, &applied.cell)?;
         let known = self.with_desk(|desk| desk.find(&job));
         match known {
             None => return Err(not_at_home()),
@@ -38,8 +38,8 @@
     /// Writes the row of a new job. The rack's row is checked as well: a deposed owner must not
     /// say that it took a job which the new owner has not seen.
     async fn record_job(self: &Arc<Self>, node: &Arc<Node>, job: &Job) -> Result<(), Fault> {
-        let key = Saved::key(&job.team, &job.id);
-        let value = serde_json::to_string(&Saved::new(job.clone()))
+        let key = SavedJob::key(&job.team, &job.id);
+        let value = serde_json::to_string(&SavedJob::new(job.clone()))
             .map_err(|e| Fault::new(Kind::BadInput, e.to_string()))?;
         let Some((version, _)) = self.state().record.clone() else {
             return Err(not_at_home());
--- a/crates/placer/src/shard/jobs/news.rs
+++ b/crates/placer/src/shard/jobs/news.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use cell::Desk;
+use cell::JobScheduler;
 use futures::future::join_all;
 use resource::id;
 use wire::Event;
@@ -15,7 +15,7 @@
 impl Shard {
     /// Takes note of what became of tasks of jobs at home here; `false` if they are not.
     pub(crate) fn hear(&self, events: &[Event]) -> bool {
-        let heard = self.with_desk(|desk| events.iter().for_each(|event| desk.event(event)));
+        let heard = self.with_desk(|desk| events.iter().for_each(|event| desk.apply_event(event)));
         if heard.is_some() {
             self.jobs_now.notify_one();
         }
@@ -26,7 +26,7 @@
     pub(super) async fn tell_news(self: &Arc<Self>, node: &Arc<Node>) {
         let mut by_home: BTreeMap<id::Rack, Vec<Event>> = BTreeMap::new();
         if let Some(rack) = &self.state().rack {
-            for (home, event) in rack.news() {
+            for (home, event) in rack.unconfirmed_events() {
                 by_home.entry(home.clone()).or_default().push(event.clone());
             }
         }
@@ -36,7 +36,7 @@
         });
         for (home, events) in join_all(told).await.into_iter().flatten() {
             if let Some(rack) = &mut self.state().rack {
-                rack.confirmed(&home, &events);
+                rack.confirm_events(&home, &events);
             }
         }
     }
@@ -44,31 +44,33 @@
     /// Asks all placers what their racks hold, if some of it is not known.
     pub(super) async fn settle_doubts(self: &Arc<Self>, node: &Arc<Node>) {
         let now = node.now();
-        if self.with_desk(|desk| desk.doubtful(now)) != Some(true) {
+        if self.with_desk(|desk| desk.inventory_due(now)) != Some(true) {
             return;
         }
-        let Some(from) = self.with_desk(Desk::next_serial) else {
+        let Some(from) = self.with_desk(JobScheduler::next_serial) else {
             return;
         };
         for inventory in node.inventories(&from).await {
-            self.with_desk(|desk| desk.counted(&inventory));
+            self.with_desk(|desk| desk.apply_inventory(&inventory));
         }
         self.jobs_now.notify_one();
     }
 
     /// Stops what still runs of jobs that are over, and the rest of broken gangs.
     pub(super) async fn stop_leftovers(self: &Arc<Self>, node: &Arc<Node>) {
-        let broken = self.with_desk(Desk::broken_gangs).unwrap_or_default();
+        let broken = self
+            .with_desk(JobScheduler::gangs_to_restart)
+            .unwrap_or_default();
         for (gang, racks) in broken {
             self.undo_gang(node, &gang, &racks).await;
         }
         let leftovers: BTreeSet<_> = self
-            .with_desk(|desk| desk.leftovers())
+            .with_desk(|desk| desk.running_tasks_of_ended_jobs())
             .unwrap_or_default()
             .into_iter()
             .collect();
         for (rack, team, job) in leftovers {
-            let Some(from) = self.with_desk(Desk::next_serial) else {
+            let Some(from) = self.with_desk(JobScheduler::next_serial) else {
                 return;
             };
             node.stop_at(&rack, from, (team, job)).await;
--- a/crates/placer/src/shard/jobs/orders.rs
+++ b/crates/placer/src/shard/jobs/orders.rs
@@ -39,7 +39,7 @@
 
     /// Gives up a gang on this rack.
     pub(crate) fn undo(self: &Arc<Self>, node: &Arc<Node>, from: &Seniority, gang: &Gang) -> bool {
-        self.obey(node, from, |rack, now| Some(rack.undo(gang, now)))
+        self.obey(node, from, |rack, now| Some(rack.abort(gang, now)))
     }
 
     /// Stops all tasks of a job on this rack.
@@ -50,7 +50,7 @@
         team: &str,
         job: &str,
     ) -> bool {
-        self.obey(node, from, |rack, now| Some(rack.stop(team, job, now)))
+        self.obey(node, from, |rack, now| Some(rack.stop_job(team, job, now)))
     }
 
     /// Does what the owner of a job asks, unless a later message of it was heard before; `false` if
@@ -66,7 +66,7 @@
         let Some(rack) = &mut state.rack else {
             return false;
         };
-        if !rack.hear(from) {
+        if !rack.accept_message(from) {
             return false;
         }
         let Some(commands) = act(rack, now) else {
--- a/crates/placer/src/shard/jobs/save.rs
+++ b/crates/placer/src/shard/jobs/save.rs
@@ -1,6 +1,6 @@
 //! Keeps the rows of jobs up to date.
 
-use cell::{Desk, Saved};
+use cell::{JobScheduler, SavedJob};
 use platform::Transaction;
 
 use super::Shard;
@@ -15,7 +15,7 @@
     /// Writes the rows of jobs that have changed; `true` if nothing is left to write.
     pub(super) async fn save(&self, node: &Node) -> bool {
         loop {
-            let Some(mut rows) = self.with_desk(Desk::unsaved) else {
+            let Some(mut rows) = self.with_desk(JobScheduler::take_unsaved) else {
                 return false;
             };
             if rows.is_empty() {
@@ -23,15 +23,15 @@
                 return true;
             }
             let later = rows.split_off(rows.len().min(ROWS));
-            self.with_desk(|desk| later.iter().for_each(|row| desk.not_saved(row)));
+            self.with_desk(|desk| later.iter().for_each(|row| desk.save_failed(row)));
             if !self.save_rows(node, &rows).await {
-                self.with_desk(|desk| rows.iter().for_each(|row| desk.not_saved(row)));
+                self.with_desk(|desk| rows.iter().for_each(|row| desk.save_failed(row)));
                 return false;
             }
         }
     }
 
-    async fn save_rows(&self, node: &Node, rows: &[Saved]) -> bool {
+    async fn save_rows(&self, node: &Node, rows: &[SavedJob]) -> bool {
         let Some((version, _)) = self.state().record.clone() else {
             return false;
         };
@@ -41,7 +41,7 @@
             let Ok(value) = serde_json::to_string(row) else {
                 continue;
             };
-            transaction = transaction.put(Saved::key(&row.job.team, &row.job.id), value);
+            transaction = transaction.put(SavedJob::key(&row.job.team, &row.job.id), value);
         }
         node.table.commit(transaction).await.is_ok()
     }
@@ -49,12 +49,12 @@
     /// Deletes the rows of jobs that were over long ago.
     async fn forget(&self, node: &Node) {
         let gone = self
-            .with_desk(|desk| desk.forget_over(KEEP_OVER))
+            .with_desk(|desk| desk.remove_ended(KEEP_OVER))
             .unwrap_or_default();
         if gone.is_empty() {
             return;
         }
-        let keys = gone.iter().map(|(team, job)| Saved::key(team, job));
+        let keys = gone.iter().map(|(team, job)| SavedJob::key(team, job));
         let transaction = keys.fold(Transaction::default(), Transaction::delete);
         drop(node.table.commit(transaction).await);
     }
--- a/crates/placer/src/shard/own.rs
+++ b/crates/placer/src/shard/own.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cell::fence::{Roster, Takeover};
-use cell::{Desk, Event, Rack, Record, Saved, Stage};
+use cell::{Event, JobScheduler, Rack, Record, SavedJob, Stage};
 use platform::{Error, Transaction};
 
 use super::Shard;
@@ -54,7 +54,7 @@
             .cloned()
             .unwrap_or_default();
         let roster: Roster = self.state().listed.keys().cloned().collect();
-        let next = record.taken(&node.options.name, &node.options.address, roster);
+        let next = record.acquired_by(&node.options.name, &node.options.address, roster);
         let written = self.write(node, &key, version, &next).await;
         let Some(version) = written else {
             self.handle(&Event::Refused);
@@ -73,7 +73,7 @@
         let same = before.owner.as_ref() == Some(&node.options.name);
         let settings = state.settings.clone();
         match &mut state.rack {
-            Some(rack) if same && rack.epoch() == before.epoch => rack.retake(epoch, roster),
+            Some(rack) if same && rack.epoch() == before.epoch => rack.reacquire(epoch, roster),
             _ => state.rack = Some(Rack::new(&self.name, epoch, roster, settings)),
         }
         // An order from the former owner of a home rack may be under way to here. The rows that
@@ -81,7 +81,7 @@
         let records = node.view().records.clone();
         if let Some(rack) = &mut state.rack {
             for (home, (_, record)) in records {
-                rack.outrank(&home, record.epoch);
+                rack.reject_older_owners(&home, record.epoch);
             }
         }
         state.takeover = Takeover::new(before.rosters.clone());
@@ -149,7 +149,7 @@
         state.memory.tick(now);
         if state.drifted(now) && node.view().is_reachable() {
             state.drift = None;
-            state.ownership.handle(&Event::Wanted);
+            state.ownership.handle(&Event::Assigned);
         }
     }
 
@@ -159,7 +159,7 @@
         let Some((version, record)) = record.filter(|(_, r)| r.rosters.len() > 1) else {
             return;
         };
-        let next = record.settled();
+        let next = record.without_earlier_rosters();
         if let Some(version) = self
             .write(node, &Record::key(&self.name), version, &next)
             .await
@@ -179,7 +179,7 @@
         let cell = &applied.cell;
         let here = |(name, team): (&String, &config::Team)| {
             let home = config::home::team(cell, name, team)?;
-            (home == self.name).then(|| Saved::key(name, ""))
+            (home == self.name).then(|| SavedJob::key(name, ""))
         };
         let prefixes: Vec<String> = cell.teams.iter().filter_map(here).collect();
         let prefixes: Vec<&str> = prefixes.iter().map(String::as_str).collect();
@@ -195,14 +195,14 @@
             }
         };
         let saved = saved.into_iter().filter_map(|row| row.value);
-        let saved: Vec<Saved> = saved
+        let saved: Vec<SavedJob> = saved
             .filter_map(|v| serde_json::from_str(&v).ok())
             .collect();
         let mut state = self.state();
         if state.desk.is_some() || state.ownership.stage() != Stage::Active {
             return;
         }
-        let mut desk = Desk::new(self.name.clone(), state.ownership.epoch());
+        let mut desk = JobScheduler::new(self.name.clone(), state.ownership.epoch());
         if !saved.is_empty() {
             desk.recover(saved, cell, node.now());
         }
@@ -213,7 +213,7 @@
     async fn release(&self, node: &Node) {
         let (busy, record) = {
             let mut state = self.state();
-            let busy = state.rack.as_ref().is_some_and(Rack::quick_in_hand);
+            let busy = state.rack.as_ref().is_some_and(Rack::has_quick_requests);
             state.desk = None;
             (busy, state.record.clone())
         };
@@ -246,7 +246,11 @@
     fn activate(&mut self, now: cell::Now) -> bool {
         self.bury_gone(now);
         let ready = self.takeover.ready(now) && self.ownership.stage() == Stage::Fencing;
-        let Some(rack) = self.rack.as_mut().filter(|rack| ready && rack.proved(now)) else {
+        let Some(rack) = self
+            .rack
+            .as_mut()
+            .filter(|rack| ready && rack.has_authority(now))
+        else {
             return false;
         };
         rack.activate();
--- a/crates/placer/src/shard/pulse.rs
+++ b/crates/placer/src/shard/pulse.rs
@@ -33,18 +33,18 @@
             .state()
             .rack
             .as_mut()
-            .and_then(|rack| rack.pulse(worker, sent));
+            .and_then(|rack| rack.next_heartbeat(worker, sent));
         let Some((address, pulse)) = next else {
             return;
         };
-        match node.workers.pulse(&address, pulse.clone()).await {
+        match node.workers.heartbeat(&address, pulse.clone()).await {
             Ok(report) => {
                 let now = node.now();
                 let mut state = self.state();
                 let Some(rack) = &mut state.rack else {
                     return;
                 };
-                let commands = rack.pulsed(worker, &pulse, &report, sent, now);
+                let commands = rack.heartbeat_answered(worker, &pulse, &report, sent, now);
                 drop(state);
                 self.carry_out(node, commands);
             }
@@ -65,7 +65,7 @@
             return;
         };
         log::warn!(worker = worker; "restarted");
-        rack.bury(worker);
+        rack.remove_worker(worker);
     }
 
     /// Says to the workers what was decided.
@@ -113,7 +113,7 @@
 
 fn outcome(result: Result<u64, Error>) -> Outcome {
     match result {
-        Ok(saved_ms) => Outcome::Did { saved_ms },
+        Ok(saved_ms) => Outcome::Done { saved_ms },
         Err(error) if error.had_no_effect() => Outcome::Refused,
         Err(_) => Outcome::Unknown,
     }
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cell::{Go, Now, Over, Stage, Ticket};
+use cell::{Now, QuickRun, RunOutcome, Stage, Ticket};
 use config::Service;
 use policy::RetryBudget;
 use tokio::sync::oneshot;
 use wire::{Answer, Claim, Fault, Kind, Request, Verdict};
 use worker::Error;
-use worker::call::{Ran, Run, Void, Voided};
+use worker::call::{Run, RunResult, Void, Voided};
 
 use super::Shard;
 use crate::Node;
@@ -153,7 +153,7 @@
         };
         let run = Run {
             epoch: go.epoch,
-            life: go.incarnation,
+            incarnation: go.incarnation,
             not_after: go.not_after,
             run_ms: service.run.as_millis() as u64,
             id: name.to_owned(),
@@ -177,7 +177,7 @@
             Ok(ran) => ended(ran),
             Err(error) if error.had_no_effect() => {
                 let fault = Fault::new(Kind::NoWorker, format!("{}: {error}", go.worker));
-                (Over::Refused, Next::Again(fault))
+                (RunOutcome::Refused, Next::Again(fault))
             }
             Err(error) => {
                 self.resolve(node, name, request, service, &go, &error)
@@ -199,7 +199,7 @@
         request: &Request,
         service: &Service,
         expires: Now,
-    ) -> Result<Go, Fault> {
+    ) -> Result<QuickRun, Fault> {
         let (ticket, mut start) = self.queue(node, request, service, expires)?;
         self.dispatch(node.now());
         let deadline = node.since.instant_at(expires);
@@ -231,12 +231,12 @@
         request: &Request,
         service: &Service,
         expires: Now,
-    ) -> Result<(Ticket, oneshot::Receiver<Go>), Fault> {
+    ) -> Result<(Ticket, oneshot::Receiver<QuickRun>), Fault> {
         let key = format!("{}/{}", request.service, request.key);
         let mut state = self.state();
         let active = state.ownership.stage() == Stage::Active;
         let rack = state.rack.as_mut().filter(|_| active).ok_or_else(deposed)?;
-        let ticket = rack.enter(service.rank, &key, expires, node.now())?;
+        let ticket = rack.enqueue(service.rank, &key, expires, node.now())?;
         let (sender, start) = oneshot::channel();
         state.starts.insert(ticket, sender);
         Ok((ticket, start))
@@ -249,9 +249,9 @@
         name: &str,
         request: &Request,
         service: &Service,
-        go: &Go,
+        go: &QuickRun,
         error: &Error,
-    ) -> (Over, Next) {
+    ) -> (RunOutcome, Next) {
         log::warn!(request = name, worker = go.worker.as_str(); "no answer: {error}");
         let void = Void {
             epoch: go.epoch,
@@ -263,14 +263,19 @@
             Ok(Voided::Ended(ran)) => ended(ran),
             Ok(Voided::Never) => {
                 let fault = Fault::new(Kind::NoWorker, format!("{} did not start it", go.worker));
-                (Over::Refused, Next::Again(fault))
+                (RunOutcome::Refused, Next::Again(fault))
             }
             Ok(Voided::Stopped) if request.idempotent => {
-                (Over::Known { failed: true }, Next::Again(lost()))
+                (RunOutcome::Known { failed: true }, Next::Again(lost()))
             }
-            Ok(Voided::Stopped) => (Over::Known { failed: true }, Next::Answer(lost().into())),
+            Ok(Voided::Stopped) => (
+                RunOutcome::Known { failed: true },
+                Next::Answer(lost().into()),
+            ),
             Err(_) => (
-                Over::Unknown { run: service.run },
+                RunOutcome::Unknown {
+                    max_run: service.run,
+                },
                 Next::Answer(lost().into()),
             ),
         }
@@ -297,14 +302,14 @@
 }
 
 /// A whole answer came, or the worker says that it failed.
-fn ended(ran: Ran) -> (Over, Next) {
+fn ended(ran: RunResult) -> (RunOutcome, Next) {
     match ran.result {
         Ok(body) => (
-            Over::Known { failed: false },
+            RunOutcome::Known { failed: false },
             Next::Answer(Answer::Done(body)),
         ),
         Err(reason) => (
-            Over::Known { failed: true },
+            RunOutcome::Known { failed: true },
             Next::Answer(Answer::fault(Kind::Failed, reason)),
         ),
     }
--- a/crates/placer/tests/jobs.rs
+++ b/crates/placer/tests/jobs.rs
@@ -83,7 +83,7 @@
     world
         .await_job("watch", secs(40), |s| s.restarts >= 1 && s.running == 6)
         .await;
-    assert!(began.elapsed() >= cell::LEASE);
+    assert!(began.elapsed() >= cell::TASK_LEASE);
     world.check();
     world.end().await;
 }
--- a/crates/placer/tests/ownership.rs
+++ b/crates/placer/tests/ownership.rs
@@ -69,7 +69,7 @@
     .await;
     let fencing = began.elapsed();
     until(secs(20), || world.active("p2", "r1")).await;
-    assert!(began.elapsed() - fencing >= cell::fence::Takeover::WAIT - ms(200));
+    assert!(began.elapsed() - fencing >= cell::fence::Takeover::MAX_DELAY - ms(200));
     let answer = world.ask_at("p1", request("old", "k", true, 5)).await;
     assert_eq!(answer.class(), Class::NotRun);
     let answer = world.ask_at("p2", request("new", "k", true, 5)).await;
--- a/crates/placer/tests/world/faulty.rs
+++ b/crates/placer/tests/world/faulty.rs
@@ -14,9 +14,10 @@
 use wire::rpc::PlacerServer as _;
 use wire::{Claim, Digest, Event, Gang, Inventory, Order, Placed, Seniority, Verdict};
 use worker::call::{
-    Adopt, Adopted, Hello, Pulse, Ran, Report, Run, Start, Stop, Stopped, Throttle, Void, Voided,
+    Adopt, Adopted, Heartbeat, Hello, Report, Run, RunResult, Start, Stop, Stopped, Throttle, Void,
+    Voided,
 };
-use worker::{Error, Host};
+use worker::{Error, WorkerApi};
 
 use super::Net;
 
@@ -117,7 +118,7 @@
     async fn worker(&self, address: &str) -> Result<(), Error> {
         self.pass().await;
         if self.unreached.lock().unwrap().contains(address) {
-            tokio::time::sleep(worker::TIMEOUT).await;
+            tokio::time::sleep(worker::CALL_TIMEOUT).await;
             return Err(Error::NotSent {
                 reason: "cut off".to_owned(),
             });
@@ -174,7 +175,7 @@
 }
 
 #[async_trait]
-impl Host for Faulty {
+impl WorkerApi for Faulty {
     async fn hello(&self, address: &str) -> Result<Hello, Error> {
         self.faults.worker(address).await?;
         self.racks.hello(address).await
@@ -185,12 +186,12 @@
         self.racks.adopt(address, adopt).await
     }
 
-    async fn pulse(&self, address: &str, pulse: Pulse) -> Result<Report, Error> {
+    async fn heartbeat(&self, address: &str, pulse: Heartbeat) -> Result<Report, Error> {
         self.faults.worker(address).await?;
-        self.racks.pulse(address, pulse).await
+        self.racks.heartbeat(address, pulse).await
     }
 
-    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<Ran, Error> {
+    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<RunResult, Error> {
         self.faults.worker(address).await?;
         if *self.faults.breaking.borrow() {
             let (racks, address) = (self.racks.clone(), address.to_owned());
--- a/crates/placer/tests/world/mod.rs
+++ b/crates/placer/tests/world/mod.rs
@@ -18,7 +18,7 @@
 
 use config::{Builder, Cell, raw};
 use placer::{Node, Options, Server};
-use platform::{Host, Standing, Table as _, Transaction};
+use platform::{Host, HostStatus, Table as _, Transaction};
 use resource::Size;
 use standin::{Journal, Platform, Racks};
 use telemetry::Shutdown;
@@ -90,7 +90,7 @@
             address: name.clone(),
             name,
             rack: rack.to_owned(),
-            standing: Standing::Live,
+            status: HostStatus::Live,
         });
     }
 
--- a/crates/platform/src/host.rs
+++ b/crates/platform/src/host.rs
@@ -9,7 +9,7 @@
 /// What the platform says of a host.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum HostStatus {
     /// It is there.
     Live,
     /// It will go and should get no new work.
@@ -27,7 +27,8 @@
     /// Its address, `ip:port`.
     pub address: String,
     /// Whether it is live or leaving.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: HostStatus,
 }
 
 /// The platform's list of hosts.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -15,6 +15,6 @@
 
 pub use client::Client;
 pub use error::Error;
-pub use host::{Host, Hosts, Standing};
+pub use host::{Host, HostStatus, Hosts};
 pub use object::Objects;
 pub use table::{Check, Row, Scan, Table, Transaction, Version, Write};
--- a/crates/standin/src/bin/lentilyoke-standin.rs
+++ b/crates/standin/src/bin/lentilyoke-standin.rs
@@ -8,7 +8,7 @@
 
 use axum::Router;
 use clap::{Parser, Subcommand};
-use platform::{Host, Standing, http};
+use platform::{Host, HostStatus, http};
 use resource::Size;
 use snafu::{OptionExt as _, ResultExt as _, Whatever, whatever};
 use standin::serve;
@@ -203,7 +203,7 @@
         name: name.to_owned(),
         rack: rack.to_owned(),
         address: address.to_string(),
-        standing: Standing::Live,
+        status: HostStatus::Live,
     };
     let url = format!("http://{platform}/register");
     let limit = Duration::from_secs(1);
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 use wire::{Body, Fate, Shape, Task, TaskId};
 use worker::call::{
-    Adopt, Adopted, Ended, Hello, Moment, Occupied, Pulse, Ran, Report, Run, Running, Start, Stop,
-    Stopped, Throttle, Void, Voided,
+    Adopt, Adopted, EndedTask, Heartbeat, Hello, Moment, OccupiedKey, Report, Run, RunResult,
+    RunningTask, Start, Stop, Stopped, Throttle, Void, Voided,
 };
-use worker::{Refusal, Slot};
+use worker::{EpochFence, Refusal};
 
 use crate::journal::{Journal, Span};
 
@@ -42,13 +42,13 @@
 pub struct Machine {
     size: Size,
     slots: u32,
-    slot: Slot,
+    slot: EpochFence,
     mischief: Mischief,
     tasks: BTreeMap<TaskId, Held>,
-    ended: Vec<Ended>,
+    ended: Vec<EndedTask>,
     seen: BTreeSet<TaskId>,
     runs: BTreeMap<(String, u64), Active>,
-    past: VecDeque<((String, u64), Option<Ran>)>,
+    past: VecDeque<((String, u64), Option<RunResult>)>,
     journal: Journal,
 }
 
@@ -73,7 +73,7 @@
         Self {
             size,
             slots,
-            slot: Slot::new(incarnation),
+            slot: EpochFence::new(incarnation),
             mischief: Mischief::default(),
             tasks: BTreeMap::new(),
             ended: Vec::new(),
@@ -127,7 +127,7 @@
     /// Is taken over.
     ///
     /// # Errors
-    /// As [`Slot::adopt`].
+    /// As [`EpochFence::adopt`].
     pub fn adopt(&mut self, adopt: &Adopt, now: Moment) -> Result<Adopted, Refusal> {
         self.slot.adopt(adopt.epoch, adopt.incarnation)?;
         Ok(Adopted {
@@ -141,8 +141,8 @@
     ///
     /// # Errors
     /// [`Refusal::Fenced`] for another epoch.
-    pub fn pulse(&mut self, pulse: &Pulse, now: Moment) -> Result<Report, Refusal> {
-        self.slot.admit(pulse.epoch, pulse.life, 0, 0)?;
+    pub fn pulse(&mut self, pulse: &Heartbeat, now: Moment) -> Result<Report, Refusal> {
+        self.slot.admit(pulse.epoch, pulse.incarnation, 0, 0)?;
         self.tick(now);
         if pulse.lease_ms > 0 && now <= pulse.not_after {
             for held in self.tasks.values_mut() {
@@ -159,7 +159,8 @@
     /// # Errors
     /// A [`Refusal`], after which it will never run.
     pub fn begin(&mut self, run: &Run, now: Moment, wall: u64) -> Result<(), Refusal> {
-        self.slot.admit(run.epoch, run.life, now, run.not_after)?;
+        self.slot
+            .admit(run.epoch, run.incarnation, now, run.not_after)?;
         if self.mischief.leaving {
             return Err(Refusal::Leaving);
         }
@@ -187,7 +188,7 @@
     }
 
     /// Ends a quick request with its answer; `None` if it was voided meanwhile.
-    pub fn end(&mut self, run: &Run, wall: u64) -> Option<Ran> {
+    pub fn end(&mut self, run: &Run, wall: u64) -> Option<RunResult> {
         let name = (run.id.clone(), run.attempt);
         self.close(&name, wall)?;
         let result = if self.mischief.fails {
@@ -195,7 +196,7 @@
         } else {
             Ok(answer(run))
         };
-        let ran = Ran {
+        let ran = RunResult {
             id: run.id.clone(),
             attempt: run.attempt,
             result,
@@ -231,7 +232,7 @@
     /// A [`Refusal`], after which it will never start.
     pub fn start(&mut self, start: &Start, now: Moment) -> Result<(), Refusal> {
         self.slot
-            .admit(start.epoch, start.life, now, start.not_after)?;
+            .admit(start.epoch, start.incarnation, now, start.not_after)?;
         if self.mischief.leaving {
             return Err(Refusal::Leaving);
         }
@@ -306,7 +307,7 @@
             .collect();
         for (task, fate) in done {
             if let Some(held) = self.tasks.remove(&task) {
-                self.ended.push(Ended {
+                self.ended.push(EndedTask {
                     task,
                     home: held.task.home,
                     fate,
@@ -340,12 +341,12 @@
                 size.memory_mib * percent / 100,
                 size.accelerators,
             );
-            Running {
+            RunningTask {
                 task: held.task.clone(),
                 usage,
             }
         };
-        let occupied = |a: &Active| Occupied {
+        let occupied = |a: &Active| OccupiedKey {
             key: a.key.clone(),
             until: a.until,
         };
@@ -366,7 +367,7 @@
         Some(())
     }
 
-    fn remember(&mut self, name: (String, u64), ran: Option<Ran>) {
+    fn remember(&mut self, name: (String, u64), ran: Option<RunResult>) {
         self.past.push_back((name, ran));
         if self.past.len() > REMEMBERED {
             self.past.pop_front();
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -6,7 +6,7 @@
 
 use async_trait::async_trait;
 use platform::{
-    Check, Error, Host, Hosts, Objects, Row, Scan, Standing, Table, Transaction, Version,
+    Check, Error, Host, HostStatus, Hosts, Objects, Row, Scan, Table, Transaction, Version,
 };
 use resource::id;
 use serde::{Deserialize, Serialize};
@@ -98,7 +98,7 @@
         if gone {
             list.retain(|h| h.name != name);
         } else if let Some(host) = list.iter_mut().find(|h| h.name == name) {
-            host.standing = Standing::Leaving;
+            host.status = HostStatus::Leaving;
         }
         inner.lists.push_back((Some(Instant::now()), list));
     }
--- a/crates/standin/src/racks.rs
+++ b/crates/standin/src/racks.rs
@@ -9,10 +9,10 @@
 use telemetry::Uptime;
 use wire::TaskId;
 use worker::call::{
-    Adopt, Adopted, Hello, Moment, Pulse, Ran, Report, Run, Start, Stop, Stopped, Throttle, Void,
-    Voided,
+    Adopt, Adopted, Heartbeat, Hello, Moment, Report, Run, RunResult, Start, Stop, Stopped,
+    Throttle, Void, Voided,
 };
-use worker::{Error, Host, Refusal};
+use worker::{Error, Refusal, WorkerApi};
 
 use crate::{Journal, Machine, Mischief};
 
@@ -99,7 +99,7 @@
                 });
             }
             Some(true) => {
-                tokio::time::sleep(worker::TIMEOUT).await;
+                tokio::time::sleep(worker::CALL_TIMEOUT).await;
                 return Err(Error::NoAnswer {
                     reason: "frozen".to_owned(),
                 });
@@ -116,7 +116,7 @@
 }
 
 #[async_trait]
-impl Host for Racks {
+impl WorkerApi for Racks {
     async fn hello(&self, address: &str) -> Result<Hello, Error> {
         self.call(address, |m, _| Ok(m.hello())).await
     }
@@ -125,11 +125,11 @@
         self.call(address, |m, now| m.adopt(&adopt, now)).await
     }
 
-    async fn pulse(&self, address: &str, pulse: Pulse) -> Result<Report, Error> {
+    async fn heartbeat(&self, address: &str, pulse: Heartbeat) -> Result<Report, Error> {
         self.call(address, |m, now| m.pulse(&pulse, now)).await
     }
 
-    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<Ran, Error> {
+    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<RunResult, Error> {
         self.call(address, |m, now| m.begin(&run, now, now)).await?;
         tokio::time::sleep(Machine::work(&run)).await;
         let now = self.now();
--- a/crates/standin/src/serve/hosts.rs
+++ b/crates/standin/src/serve/hosts.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use telemetry::{Shutdown, Uptime};
 use worker::Refusal;
-use worker::call::{Adopt, Moment, Pulse, Run, Start, Stop, Throttle, Void};
+use worker::call::{Adopt, Heartbeat, Moment, Run, Start, Stop, Throttle, Void};
 
 use crate::{Machine, Mischief};
 
@@ -92,7 +92,7 @@
     control.call(|m, now| m.adopt(&adopt, now)).await
 }
 
-async fn pulse(State(control): State<Control>, Json(pulse): Json<Pulse>) -> Response {
+async fn pulse(State(control): State<Control>, Json(pulse): Json<Heartbeat>) -> Response {
     control.call(|m, now| m.pulse(&pulse, now)).await
 }
 
--- a/crates/worker/src/call.rs
+++ b/crates/worker/src/call.rs
@@ -45,11 +45,12 @@
 /// A heartbeat: renews all task leases.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Pulse {
+pub struct Heartbeat {
     /// The owner's epoch.
     pub epoch: id::Epoch,
     /// The life of the worker that it is meant for.
-    pub life: id::Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: id::Incarnation,
     /// How long tasks may go on without another heartbeat, in milliseconds; 0 renews nothing.
     pub lease_ms: u64,
     /// Last moment at which it renews anything. A heartbeat that is delivered late would let tasks
@@ -68,17 +69,17 @@
     /// Whether it is leaving.
     pub leaving: bool,
     /// Tasks that run.
-    pub tasks: Vec<Running>,
+    pub tasks: Vec<RunningTask>,
     /// Attempts that have ended and were not yet forgotten.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<EndedTask>,
     /// Quick requests that run: their keys, and the moment by which each is over.
-    pub runs: Vec<Occupied>,
+    pub runs: Vec<OccupiedKey>,
 }
 
 /// A task that runs.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Running {
+pub struct RunningTask {
     /// The attempt.
     pub task: Task,
     /// What it uses, as measured some seconds ago.
@@ -88,7 +89,7 @@
 /// An attempt that has ended.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ended {
+pub struct EndedTask {
     /// The attempt.
     pub task: TaskId,
     /// Rack whose owner looks after the job.
@@ -100,7 +101,7 @@
 /// A key that a quick request works on.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Occupied {
+pub struct OccupiedKey {
     /// Service and key.
     pub key: String,
     /// The worker ends the run at this moment.
@@ -114,7 +115,8 @@
     /// The owner's epoch.
     pub epoch: id::Epoch,
     /// The life of the worker that it is meant for.
-    pub life: id::Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: id::Incarnation,
     /// Last moment at which it may start.
     pub not_after: Moment,
     /// Longest time that it may run, in milliseconds; the worker ends it then.
@@ -134,7 +136,7 @@
 /// The answer to a quick request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ran {
+pub struct RunResult {
     /// Team and id of the request.
     pub id: String,
     /// Number of the attempt.
@@ -162,7 +164,7 @@
     /// It had not started, and never will.
     Never,
     /// It ran to its end; this is its answer.
-    Ended(Ran),
+    Ended(RunResult),
     /// It ran, and was stopped half-way.
     Stopped,
 }
@@ -174,7 +176,8 @@
     /// The owner's epoch.
     pub epoch: id::Epoch,
     /// The life of the worker that it is meant for.
-    pub life: id::Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: id::Incarnation,
     /// Last moment at which it may start.
     pub not_after: Moment,
     /// How long it may go on without a heartbeat, in milliseconds.
--- a/crates/worker/src/client.rs
+++ b/crates/worker/src/client.rs
@@ -9,12 +9,13 @@
 use serde::de::DeserializeOwned;
 
 use crate::call::{
-    Adopt, Adopted, Hello, Pulse, Ran, Report, Run, Start, Stop, Stopped, Throttle, Void, Voided,
+    Adopt, Adopted, Heartbeat, Hello, Report, Run, RunResult, Start, Stop, Stopped, Throttle, Void,
+    Voided,
 };
-use crate::{Error, Host};
+use crate::{Error, WorkerApi};
 
-/// Time limit of every call but [`Host::run`].
-pub const TIMEOUT: Duration = Duration::from_millis(500);
+/// Time limit of every call but [`WorkerApi::run`].
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Speaks to workers over HTTP.
 #[derive(Clone, Debug)]
@@ -53,21 +54,21 @@
 }
 
 #[async_trait]
-impl Host for Client {
+impl WorkerApi for Client {
     async fn hello(&self, address: &str) -> Result<Hello, Error> {
-        self.call(address, "hello", &(), TIMEOUT).await
+        self.call(address, "hello", &(), CALL_TIMEOUT).await
     }
 
     async fn adopt(&self, address: &str, adopt: Adopt) -> Result<Adopted, Error> {
-        self.call(address, "adopt", &adopt, TIMEOUT).await
+        self.call(address, "adopt", &adopt, CALL_TIMEOUT).await
     }
 
-    async fn pulse(&self, address: &str, pulse: Pulse) -> Result<Report, Error> {
-        self.call(address, "pulse", &pulse, TIMEOUT).await
+    async fn heartbeat(&self, address: &str, pulse: Heartbeat) -> Result<Report, Error> {
+        self.call(address, "pulse", &pulse, CALL_TIMEOUT).await
     }
 
-    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<Ran, Error> {
-        let ran: Ran = self.call(address, "run", &run, limit).await?;
+    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<RunResult, Error> {
+        let ran: RunResult = self.call(address, "run", &run, limit).await?;
         // A connection that is reused after a fault can bring the answer to another request; the
         // caller would get somebody else's result. The id and the attempt tell them apart.
         if ran.id != run.id || ran.attempt != run.attempt {
@@ -79,18 +80,19 @@
     }
 
     async fn void(&self, address: &str, void: Void) -> Result<Voided, Error> {
-        self.call(address, "void", &void, TIMEOUT).await
+        self.call(address, "void", &void, CALL_TIMEOUT).await
     }
 
     async fn start(&self, address: &str, start: Start) -> Result<(), Error> {
-        self.call(address, "start", &start, TIMEOUT).await
+        self.call(address, "start", &start, CALL_TIMEOUT).await
     }
 
     async fn stop(&self, address: &str, stop: Stop) -> Result<Option<Stopped>, Error> {
-        self.call(address, "stop", &stop, TIMEOUT).await
+        self.call(address, "stop", &stop, CALL_TIMEOUT).await
     }
 
     async fn throttle(&self, address: &str, throttle: Throttle) -> Result<(), Error> {
-        self.call(address, "throttle", &throttle, TIMEOUT).await
+        self.call(address, "throttle", &throttle, CALL_TIMEOUT)
+            .await
     }
 }
--- a/crates/worker/src/host.rs
+++ b/crates/worker/src/host.rs
@@ -6,20 +6,21 @@
 
 use crate::Error;
 use crate::call::{
-    Adopt, Adopted, Hello, Pulse, Ran, Report, Run, Start, Stop, Stopped, Throttle, Void, Voided,
+    Adopt, Adopted, Heartbeat, Hello, Report, Run, RunResult, Start, Stop, Stopped, Throttle, Void,
+    Voided,
 };
 
 /// The calls that a worker answers; `address` is its `ip:port`.
 #[async_trait]
-pub trait Host: Send + Sync {
+pub trait WorkerApi: Send + Sync {
     /// Asks for its present life.
     async fn hello(&self, address: &str) -> Result<Hello, Error>;
     /// Takes it over.
     async fn adopt(&self, address: &str, adopt: Adopt) -> Result<Adopted, Error>;
     /// Renews its leases and reads its state.
-    async fn pulse(&self, address: &str, pulse: Pulse) -> Result<Report, Error>;
+    async fn heartbeat(&self, address: &str, pulse: Heartbeat) -> Result<Report, Error>;
     /// Runs a quick request and waits for the whole answer, at most `limit`.
-    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<Ran, Error>;
+    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<RunResult, Error>;
     /// Makes sure that an attempt does not run (any more).
     async fn void(&self, address: &str, void: Void) -> Result<Voided, Error>;
     /// Starts a task.
--- a/crates/worker/src/lib.rs
+++ b/crates/worker/src/lib.rs
@@ -1,7 +1,7 @@
 //! The contract with a worker and the executor on it.
 //!
-//! * [`Slot`]: the fencing rule; pure, and shared with the specification and the stand-in.
-//! * [`Host`]: what can be asked of a worker.
+//! * [`EpochFence`]: the fencing rule; pure, and shared with the specification and the stand-in.
+//! * [`WorkerApi`]: what can be asked of a worker.
 //! * [`Client`]: the same over HTTP.
 //! * [`call`]: the messages.
 
@@ -11,7 +11,7 @@
 mod host;
 mod slot;
 
-pub use client::{Client, TIMEOUT};
+pub use client::{CALL_TIMEOUT, Client};
 pub use error::Error;
-pub use host::Host;
-pub use slot::{Refusal, Slot};
+pub use host::WorkerApi;
+pub use slot::{EpochFence, Refusal};
--- a/crates/worker/src/slot.rs
+++ b/crates/worker/src/slot.rs
@@ -34,9 +34,9 @@
 /// however late they come; so no clock of the owner has to be trusted.
 ///
 /// ```
-/// use worker::{Refusal, Slot};
+/// use worker::{Refusal, EpochFence};
 ///
-/// let mut slot = Slot::new(1);
+/// let mut slot = EpochFence::new(1);
 /// slot.adopt(4, 1).unwrap();
 /// slot.adopt(5, 1).unwrap();
 /// assert_eq!(slot.admit(4, 1, 10, 20), Err(Refusal::Fenced { epoch: 5 }));
@@ -45,12 +45,12 @@
 /// assert_eq!(slot.admit(5, 2, 10, 20), Err(Refusal::Restarted { incarnation: 1 }));
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Slot {
+pub struct EpochFence {
     epoch: Epoch,
     incarnation: Incarnation,
 }
 
-impl Slot {
+impl EpochFence {
     /// The slot of a worker that has just begun this life.
     #[must_use]
     pub const fn new(incarnation: Incarnation) -> Self {
