--- a/crates/cell/src/desk.rs
+++ b/crates/cell/src/job_scheduler.rs
@@ -5,8 +5,8 @@
 //! a new owner asks the owners of all racks ([`JobScheduler::apply_inventory`]).
 
 mod digests;
-mod plan;
-mod work;
+mod job;
+mod schedule;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use wire::{Event, Fate, Fault, Inventory, Job, Kind, Phase, Placed, Placement, Shape, State};
 
 pub use digests::Digests;
-pub use plan::Dispatch;
-pub use work::SavedJob;
+pub use job::SavedJob;
+pub use schedule::Dispatch;
 
 use crate::Now;
-use work::{Part, Work};
+use job::{Part, Work};
 
 /// A task whose order was not answered, or whose rack has a new owner, is asked after this often.
 const DOUBT: Duration = Duration::from_secs(2);
--- a/crates/cell/src/desk/plan.rs
+++ b/crates/cell/src/job_scheduler/schedule.rs
@@ -7,7 +7,7 @@
 use resource::{Size, id};
 use wire::{Band, Gang, Mode, Order, Shape, Task, TaskId};
 
-use super::work::Part;
+use super::job::Part;
 use super::{Digests, JobScheduler, Name};
 
 /// Tasks that are placed in one round, at most, so that a round stays short.
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -7,24 +7,24 @@
 //! * [`JobScheduler`]: the jobs at home in one rack.
 //! * [`Clock`]: a worker's time as its owner knows it.
 
+mod attempt;
 mod clock;
-mod desk;
 pub mod fence;
-mod host;
+mod job_scheduler;
 mod ownership;
-mod quick;
+mod quick_queue;
 mod rack;
 mod record;
-mod task;
+mod worker_state;
 
+pub use attempt::{Command, Outcome};
 pub use clock::Clock;
-pub use desk::{Digests, Dispatch, JobScheduler, SavedJob};
-pub use host::{Trust, WorkerState};
+pub use job_scheduler::{Digests, Dispatch, JobScheduler, SavedJob};
 pub use ownership::{Event, Ownership, Stage};
-pub use quick::{Next, QuickRun, RunOutcome, Ticket};
+pub use quick_queue::{Next, QuickRun, RunOutcome, Ticket};
 pub use rack::{Rack, Settings, TASK_LEASE};
 pub use record::Record;
-pub use task::{Command, Outcome};
+pub use worker_state::{Trust, WorkerState};
 
 /// Time since the process began; passed in, so that tests decide what time it is.
 pub type Now = std::time::Duration;
--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -1,8 +1,8 @@
 //! One rack as its owner knows it: workers, quick requests, tasks.
 
+mod heartbeat;
 mod place;
-mod report;
-mod run;
+mod quick_requests;
 
 pub use place::TASK_LEASE;
 
@@ -13,10 +13,10 @@
 use wire::{Band, Digest, Event, Fate, Holding, Inventory, RackStatus, Seniority, Shape, TaskId};
 use worker::call::Adopted;
 
+use crate::attempt::{Placed, Stage};
 use crate::fence::{Authority, Roster};
-use crate::host::WorkerState;
-use crate::quick::Quick;
-use crate::task::{Placed, Stage};
+use crate::quick_queue::Quick;
+use crate::worker_state::WorkerState;
 use crate::{Clock, Now};
 
 /// What the owner of a rack takes from the configuration.
--- a/crates/cell/src/rack/report.rs
+++ b/crates/cell/src/rack/heartbeat.rs
@@ -8,7 +8,7 @@
 
 use super::Rack;
 use super::place::TASK_LEASE;
-use crate::task::{Command, Placed, Stage, stopped};
+use crate::attempt::{Command, Placed, Stage, stopped};
 use crate::{Clock, Now};
 
 /// A worker that has been silent for this long gets heartbeats that renew nothing, so that its
--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -10,7 +10,7 @@
 
 use super::Rack;
 use crate::Now;
-use crate::task::{Command, Outcome, Placed, Stage, stopped};
+use crate::attempt::{Command, Outcome, Placed, Stage, stopped};
 
 /// How long a task may run on without a heartbeat.
 pub const TASK_LEASE: Duration = Duration::from_secs(10);
--- a/crates/cell/src/rack/run.rs
+++ b/crates/cell/src/rack/quick_requests.rs
@@ -7,8 +7,8 @@
 
 use super::Rack;
 use crate::Now;
-use crate::host::WorkerState;
-use crate::quick::{Next, QuickRun, RunOutcome, Ticket};
+use crate::quick_queue::{Next, QuickRun, RunOutcome, Ticket};
+use crate::worker_state::WorkerState;
 
 /// Share of its time left that a request may expect to wait; the rest is for its run.
 const PATIENCE: f64 = 0.8;
--- a/crates/worker/src/lib.rs
+++ b/crates/worker/src/lib.rs
@@ -7,11 +7,11 @@
 
 pub mod call;
 mod client;
+mod epoch_fence;
 mod error;
-mod host;
-mod slot;
+mod worker_api;
 
 pub use client::{CALL_TIMEOUT, Client};
+pub use epoch_fence::{EpochFence, Refusal};
 pub use error::Error;
-pub use host::WorkerApi;
-pub use slot::{EpochFence, Refusal};
+pub use worker_api::WorkerApi;
