--- a/crates/cell/src/attempt.rs
+++ b/crates/cell/src/attempt.rs
@@ -48,7 +48,7 @@
 
 /// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Stage {
+pub(crate) enum AttemptState {
     /// Room is kept for a gang that is not complete yet.
     Held { until: Now },
     /// Room is being made by stopping others.
@@ -63,34 +63,34 @@
 
 /// One attempt, on one worker.
 #[derive(Clone, Debug)]
-pub(crate) struct Placed {
+pub(crate) struct Attempt {
     pub(crate) task: Task,
-    pub(crate) host: id::Worker,
+    pub(crate) worker: id::Worker,
     /// What is set aside for it.
-    pub(crate) reserve: Size,
+    pub(crate) reserved: Size,
     /// The most that it was seen to use.
     pub(crate) peak: Size,
     /// Reports that its peak was seen in.
-    pub(crate) seen: u32,
-    pub(crate) stage: Stage,
+    pub(crate) usage_reports: u32,
+    pub(crate) state: AttemptState,
 }
 
-impl Placed {
-    pub(crate) fn new(task: Task, host: &str, stage: Stage) -> Self {
-        let reserve = task.size;
+impl Attempt {
+    pub(crate) fn new(task: Task, worker: &str, state: AttemptState) -> Self {
+        let reserved = task.size;
         Self {
             task,
-            host: host.to_owned(),
-            reserve,
+            worker: worker.to_owned(),
+            reserved,
             peak: Size::ZERO,
-            seen: 0,
-            stage,
+            usage_reports: 0,
+            state,
         }
     }
 
     /// Whether it may be on its worker, or is promised its room there.
     pub(crate) const fn occupies(&self) -> bool {
-        !matches!(self.stage, Stage::Awaiting { .. })
+        !matches!(self.state, AttemptState::Awaiting { .. })
     }
 
     /// The attempt's name.
@@ -100,7 +100,7 @@
 }
 
 /// The fate that follows from how a stop was asked for.
-pub(crate) const fn stopped(preempted: bool, saved_ms: u64) -> Fate {
+pub(crate) const fn fate_of_stop(preempted: bool, saved_ms: u64) -> Fate {
     if preempted {
         Fate::Preempted { saved_ms }
     } else {
--- a/crates/cell/src/clock.rs
+++ b/crates/cell/src/clock.rs
@@ -8,7 +8,7 @@
 
 /// Two clocks may drift apart by this share; workers and owners are watched by the platform's
 /// time service, which holds them far closer.
-const DRIFT: u32 = 100;
+const DRIFT_DIVISOR: u32 = 100;
 
 /// Ties a worker's own moments to the owner's time, from one reply.
 ///
@@ -45,7 +45,7 @@
     #[must_use]
     pub fn earliest_moment(&self, time: Now) -> Moment {
         let ahead = time.saturating_sub(self.received);
-        let ahead = ahead - ahead / DRIFT;
+        let ahead = ahead - ahead / DRIFT_DIVISOR;
         self.moment + ahead.as_millis() as Moment
     }
 
@@ -53,6 +53,6 @@
     #[must_use]
     pub fn latest_time(&self, moment: Moment) -> Now {
         let ahead = Duration::from_millis(moment.saturating_sub(self.moment));
-        self.received + ahead + ahead / DRIFT
+        self.received + ahead + ahead / DRIFT_DIVISOR
     }
 }
--- a/crates/cell/src/fence.rs
+++ b/crates/cell/src/fence.rs
@@ -25,7 +25,7 @@
 pub const AUTHORITY_VALIDITY: Duration = Duration::from_millis(2_000);
 
 /// Allowance for the drift between two hosts' clocks over [`Takeover::MAX_DELAY`].
-const DRIFT: Duration = Duration::from_millis(100);
+const DRIFT_ALLOWANCE: Duration = Duration::from_millis(100);
 
 /// The workers that decide about a rack.
 pub type Roster = BTreeSet<id::Worker>;
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Authority {
     roster: Roster,
-    asked: BTreeMap<id::Worker, Now>,
+    acknowledged: BTreeMap<id::Worker, Now>,
 }
 
 impl Authority {
@@ -62,7 +62,7 @@
     pub const fn new(roster: Roster) -> Self {
         Self {
             roster,
-            asked: BTreeMap::new(),
+            acknowledged: BTreeMap::new(),
         }
     }
 
@@ -72,26 +72,26 @@
         &self.roster
     }
 
-    /// A worker has acknowledged the epoch, in reply to a call made at `asked`.
-    pub fn acknowledge(&mut self, worker: &str, asked: Now) {
+    /// A worker has acknowledged the epoch, in reply to a call made at `sent`.
+    pub fn acknowledge(&mut self, worker: &str, sent: Now) {
         if !self.roster.contains(worker) {
             return;
         }
-        let latest = self.asked.entry(worker.to_owned()).or_default();
-        *latest = asked.max(*latest);
+        let latest = self.acknowledged.entry(worker.to_owned()).or_default();
+        *latest = sent.max(*latest);
     }
 
     /// A worker has lost its memory; what it acknowledged counts no more.
     pub fn revoke(&mut self, worker: &str) {
-        self.asked.remove(worker);
+        self.acknowledged.remove(worker);
     }
 
     /// Until when the owner may act; `None` if no majority has acknowledged it.
     #[must_use]
     pub fn valid_until(&self) -> Option<Now> {
-        let mut asked: Vec<Now> = self.asked.values().copied().collect();
-        asked.sort_unstable_by(|a, b| b.cmp(a));
-        let nth = asked.get(majority(self.roster.len()) - 1)?;
+        let mut acknowledged: Vec<Now> = self.acknowledged.values().copied().collect();
+        acknowledged.sort_unstable_by(|a, b| b.cmp(a));
+        let nth = acknowledged.get(majority(self.roster.len()) - 1)?;
         Some(*nth + AUTHORITY_VALIDITY)
     }
 
@@ -115,7 +115,7 @@
     /// expired, and so has every run that it started on a worker that was not fenced.
     pub const MAX_DELAY: Duration = AUTHORITY_VALIDITY
         .saturating_add(config::MAX_RUN)
-        .saturating_add(DRIFT);
+        .saturating_add(DRIFT_ALLOWANCE);
 
     /// A takeover from owners that may have acted under any of these rosters.
     #[must_use]
@@ -130,7 +130,7 @@
     /// A worker obeys the new epoch, or exists no more.
     pub fn fence(&mut self, worker: &str, now: Now) {
         self.fenced.insert(worker.to_owned());
-        let enough = |r: &Roster| r.is_empty() || self.count(r) >= majority(r.len());
+        let enough = |r: &Roster| r.is_empty() || self.fenced_count(r) >= majority(r.len());
         if self.majority_at.is_none() && self.rosters.iter().all(enough) {
             self.majority_at = Some(now);
         }
@@ -145,7 +145,7 @@
     /// Whether the new owner may act.
     #[must_use]
     pub fn ready(&self, now: Now) -> bool {
-        let all = self.rosters.iter().all(|r| self.count(r) == r.len());
+        let all = self.rosters.iter().all(|r| self.fenced_count(r) == r.len());
         all || self
             .majority_at
             .is_some_and(|at| now >= at + Self::MAX_DELAY)
@@ -155,12 +155,12 @@
     /// old owner's last heartbeat has expired, and with it every task lease that it renewed.
     #[must_use]
     pub fn knows_all_tasks(&self, now: Now) -> bool {
-        let all = self.rosters.iter().all(|r| self.count(r) == r.len());
-        let last = AUTHORITY_VALIDITY + crate::TASK_LEASE + DRIFT * 3;
+        let all = self.rosters.iter().all(|r| self.fenced_count(r) == r.len());
+        let last = AUTHORITY_VALIDITY + crate::TASK_LEASE + DRIFT_ALLOWANCE * 3;
         all || self.majority_at.is_some_and(|at| now >= at + last)
     }
 
-    fn count(&self, roster: &Roster) -> usize {
+    fn fenced_count(&self, roster: &Roster) -> usize {
         roster.intersection(&self.fenced).count()
     }
 }
--- a/crates/cell/src/job_scheduler.rs
+++ b/crates/cell/src/job_scheduler.rs
@@ -20,28 +20,28 @@
 pub use schedule::Dispatch;
 
 use crate::Now;
-use job::{Part, Work};
+use job::{TaskState, TrackedJob};
 
 /// A task whose order was not answered, or whose rack has a new owner, is asked after this often.
-const DOUBT: Duration = Duration::from_secs(2);
+const INVENTORY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Team and job.
-type Name = (id::Team, id::Job);
+type JobKey = (id::Team, id::Job);
 
 /// The jobs at home in one rack.
 #[derive(Debug)]
 pub struct JobScheduler {
     home: id::Rack,
     epoch: id::Epoch,
-    jobs: BTreeMap<Name, Work>,
+    jobs: BTreeMap<JobKey, TrackedJob>,
     arrivals: u64,
     attempts: u64,
     serial: u64,
     /// Racks whose holdings are not known for sure, and since when.
-    doubts: BTreeMap<id::Rack, Now>,
-    dirty: BTreeSet<Name>,
+    unknown_racks: BTreeMap<id::Rack, Now>,
+    dirty: BTreeSet<JobKey>,
     /// Jobs with waiting tasks, in no particular order.
-    waiting: BTreeSet<Name>,
+    waiting: BTreeSet<JobKey>,
 }
 
 impl JobScheduler {
@@ -55,7 +55,7 @@
             arrivals: 0,
             attempts: 0,
             serial: 0,
-            doubts: BTreeMap::new(),
+            unknown_racks: BTreeMap::new(),
             dirty: BTreeSet::new(),
             waiting: BTreeSet::new(),
         }
@@ -67,8 +67,8 @@
         for saved in saved {
             let name = (saved.job.team.clone(), saved.job.id.clone());
             self.arrivals += 1;
-            let work = Work::recovered(saved, self.arrivals);
-            self.jobs.insert(name, work);
+            let tracked = TrackedJob::recovered(saved, self.arrivals);
+            self.jobs.insert(name, tracked);
         }
         for rack in cell.racks.keys() {
             self.mark_unknown(rack, now);
@@ -80,11 +80,11 @@
         let name = (job.team.clone(), job.id.clone());
         self.arrivals += 1;
         let arrival = self.arrivals;
-        let work = self
+        let tracked = self
             .jobs
             .entry(name.clone())
-            .or_insert_with(|| Work::new(job, arrival));
-        let state = work.state();
+            .or_insert_with(|| TrackedJob::new(job, arrival));
+        let state = tracked.state();
         self.waiting.insert(name);
         state
     }
@@ -96,7 +96,7 @@
     pub fn find(&self, job: &Job) -> Result<Option<State>, Fault> {
         match self.jobs.get(&(job.team.clone(), job.id.clone())) {
             None => Ok(None),
-            Some(work) if work.job == *job => Ok(Some(work.state())),
+            Some(tracked) if tracked.job == *job => Ok(Some(tracked.state())),
             Some(_) => Err(Fault::new(Kind::Conflict, "another job has this id")),
         }
     }
@@ -106,26 +106,26 @@
     pub fn state(&self, team: &str, job: &str) -> Option<State> {
         self.jobs
             .get(&(team.to_owned(), job.to_owned()))
-            .map(Work::state)
+            .map(TrackedJob::state)
     }
 
     /// Withdraws a job: nothing more of it starts. Tells the racks where some of it still runs.
     pub fn cancel(&mut self, team: &str, job: &str) -> Option<(State, Vec<id::Rack>)> {
         let name = (team.to_owned(), job.to_owned());
-        let work = self.jobs.get_mut(&name)?;
-        if !work.phase.is_over() {
-            work.phase = Phase::Cancelled;
+        let tracked = self.jobs.get_mut(&name)?;
+        if !tracked.phase.is_over() {
+            tracked.phase = Phase::Cancelled;
             self.dirty.insert(name.clone());
         }
         self.waiting.remove(&name);
-        Some((work.state(), work.racks()))
+        Some((tracked.state(), tracked.racks()))
     }
 
     /// Racks on which something runs of jobs that are over, with team and job.
     #[must_use]
     pub fn running_tasks_of_ended_jobs(&self) -> Vec<(id::Rack, id::Team, id::Job)> {
         let over = self.jobs.values().filter(|w| w.phase.is_over());
-        let place = |w: &Work| {
+        let place = |w: &TrackedJob| {
             let (team, job) = (w.job.team.clone(), w.job.id.clone());
             w.racks()
                 .into_iter()
@@ -141,10 +141,10 @@
                 continue;
             }
             let name = (task.id.team.clone(), task.id.job.clone());
-            let Some(work) = self.jobs.get_mut(&name) else {
+            let Some(tracked) = self.jobs.get_mut(&name) else {
                 continue;
             };
-            if work.back(task.id.index, task.id.attempt, task.saved_ms) {
+            if tracked.return_to_queue(task.id.index, task.id.attempt, task.saved_ms) {
                 self.waiting.insert(name);
             }
         }
@@ -152,16 +152,16 @@
 
     /// An order was not answered, or a rack has a new owner: what it holds is not known.
     pub fn mark_unknown(&mut self, rack: &str, now: Now) {
-        self.doubts
+        self.unknown_racks
             .entry(rack.to_owned())
-            .or_insert(now.saturating_sub(DOUBT));
+            .or_insert(now.saturating_sub(INVENTORY_INTERVAL));
     }
 
     /// Whether some rack is to be asked what it holds now.
     pub fn inventory_due(&mut self, now: Now) -> bool {
         let mut due = false;
-        for asked in self.doubts.values_mut() {
-            if now >= *asked + DOUBT {
+        for asked in self.unknown_racks.values_mut() {
+            if now >= *asked + INVENTORY_INTERVAL {
                 *asked = now;
                 due = true;
             }
@@ -171,7 +171,7 @@
 
     /// A rack has said what it holds.
     pub fn apply_inventory(&mut self, inventory: &Inventory) {
-        if !self.doubts.contains_key(&inventory.rack) {
+        if !self.unknown_racks.contains_key(&inventory.rack) {
             return;
         }
         for event in &inventory.news {
@@ -179,15 +179,15 @@
         }
         for holding in &inventory.holdings {
             let id = &holding.task;
-            if let Some(work) = self.jobs.get_mut(&(id.team.clone(), id.job.clone())) {
-                work.seen(id.index, id.attempt, &inventory.rack);
+            if let Some(tracked) = self.jobs.get_mut(&(id.team.clone(), id.job.clone())) {
+                tracked.attempt_found(id.index, id.attempt, &inventory.rack);
             }
         }
         if !inventory.complete {
             return;
         }
-        self.doubts.remove(&inventory.rack);
-        let all_known = self.doubts.is_empty();
+        self.unknown_racks.remove(&inventory.rack);
+        let all_known = self.unknown_racks.is_empty();
         let held = |index: u32, attempt: u64, job: &Job| {
             inventory.holdings.iter().any(|h| {
                 h.task.index == index
@@ -196,12 +196,12 @@
                     && h.task.team == job.team
             })
         };
-        for (name, work) in &mut self.jobs {
-            work.missing(&inventory.rack, &held);
+        for (name, tracked) in &mut self.jobs {
+            tracked.end_missing_attempts(&inventory.rack, &held);
             if all_known {
-                work.unknown_is_lost();
+                tracked.requeue_unknown_tasks();
             }
-            if work.waits() {
+            if tracked.has_waiting_tasks() {
                 self.waiting.insert(name.clone());
             }
         }
@@ -211,15 +211,15 @@
     pub fn apply_event(&mut self, event: &Event) {
         let id = &event.task;
         let name = (id.team.clone(), id.job.clone());
-        let Some(work) = self.jobs.get_mut(&name) else {
+        let Some(tracked) = self.jobs.get_mut(&name) else {
             return;
         };
         match event.fate {
-            Fate::Running => work.runs(id.index, id.attempt),
-            Fate::Finished => work.finished(id.index, id.attempt),
-            fate => work.broken(id.index, id.attempt, fate),
+            Fate::Running => tracked.attempt_running(id.index, id.attempt),
+            Fate::Finished => tracked.attempt_finished(id.index, id.attempt),
+            fate => tracked.attempt_ended(id.index, id.attempt, fate),
         }
-        if work.waits() {
+        if tracked.has_waiting_tasks() {
             self.waiting.insert(name.clone());
         }
         if !matches!(event.fate, Fate::Running) {
@@ -234,7 +234,7 @@
             .jobs
             .values_mut()
             .filter(|w| w.job.shape == Shape::Gang);
-        broken.filter_map(Work::break_up).collect()
+        broken.filter_map(TrackedJob::gang_to_stop).collect()
     }
 
     /// Rows of jobs that have changed since the last call.
@@ -243,7 +243,7 @@
         names
             .iter()
             .filter_map(|name| self.jobs.get(name))
-            .map(Work::saved)
+            .map(TrackedJob::saved)
             .collect()
     }
 
@@ -256,8 +256,8 @@
     /// Forgets all but the last `keep` jobs that are over and have nothing left running; tells
     /// whose rows can be deleted.
     pub fn remove_ended(&mut self, keep: usize) -> Vec<(id::Team, id::Job)> {
-        let over = |w: &&Work| w.phase.is_over() && w.racks().is_empty();
-        let mut done: Vec<(u64, Name)> = self
+        let over = |w: &&TrackedJob| w.phase.is_over() && w.racks().is_empty();
+        let mut done: Vec<(u64, JobKey)> = self
             .jobs
             .iter()
             .filter(|(name, w)| over(w) && !self.dirty.contains(*name))
@@ -265,7 +265,7 @@
             .collect();
         done.sort();
         done.truncate(done.len().saturating_sub(keep));
-        let names: Vec<Name> = done.into_iter().map(|(_, name)| name).collect();
+        let names: Vec<JobKey> = done.into_iter().map(|(_, name)| name).collect();
         for name in &names {
             self.jobs.remove(name);
         }
@@ -276,10 +276,10 @@
     #[must_use]
     pub fn usage(&self) -> BTreeMap<id::Team, (Size, u32)> {
         let mut usage: BTreeMap<id::Team, (Size, u32)> = BTreeMap::new();
-        for work in self.jobs.values() {
-            let (used, waiting) = usage.entry(work.job.team.clone()).or_default();
-            *used = used.plus(work.used());
-            *waiting += work.state().waiting;
+        for tracked in self.jobs.values() {
+            let (used, waiting) = usage.entry(tracked.job.team.clone()).or_default();
+            *used = used.plus(tracked.used());
+            *waiting += tracked.state().waiting;
         }
         usage
     }
@@ -296,13 +296,13 @@
 
     /// The next attempt's number; no other owner of the home rack gives the same.
     fn next_attempt(&mut self) -> u64 {
-        const PER_EPOCH: u32 = 32;
+        const ATTEMPT_BITS: u32 = 32;
         self.attempts += 1;
-        (self.epoch << PER_EPOCH) | self.attempts
+        (self.epoch << ATTEMPT_BITS) | self.attempts
     }
 
-    fn part(&mut self, name: &Name, index: u32) -> Option<&mut Part> {
-        self.jobs.get_mut(name)?.parts.get_mut(index as usize)
+    fn task_state(&mut self, name: &JobKey, index: u32) -> Option<&mut TaskState> {
+        self.jobs.get_mut(name)?.tasks.get_mut(index as usize)
     }
 }
 
@@ -323,8 +323,8 @@
             "a task is larger than any worker",
         ));
     }
-    let together = matches!(job.shape, Shape::Gang | Shape::Service);
-    if together && !job.total().fits(cell.capacity()) {
+    let placed_together = matches!(job.shape, Shape::Gang | Shape::Service);
+    if placed_together && !job.total().fits(cell.capacity()) {
         return Err(Fault::new(
             Kind::NeverFits,
             "all tasks together are larger than the cell",
@@ -335,13 +335,13 @@
         used: Size::ZERO,
         borrow: false,
     };
-    let alone = if job.shape == Shape::Service {
+    let required = if job.shape == Shape::Service {
         job.total()
     } else {
         job.size
     };
-    let beyond = bound.status_with(alone) != policy::QuotaStatus::Within;
-    if beyond && (job.shape == Shape::Service || !team.borrow) {
+    let over_quota = bound.status_with(required) != policy::QuotaStatus::Within;
+    if over_quota && (job.shape == Shape::Service || !team.borrow) {
         let reason = format!("the quota of team {:?} never allows it", job.team);
         return Err(Fault::new(Kind::NeverFits, reason));
     }
--- a/crates/cell/src/job_scheduler/digests.rs
+++ b/crates/cell/src/job_scheduler/digests.rs
@@ -9,48 +9,49 @@
 /// Room in racks, learnt from their owners' digests.
 #[derive(Clone, Debug, Default)]
 pub struct Digests {
-    whole: Size,
+    worker_size: Size,
     index: Index,
     rack_of: Vec<id::Rack>,
-    places: BTreeMap<id::Rack, Vec<usize>>,
+    positions: BTreeMap<id::Rack, Vec<usize>>,
     /// By rack, for each worker: what yields to urgent work, and what was lent.
-    yielding: BTreeMap<id::Rack, Vec<(Size, Size)>>,
+    preemptible: BTreeMap<id::Rack, Vec<(Size, Size)>>,
     epochs: BTreeMap<id::Rack, id::Epoch>,
 }
 
 impl Digests {
-    /// Nothing is known; full workers have `whole`.
+    /// Nothing is known; full workers have `worker_size`.
     #[must_use]
-    pub fn new(whole: Size) -> Self {
+    pub fn new(worker_size: Size) -> Self {
         Self {
-            whole,
+            worker_size,
             ..Self::default()
         }
     }
 
     /// The owner of a rack has told its room.
     pub fn update(&mut self, digest: &Digest) {
-        let places = self.places.entry(digest.rack.clone()).or_default();
-        while places.len() < digest.free.len() {
-            places.push(self.index.len());
+        let positions = self.positions.entry(digest.rack.clone()).or_default();
+        while positions.len() < digest.free.len() {
+            positions.push(self.index.len());
             self.rack_of.push(digest.rack.clone());
             self.index.push(Capacity {
                 free: Size::ZERO,
-                total: self.whole,
+                total: self.worker_size,
                 siblings: 0,
             });
         }
-        for (nth, place) in places.iter().enumerate() {
+        for (nth, position) in positions.iter().enumerate() {
             let free = digest.free.get(nth).copied().unwrap_or(Size::ZERO);
-            self.index.set(*place, free);
+            self.index.set(*position, free);
         }
         self.epochs.insert(digest.rack.clone(), digest.epoch);
-        let both = digest
+        let amounts = digest
             .yielding
             .iter()
             .copied()
             .zip(digest.lent.iter().copied());
-        self.yielding.insert(digest.rack.clone(), both.collect());
+        self.preemptible
+            .insert(digest.rack.clone(), amounts.collect());
     }
 
     /// Epoch of the owner that last told a rack's room.
@@ -76,13 +77,13 @@
 
     /// A rack where a task of this band would be made room for by others; the room counts as taken.
     pub fn reserve_preemptible(&mut self, size: Size, band: Band) -> Option<id::Rack> {
-        for (rack, workers) in &mut self.yielding {
-            let places = self.places.get(rack)?;
-            for ((urgent, lent), place) in workers.iter_mut().zip(places) {
+        for (rack, workers) in &mut self.preemptible {
+            let positions = self.positions.get(rack)?;
+            for ((urgent, lent), position) in workers.iter_mut().zip(positions) {
                 let yields = if band == Band::Urgent { *urgent } else { *lent };
                 let free = self
                     .index
-                    .capacity(*place)
+                    .capacity(*position)
                     .map_or(Size::ZERO, |room| room.free);
                 if yields == Size::ZERO || !size.fits(free.plus(yields)) {
                     continue;
@@ -90,7 +91,7 @@
                 let needed = size.saturating_minus(free);
                 *urgent = urgent.saturating_minus(needed);
                 *lent = lent.saturating_minus(needed);
-                self.index.reserve(*place, size);
+                self.index.reserve(*position, size);
                 return Some(rack.clone());
             }
         }
--- a/crates/cell/src/job_scheduler/job.rs
+++ b/crates/cell/src/job_scheduler/job.rs
@@ -7,7 +7,7 @@
 use wire::{Band, Fate, Gang, Job, Phase, Shape, State};
 
 /// Failed attempts of one task after which the job is given up.
-const ATTEMPTS: u32 = 8;
+const MAX_FAILURES_PER_TASK: u32 = 8;
 
 /// What must last of a job: its row in the platform's table.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -47,7 +47,7 @@
 
 /// One task of a job.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Part {
+pub(super) enum TaskState {
     /// An earlier owner may have placed it.
     Unknown,
     /// It waits for room; work saved by an earlier attempt.
@@ -66,54 +66,54 @@
 
 /// One job and its tasks.
 #[derive(Debug)]
-pub(super) struct Work {
+pub(super) struct TrackedJob {
     pub(super) job: Job,
     pub(super) phase: Phase,
-    pub(super) parts: Vec<Part>,
+    pub(super) tasks: Vec<TaskState>,
     /// Tasks that wait; may name some that do not wait any more.
     pub(super) queue: VecDeque<u32>,
     pub(super) arrival: u64,
     failures: u32,
     restarts: u32,
     /// Attempt of a gang that must be broken up.
-    broken: Option<u64>,
+    broken_attempt: Option<u64>,
 }
 
-impl Work {
+impl TrackedJob {
     pub(super) fn new(job: Job, arrival: u64) -> Self {
         let n = job.tasks;
         Self {
             job,
             phase: Phase::Queued,
-            parts: vec![Part::Waiting { saved_ms: 0 }; n as usize],
+            tasks: vec![TaskState::Waiting { saved_ms: 0 }; n as usize],
             queue: (0..n).collect(),
             arrival,
             failures: 0,
             restarts: 0,
-            broken: None,
+            broken_attempt: None,
         }
     }
 
     pub(super) fn recovered(saved: SavedJob, arrival: u64) -> Self {
-        let mut work = Self::new(saved.job, arrival);
-        work.phase = saved.phase;
-        work.restarts = saved.restarts;
-        work.parts.fill(Part::Unknown);
-        work.queue.clear();
+        let mut tracked = Self::new(saved.job, arrival);
+        tracked.phase = saved.phase;
+        tracked.restarts = saved.restarts;
+        tracked.tasks.fill(TaskState::Unknown);
+        tracked.queue.clear();
         for (first, last) in saved.finished {
             for index in first..=last {
-                if let Some(part) = work.parts.get_mut(index as usize) {
-                    *part = Part::Finished;
+                if let Some(part) = tracked.tasks.get_mut(index as usize) {
+                    *part = TaskState::Finished;
                 }
             }
         }
-        work
+        tracked
     }
 
     pub(super) fn saved(&self) -> SavedJob {
         let mut finished: Vec<(u32, u32)> = Vec::new();
-        for (index, part) in (0u32..).zip(&self.parts) {
-            if *part != Part::Finished {
+        for (index, part) in (0u32..).zip(&self.tasks) {
+            if *part != TaskState::Finished {
                 continue;
             }
             match finished.last_mut() {
@@ -131,8 +131,9 @@
     }
 
     pub(super) fn state(&self) -> State {
-        let count = |wanted: fn(&Part) -> bool| self.parts.iter().filter(|p| wanted(p)).count();
-        let waits = |p: &Part| matches!(p, Part::Unknown | Part::Waiting { .. });
+        let count =
+            |wanted: fn(&TaskState) -> bool| self.tasks.iter().filter(|p| wanted(p)).count();
+        let waits = |p: &TaskState| matches!(p, TaskState::Unknown | TaskState::Waiting { .. });
         let waiting = if self.phase.is_over() {
             0
         } else {
@@ -142,52 +143,52 @@
             id: self.job.id.clone(),
             phase: self.phase,
             waiting,
-            running: count(|p| matches!(p, Part::Placed { .. })) as u32,
-            finished: count(|p| *p == Part::Finished) as u32,
+            running: count(|p| matches!(p, TaskState::Placed { .. })) as u32,
+            finished: count(|p| *p == TaskState::Finished) as u32,
             restarts: self.restarts,
         }
     }
 
     /// Racks that hold something of it.
     pub(super) fn racks(&self) -> Vec<id::Rack> {
-        let rack = |p: &Part| match p {
-            Part::Placed { rack, .. } => Some(rack.clone()),
+        let rack = |p: &TaskState| match p {
+            TaskState::Placed { rack, .. } => Some(rack.clone()),
             _ => None,
         };
-        let racks: BTreeSet<id::Rack> = self.parts.iter().filter_map(rack).collect();
+        let racks: BTreeSet<id::Rack> = self.tasks.iter().filter_map(rack).collect();
         racks.into_iter().collect()
     }
 
     /// What its tasks take.
     pub(super) fn used(&self) -> Size {
         let placed = self
-            .parts
+            .tasks
             .iter()
-            .filter(|p| matches!(p, Part::Placed { .. }))
+            .filter(|p| matches!(p, TaskState::Placed { .. }))
             .count();
         self.job.size.times(placed as u64)
     }
 
     /// Whether some task waits and may be placed.
-    pub(super) fn waits(&self) -> bool {
+    pub(super) fn has_waiting_tasks(&self) -> bool {
         !self.phase.is_over() && !self.queue.is_empty()
     }
 
     /// An attempt has no room after all; `true` if the task waits again.
-    pub(super) fn back(&mut self, index: u32, attempt: u64, saved_ms: u64) -> bool {
-        if !self.is_at(index, attempt) {
+    pub(super) fn return_to_queue(&mut self, index: u32, attempt: u64, saved_ms: u64) -> bool {
+        if !self.is_current_attempt(index, attempt) {
             return false;
         }
-        self.wait(index, saved_ms);
+        self.requeue(index, saved_ms);
         true
     }
 
-    pub(super) fn runs(&mut self, index: u32, attempt: u64) {
-        if let Some(Part::Placed {
+    pub(super) fn attempt_running(&mut self, index: u32, attempt: u64) {
+        if let Some(TaskState::Placed {
             attempt: a,
             running,
             ..
-        }) = self.parts.get_mut(index as usize)
+        }) = self.tasks.get_mut(index as usize)
             && *a == attempt
         {
             *running = true;
@@ -198,16 +199,16 @@
     }
 
     /// A rack holds this attempt; an earlier owner may have placed it.
-    pub(super) fn seen(&mut self, index: u32, attempt: u64, rack: &str) {
+    pub(super) fn attempt_found(&mut self, index: u32, attempt: u64, rack: &str) {
         let band = match self.job.shape {
             Shape::Service => Band::Standing,
             Shape::Batch | Shape::Gang => Band::Normal,
         };
-        if let Some(part) = self.parts.get_mut(index as usize)
-            && *part == Part::Unknown
+        if let Some(part) = self.tasks.get_mut(index as usize)
+            && *part == TaskState::Unknown
         {
             let rack = rack.to_owned();
-            *part = Part::Placed {
+            *part = TaskState::Placed {
                 rack,
                 attempt,
                 band,
@@ -220,23 +221,23 @@
         }
     }
 
-    pub(super) fn finished(&mut self, index: u32, attempt: u64) {
-        let unknown = self.parts.get(index as usize) == Some(&Part::Unknown);
-        if !unknown && !self.is_at(index, attempt) {
+    pub(super) fn attempt_finished(&mut self, index: u32, attempt: u64) {
+        let unknown = self.tasks.get(index as usize) == Some(&TaskState::Unknown);
+        if !unknown && !self.is_current_attempt(index, attempt) {
             return;
         }
-        if let Some(part) = self.parts.get_mut(index as usize) {
-            *part = Part::Finished;
+        if let Some(part) = self.tasks.get_mut(index as usize) {
+            *part = TaskState::Finished;
         }
-        let all = self.parts.iter().all(|p| *p == Part::Finished);
+        let all = self.tasks.iter().all(|p| *p == TaskState::Finished);
         if all && !self.phase.is_over() {
             self.phase = Phase::Finished;
         }
     }
 
     /// An attempt is over before its work was done.
-    pub(super) fn broken(&mut self, index: u32, attempt: u64, fate: Fate) {
-        if !self.is_at(index, attempt) {
+    pub(super) fn attempt_ended(&mut self, index: u32, attempt: u64, fate: Fate) {
+        if !self.is_current_attempt(index, attempt) {
             return;
         }
         let saved_ms = match fate {
@@ -244,86 +245,90 @@
             _ => 0,
         };
         self.restarts += 1;
-        self.wait(index, saved_ms);
+        self.requeue(index, saved_ms);
         if fate == Fate::Failed {
             self.failures += 1;
-            if self.failures >= ATTEMPTS * self.job.tasks && !self.phase.is_over() {
+            if self.failures >= MAX_FAILURES_PER_TASK * self.job.tasks && !self.phase.is_over() {
                 self.phase = Phase::Failed;
             }
         }
         if self.job.shape == Shape::Gang {
-            self.broken = Some(attempt);
+            self.broken_attempt = Some(attempt);
         }
     }
 
     /// Attempts on this rack that it does not hold are over.
-    pub(super) fn missing(&mut self, rack: &str, held: &impl Fn(u32, u64, &Job) -> bool) {
-        let gone = |(index, part): (u32, &Part)| match part {
-            Part::Placed {
+    pub(super) fn end_missing_attempts(
+        &mut self,
+        rack: &str,
+        held: &impl Fn(u32, u64, &Job) -> bool,
+    ) {
+        let gone = |(index, part): (u32, &TaskState)| match part {
+            TaskState::Placed {
                 rack: r, attempt, ..
             } if r == rack => (!held(index, *attempt, &self.job)).then_some((index, *attempt)),
             _ => None,
         };
-        let gone: Vec<(u32, u64)> = (0u32..).zip(&self.parts).filter_map(gone).collect();
+        let gone: Vec<(u32, u64)> = (0u32..).zip(&self.tasks).filter_map(gone).collect();
         for (index, attempt) in gone {
             self.restarts += 1;
-            self.wait(index, 0);
+            self.requeue(index, 0);
             if self.job.shape == Shape::Gang {
-                self.broken = Some(attempt);
+                self.broken_attempt = Some(attempt);
             }
         }
     }
 
     /// Every rack was asked: what none of them holds does not run.
-    pub(super) fn unknown_is_lost(&mut self) {
+    pub(super) fn requeue_unknown_tasks(&mut self) {
         let unknown = (0u32..)
-            .zip(&self.parts)
-            .filter(|(_, p)| **p == Part::Unknown);
+            .zip(&self.tasks)
+            .filter(|(_, p)| **p == TaskState::Unknown);
         let unknown: Vec<u32> = unknown.map(|(index, _)| index).collect();
         for index in &unknown {
-            self.wait(*index, 0);
+            self.requeue(*index, 0);
         }
         if self.job.shape == Shape::Gang && !unknown.is_empty() {
-            let placed = self.parts.iter().find_map(|p| match p {
-                Part::Placed { attempt, .. } => Some(*attempt),
+            let placed = self.tasks.iter().find_map(|p| match p {
+                TaskState::Placed { attempt, .. } => Some(*attempt),
                 _ => None,
             });
-            self.broken = self.broken.or(placed);
+            self.broken_attempt = self.broken_attempt.or(placed);
         }
     }
 
     /// For a gang that must be broken up: the attempt and the racks that hold the rest of it.
-    pub(super) fn break_up(&mut self) -> Option<(Gang, Vec<id::Rack>)> {
-        let attempt = self.broken.take()?;
+    pub(super) fn gang_to_stop(&mut self) -> Option<(Gang, Vec<id::Rack>)> {
+        let attempt = self.broken_attempt.take()?;
         let racks = self.racks();
         let (team, job) = (self.job.team.clone(), self.job.id.clone());
         if racks.is_empty() {
             return None;
         }
-        self.broken = Some(attempt);
+        self.broken_attempt = Some(attempt);
         Some((Gang { team, job, attempt }, racks))
     }
 
     /// Whether a gang has members left of an attempt that failed.
-    pub(super) const fn breaking(&self) -> bool {
-        self.broken.is_some()
+    pub(super) const fn has_broken_gang(&self) -> bool {
+        self.broken_attempt.is_some()
     }
 
     /// Nothing is left of the attempt that failed.
-    pub(super) const fn clear_break(&mut self) {
-        self.broken = None;
+    pub(super) const fn clear_broken_gang(&mut self) {
+        self.broken_attempt = None;
     }
 
-    fn is_at(&self, index: u32, attempt: u64) -> bool {
+    fn is_current_attempt(&self, index: u32, attempt: u64) -> bool {
         matches!(
-            self.parts.get(index as usize),
-            Some(Part::Placed { attempt: a, .. }) if *a == attempt
+            self.tasks.get(index as usize),
+            Some(TaskState::Placed { attempt: a, .. }) if *a == attempt
         )
     }
 
-    fn wait(&mut self, index: u32, saved_ms: u64) {
-        if let Some(part) = self.parts.get_mut(index as usize) {
-            *part = Part::Waiting { saved_ms };
+    fn requeue(&mut self, index: u32, saved_ms: u64) {
+        if let Some(part) = self.tasks.get_mut(index as usize) {
+            *part = TaskState::Waiting { saved_ms };
             self.queue.push_back(index);
         }
     }
--- a/crates/cell/src/job_scheduler/schedule.rs
+++ b/crates/cell/src/job_scheduler/schedule.rs
@@ -7,16 +7,16 @@
 use resource::{Size, id};
 use wire::{Band, Gang, Mode, Order, Shape, Task, TaskId};
 
-use super::job::Part;
-use super::{Digests, JobScheduler, Name};
+use super::job::TaskState;
+use super::{Digests, JobKey, JobScheduler};
 
 /// Tasks that are placed in one round, at most, so that a round stays short.
-const ROUND: usize = 512;
+const MAX_TASKS_PER_PASS: usize = 512;
 /// Jobs of one team that are looked at beyond the first that finds no room. Smaller ones behind
 /// it may use what it can't, but not for ever: see [`PATIENCE`].
-const LOOK_BEHIND: usize = 16;
+const MAX_SKIPPED_JOBS: usize = 16;
 /// Gangs that wait while this many later jobs have passed them keep later ones from passing.
-const PATIENCE: u64 = 64;
+const MAX_OVERTAKING_JOBS: u64 = 64;
 
 /// Something to be done now.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,43 +39,43 @@
     pub fn schedule(&mut self, cell: &Cell, digests: &mut Digests) -> Vec<Dispatch> {
         let mut used = self.usage();
         let mut orders: BTreeMap<id::Rack, Vec<Task>> = BTreeMap::new();
-        let mut plans = Vec::new();
-        let mut left = ROUND;
-        let mut refusals: BTreeMap<id::Team, usize> = BTreeMap::new();
-        for name in self.turns(cell, &used) {
-            let refused = refusals.entry(name.0.clone()).or_default();
-            if left == 0 || *refused > LOOK_BEHIND {
+        let mut dispatches = Vec::new();
+        let mut remaining = MAX_TASKS_PER_PASS;
+        let mut skipped_by_team: BTreeMap<id::Team, usize> = BTreeMap::new();
+        for name in self.scheduling_order(cell, &used) {
+            let skipped = skipped_by_team.entry(name.0.clone()).or_default();
+            if remaining == 0 || *skipped > MAX_SKIPPED_JOBS {
                 continue;
             }
-            let Some(work) = self.jobs.get(&name) else {
+            let Some(tracked) = self.jobs.get(&name) else {
                 continue;
             };
-            let gang = work.job.shape == Shape::Gang;
+            let gang = tracked.job.shape == Shape::Gang;
             let team_used = &mut used.entry(name.0.clone()).or_default().0;
             let placed = if gang {
-                let plan = self.plan_gang(&name, cell, team_used, digests);
-                let n = plan.as_ref().map_or(0, |_| 1);
-                plans.extend(plan);
+                let dispatch = self.place_gang(&name, cell, team_used, digests);
+                let n = dispatch.as_ref().map_or(0, |_| 1);
+                dispatches.extend(dispatch);
                 n
             } else {
-                let tasks = self.plan_each(&name, cell, team_used, digests, left);
+                let tasks = self.place_tasks(&name, cell, team_used, digests, remaining);
                 let n = tasks.len();
                 for (rack, task) in tasks {
                     orders.entry(rack).or_default().push(task);
                 }
                 n
             };
-            left = left.saturating_sub(placed);
+            remaining = remaining.saturating_sub(placed);
             if placed == 0 {
-                *refused += 1;
-                if gang && self.overtaken(&name) {
-                    *refused = LOOK_BEHIND + 1;
+                *skipped += 1;
+                if gang && self.is_overtaken(&name) {
+                    *skipped = MAX_SKIPPED_JOBS + 1;
                 }
             }
         }
         for (rack, tasks) in orders {
             let from = self.next_serial();
-            plans.push(Dispatch::Start(Order {
+            dispatches.push(Dispatch::Start(Order {
                 epoch: digests.epoch(&rack),
                 rack,
                 from,
@@ -83,35 +83,41 @@
                 tasks,
             }));
         }
-        plans
+        dispatches
     }
 
     /// Jobs with waiting tasks, in the order of their turns.
-    fn turns(&mut self, cell: &Cell, used: &BTreeMap<id::Team, (Size, u32)>) -> Vec<Name> {
+    fn scheduling_order(
+        &mut self,
+        cell: &Cell,
+        used: &BTreeMap<id::Team, (Size, u32)>,
+    ) -> Vec<JobKey> {
         let jobs = &self.jobs;
-        self.waiting
-            .retain(|name| jobs.get(name).is_some_and(super::Work::waits));
+        self.waiting.retain(|name| {
+            jobs.get(name)
+                .is_some_and(super::TrackedJob::has_waiting_tasks)
+        });
         let share = |team: &str| {
             let quota = cell.team(team).map_or(Size::ZERO, |t| t.quota);
             used.get(team).map_or(0.0, |(used, _)| used.share(quota))
         };
         let by_size = cell.policy.batch == Pack::BestFit;
-        let turn = |name: &Name| {
-            let work = self.jobs.get(name)?;
-            let class = match (work.job.urgent, work.job.shape) {
+        let turn = |name: &JobKey| {
+            let tracked = self.jobs.get(name)?;
+            let class = match (tracked.job.urgent, tracked.job.shape) {
                 (true, _) => 0,
                 (false, Shape::Service) => 1,
                 (false, Shape::Batch | Shape::Gang) => 2,
             };
             // Large tasks first, since small ones fill the gaps that they leave; but what many
             // have passed goes before all of them, or it would wait for ever.
-            let passed = self.arrivals > work.arrival + PATIENCE;
+            let passed = self.arrivals > tracked.arrival + MAX_OVERTAKING_JOBS;
             let size = match class {
                 2 if by_size && passed => f64::INFINITY,
-                2 if by_size => work.job.size.share(cell.worker),
+                2 if by_size => tracked.job.size.share(cell.worker),
                 _ => 0.0,
             };
-            Some((class, share(&name.0), -size, work.arrival, name.clone()))
+            Some((class, share(&name.0), -size, tracked.arrival, name.clone()))
         };
         let mut turns: Vec<_> = self.waiting.iter().filter_map(turn).collect();
         turns.sort_by(|a, b| {
@@ -123,32 +129,32 @@
         turns.into_iter().map(|(.., name)| name).collect()
     }
 
-    fn overtaken(&self, name: &Name) -> bool {
+    fn is_overtaken(&self, name: &JobKey) -> bool {
         self.jobs
             .get(name)
-            .is_some_and(|w| self.arrivals > w.arrival + PATIENCE)
+            .is_some_and(|w| self.arrivals > w.arrival + MAX_OVERTAKING_JOBS)
     }
 
-    fn plan_each(
+    fn place_tasks(
         &mut self,
-        name: &Name,
+        name: &JobKey,
         cell: &Cell,
         used: &mut Size,
         digests: &mut Digests,
-        most: usize,
+        max_tasks: usize,
     ) -> Vec<(id::Rack, Task)> {
         let mut tasks = Vec::new();
-        while tasks.len() < most {
+        while tasks.len() < max_tasks {
             let Some((index, saved_ms)) = self.first_waiting(name) else {
                 break;
             };
             let Some(band) = self.band(name, cell, *used) else {
                 break;
             };
-            let Some(work) = self.jobs.get(name) else {
+            let Some(tracked) = self.jobs.get(name) else {
                 break;
             };
-            let (size, shape) = (work.job.size, work.job.shape);
+            let (size, shape) = (tracked.job.size, tracked.job.shape);
             let rule = rule(shape, cell);
             let rack = digests.reserve(rule, size).cloned().or_else(|| {
                 (band > Band::Borrowed)
@@ -167,23 +173,26 @@
         tasks
     }
 
-    fn plan_gang(
+    fn place_gang(
         &mut self,
-        name: &Name,
+        name: &JobKey,
         cell: &Cell,
         used: &mut Size,
         digests: &mut Digests,
     ) -> Option<Dispatch> {
-        let work = self.jobs.get_mut(name)?;
-        let whole = work.parts.iter().all(|p| matches!(p, Part::Waiting { .. }));
-        if work.breaking() && !work.racks().is_empty() || !whole {
+        let tracked = self.jobs.get_mut(name)?;
+        let whole = tracked
+            .tasks
+            .iter()
+            .all(|p| matches!(p, TaskState::Waiting { .. }));
+        if tracked.has_broken_gang() && !tracked.racks().is_empty() || !whole {
             return None;
         }
-        work.clear_break();
-        let (size, total, n) = (work.job.size, work.job.total(), work.job.tasks);
+        tracked.clear_broken_gang();
+        let (size, total, n) = (tracked.job.size, tracked.job.total(), tracked.job.tasks);
         let quota = quota(cell, &name.0, *used);
         let band = match quota.status_with(total) {
-            QuotaStatus::Within if work.job.urgent => Band::Urgent,
+            QuotaStatus::Within if tracked.job.urgent => Band::Urgent,
             QuotaStatus::Within => Band::Normal,
             QuotaStatus::Borrowing => Band::Borrowed,
             QuotaStatus::Exceeded => return None,
@@ -219,7 +228,7 @@
     }
 
     /// The band that one more task of a job would have; `None` if it must wait.
-    fn band(&self, name: &Name, cell: &Cell, used: Size) -> Option<Band> {
+    fn band(&self, name: &JobKey, cell: &Cell, used: Size) -> Option<Band> {
         let job = &self.jobs.get(name)?.job;
         let standing = quota(cell, &name.0, used).status_with(job.size);
         match (standing, job.shape) {
@@ -233,20 +242,20 @@
         }
     }
 
-    fn first_waiting(&mut self, name: &Name) -> Option<(u32, u64)> {
-        let work = self.jobs.get_mut(name)?;
-        while let Some(&index) = work.queue.front() {
-            if let Some(Part::Waiting { saved_ms }) = work.parts.get(index as usize) {
+    fn first_waiting(&mut self, name: &JobKey) -> Option<(u32, u64)> {
+        let tracked = self.jobs.get_mut(name)?;
+        while let Some(&index) = tracked.queue.front() {
+            if let Some(TaskState::Waiting { saved_ms }) = tracked.tasks.get(index as usize) {
                 return Some((index, *saved_ms));
             }
-            work.queue.pop_front();
+            tracked.queue.pop_front();
         }
         None
     }
 
     fn assign(
         &mut self,
-        name: &Name,
+        name: &JobKey,
         index: u32,
         rack: &str,
         attempt: u64,
@@ -255,18 +264,18 @@
     ) -> Option<Task> {
         let home = self.home.clone();
         let running = false;
-        *self.part(name, index)? = Part::Placed {
+        *self.task_state(name, index)? = TaskState::Placed {
             rack: rack.to_owned(),
             attempt,
             band,
             running,
             saved_ms,
         };
-        let work = self.jobs.get_mut(name)?;
-        if work.queue.front() == Some(&index) {
-            work.queue.pop_front();
+        let tracked = self.jobs.get_mut(name)?;
+        if tracked.queue.front() == Some(&index) {
+            tracked.queue.pop_front();
         }
-        let job = &work.job;
+        let job = &tracked.job;
         let id = TaskId {
             team: job.team.clone(),
             job: job.id.clone(),
--- a/crates/cell/src/quick_queue.rs
+++ b/crates/cell/src/quick_queue.rs
@@ -62,18 +62,18 @@
 }
 
 /// Weight of one run in the usual run time.
-const WEIGHT: f64 = 0.05;
+const RUN_TIME_WEIGHT: f64 = 0.05;
 /// Usual run time before any was seen, in seconds.
-const FIRST_GUESS: f64 = 0.010;
+const INITIAL_RUN_SECS: f64 = 0.010;
 
 /// The waiting requests, by rank and age, and the keys that are worked on.
 #[derive(Debug)]
-pub(crate) struct Quick {
+pub(crate) struct QuickQueue {
     ready: BTreeSet<(Reverse<u8>, Ticket)>,
     waiting: HashMap<Ticket, Waiting>,
-    keys: HashMap<String, Holder>,
-    next: Ticket,
-    usual: f64,
+    keys: HashMap<String, KeyState>,
+    last_ticket: Ticket,
+    mean_run_secs: f64,
 }
 
 #[derive(Debug)]
@@ -85,46 +85,46 @@
 
 /// Who works on a key, and who waits for it.
 #[derive(Debug, Default)]
-struct Holder {
+struct KeyState {
     /// Set if it is not known who: free at this time.
-    until: Option<Now>,
+    blocked_until: Option<Now>,
     waiters: VecDeque<Ticket>,
 }
 
-impl Default for Quick {
+impl Default for QuickQueue {
     fn default() -> Self {
         Self {
             ready: BTreeSet::new(),
             waiting: HashMap::new(),
             keys: HashMap::new(),
-            next: 0,
-            usual: FIRST_GUESS,
+            last_ticket: 0,
+            mean_run_secs: INITIAL_RUN_SECS,
         }
     }
 }
 
-impl Quick {
+impl QuickQueue {
     /// Number of waiting requests.
     pub(crate) fn len(&self) -> usize {
         self.waiting.len()
     }
 
     /// How long a new request would wait if `slots` run at once.
-    pub(crate) fn wait(&self, slots: u32) -> Duration {
+    pub(crate) fn expected_wait(&self, slots: u32) -> Duration {
         let ahead = self.waiting.len() as f64;
-        Duration::from_secs_f64(ahead * self.usual / f64::from(slots.max(1)))
+        Duration::from_secs_f64(ahead * self.mean_run_secs / f64::from(slots.max(1)))
     }
 
-    pub(crate) fn enter(&mut self, rank: u8, key: &str, expires: Now) -> Ticket {
-        self.next += 1;
+    pub(crate) fn enqueue(&mut self, rank: u8, key: &str, expires: Now) -> Ticket {
+        self.last_ticket += 1;
         let waiting = Waiting {
             rank,
             key: key.to_owned(),
             expires,
         };
-        self.waiting.insert(self.next, waiting);
-        self.ready.insert((Reverse(rank), self.next));
-        self.next
+        self.waiting.insert(self.last_ticket, waiting);
+        self.ready.insert((Reverse(rank), self.last_ticket));
+        self.last_ticket
     }
 
     /// Takes a request out; `false` if it does not wait any more.
@@ -133,8 +133,8 @@
             return false;
         };
         self.ready.remove(&(Reverse(waiting.rank), ticket));
-        if let Some(holder) = self.keys.get_mut(&waiting.key) {
-            holder.waiters.retain(|t| *t != ticket);
+        if let Some(state) = self.keys.get_mut(&waiting.key) {
+            state.waiters.retain(|t| *t != ticket);
         }
         true
     }
@@ -146,12 +146,12 @@
             let Some(waiting) = self.waiting.get(&ticket) else {
                 continue;
             };
-            if let Some(holder) = self.keys.get_mut(&waiting.key) {
-                holder.waiters.push_back(ticket);
+            if let Some(state) = self.keys.get_mut(&waiting.key) {
+                state.waiters.push_back(ticket);
                 continue;
             }
             let waiting = self.waiting.remove(&ticket)?;
-            self.keys.insert(waiting.key.clone(), Holder::default());
+            self.keys.insert(waiting.key.clone(), KeyState::default());
             return Some((ticket, waiting.key, waiting.expires));
         }
         None
@@ -160,12 +160,12 @@
     /// A run on this key has ended after `took`, if that is known.
     pub(crate) fn release(&mut self, key: &str, took: Option<Duration>) {
         if let Some(took) = took {
-            self.usual += WEIGHT * (took.as_secs_f64() - self.usual);
+            self.mean_run_secs += RUN_TIME_WEIGHT * (took.as_secs_f64() - self.mean_run_secs);
         }
-        let Some(holder) = self.keys.remove(key) else {
+        let Some(state) = self.keys.remove(key) else {
             return;
         };
-        for ticket in holder.waiters {
+        for ticket in state.waiters {
             if let Some(waiting) = self.waiting.get(&ticket) {
                 self.ready.insert((Reverse(waiting.rank), ticket));
             }
@@ -173,14 +173,14 @@
     }
 
     /// Something may work on this key until then.
-    pub(crate) fn block(&mut self, key: &str, until: Now) {
-        let holder = self.keys.entry(key.to_owned()).or_default();
-        holder.until = Some(holder.until.map_or(until, |u| u.max(until)));
+    pub(crate) fn block_key(&mut self, key: &str, until: Now) {
+        let state = self.keys.entry(key.to_owned()).or_default();
+        state.blocked_until = Some(state.blocked_until.map_or(until, |u| u.max(until)));
     }
 
     /// Frees keys whose time has come.
-    pub(crate) fn tick(&mut self, now: Now) {
-        let due = |h: &Holder| h.until.is_some_and(|until| until <= now);
+    pub(crate) fn unblock_expired(&mut self, now: Now) {
+        let due = |h: &KeyState| h.blocked_until.is_some_and(|until| until <= now);
         let due: Vec<String> = self
             .keys
             .iter()
--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -13,9 +13,9 @@
 use wire::{Band, Digest, Event, Fate, Holding, Inventory, RackStatus, Seniority, Shape, TaskId};
 use worker::call::Adopted;
 
-use crate::attempt::{Placed, Stage};
+use crate::attempt::{Attempt, AttemptState};
 use crate::fence::{Authority, Roster};
-use crate::quick_queue::Quick;
+use crate::quick_queue::QuickQueue;
 use crate::worker_state::WorkerState;
 use crate::{Clock, Now};
 
@@ -59,19 +59,19 @@
 pub struct Rack {
     name: id::Rack,
     /// The epoch under which this knowledge began.
-    since: id::Epoch,
+    known_since: id::Epoch,
     epoch: id::Epoch,
     settings: Settings,
     authority: Authority,
     active: bool,
     hosts: BTreeMap<id::Worker, WorkerState>,
-    quick: Quick,
+    quick: QuickQueue,
     attempts: u64,
     /// Slots whose runs may still be going on, until then.
-    lapses: Vec<(Now, id::Worker, id::Incarnation)>,
-    tasks: BTreeMap<TaskId, Placed>,
+    unresolved_runs: Vec<(Now, id::Worker, id::Incarnation)>,
+    tasks: BTreeMap<TaskId, Attempt>,
     /// The last message heard from the owner of each home rack: its epoch and serial.
-    seniors: BTreeMap<id::Rack, (id::Epoch, u64)>,
+    last_messages: BTreeMap<id::Rack, (id::Epoch, u64)>,
     events: Vec<(id::Rack, Event)>,
 }
 
@@ -81,17 +81,17 @@
     pub fn new(name: &str, epoch: id::Epoch, roster: Roster, settings: Settings) -> Self {
         Self {
             name: name.to_owned(),
-            since: epoch,
+            known_since: epoch,
             epoch,
             settings,
             authority: Authority::new(roster),
             active: false,
             hosts: BTreeMap::new(),
-            quick: Quick::default(),
+            quick: QuickQueue::default(),
             attempts: 0,
-            lapses: Vec::new(),
+            unresolved_runs: Vec::new(),
             tasks: BTreeMap::new(),
-            seniors: BTreeMap::new(),
+            last_messages: BTreeMap::new(),
             events: Vec::new(),
         }
     }
@@ -189,8 +189,9 @@
             let mut host = WorkerState::new(address, incarnation, adopted, sent, received);
             for run in &adopted.report.runs {
                 let until = clock.latest_time(run.until);
-                self.quick.block(&run.key, until);
-                self.lapses.push((until, worker.to_owned(), incarnation));
+                self.quick.block_key(&run.key, until);
+                self.unresolved_runs
+                    .push((until, worker.to_owned(), incarnation));
                 host.running += 1;
             }
             self.hosts.insert(worker.to_owned(), host);
@@ -205,21 +206,21 @@
         if self.hosts.remove(worker).is_none() {
             return;
         }
-        self.lapses.retain(|(_, name, _)| name != worker);
+        self.unresolved_runs.retain(|(_, name, _)| name != worker);
         let gone: Vec<TaskId> = self
             .tasks
             .values()
-            .filter(|t| t.host == worker)
+            .filter(|t| t.worker == worker)
             .map(|t| t.id().clone())
             .collect();
         for id in gone {
-            self.end(&id, Fate::Lost);
+            self.end_attempt(&id, Fate::Lost);
         }
     }
 
     /// Listens to the owner of a home rack; `false` if a later message was heard before.
     pub fn accept_message(&mut self, from: &Seniority) -> bool {
-        let latest = self.seniors.entry(from.home.clone()).or_default();
+        let latest = self.last_messages.entry(from.home.clone()).or_default();
         let message = (from.epoch, from.serial);
         if message <= *latest {
             return false;
@@ -230,7 +231,7 @@
 
     /// Owners of home racks before this epoch are not listened to any more.
     pub fn reject_older_owners(&mut self, home: &str, epoch: id::Epoch) {
-        let latest = self.seniors.entry(home.to_owned()).or_default();
+        let latest = self.last_messages.entry(home.to_owned()).or_default();
         *latest = (*latest).max((epoch, 0));
     }
 
@@ -238,7 +239,7 @@
     #[must_use]
     pub fn inventory(&self, home: &str, complete: bool) -> Inventory {
         let of_home = self.tasks.values().filter(|t| t.task.home == home);
-        let holding = |t: &Placed| Holding {
+        let holding = |t: &Attempt| Holding {
             task: t.id().clone(),
             size: t.task.size,
         };
@@ -266,12 +267,14 @@
         Digest {
             rack: self.name.clone(),
             epoch: self.epoch,
-            free: open().map(|(name, host)| self.free(name, host)).collect(),
+            free: open()
+                .map(|(name, host)| self.free_capacity(name, host))
+                .collect(),
             yielding: open()
-                .map(|(name, _)| self.yielding(name, Band::Urgent))
+                .map(|(name, _)| self.preemptible_size(name, Band::Urgent))
                 .collect(),
             lent: open()
-                .map(|(name, _)| self.yielding(name, Band::Normal))
+                .map(|(name, _)| self.preemptible_size(name, Band::Normal))
                 .collect(),
         }
     }
@@ -298,7 +301,7 @@
     #[must_use]
     pub fn status(&self, stage: &str, now: Now) -> RackStatus {
         let host = |(name, host): (&id::Worker, &WorkerState)| {
-            let free = self.free(name, host);
+            let free = self.free_capacity(name, host);
             (
                 name.clone(),
                 host.size.saturating_minus(free),
@@ -323,42 +326,42 @@
     }
 
     /// What is free for new tasks on a worker: neither taken nor promised.
-    fn free(&self, worker: &str, host: &WorkerState) -> Size {
+    fn free_capacity(&self, worker: &str, host: &WorkerState) -> Size {
         let taken = self
             .tasks
             .values()
-            .filter(|t| t.host == worker)
-            .map(|t| t.reserve)
+            .filter(|t| t.worker == worker)
+            .map(|t| t.reserved)
             .sum();
         host.size.saturating_minus(taken)
     }
 
     /// What tasks may take on a worker at this very moment.
-    fn room_now(&self, worker: &str, host: &WorkerState) -> Size {
+    fn unoccupied_capacity(&self, worker: &str, host: &WorkerState) -> Size {
         let occupied = self
             .tasks
             .values()
-            .filter(|t| t.host == worker && t.occupies());
+            .filter(|t| t.worker == worker && t.occupies());
         host.size
-            .saturating_minus(occupied.map(|t| t.reserve).sum())
+            .saturating_minus(occupied.map(|t| t.reserved).sum())
     }
 
     /// What batch work on a worker takes that would make room for work of this band.
-    fn yielding(&self, worker: &str, band: Band) -> Size {
-        let batch = |t: &&Placed| {
-            t.host == worker
+    fn preemptible_size(&self, worker: &str, band: Band) -> Size {
+        let batch = |t: &&Attempt| {
+            t.worker == worker
                 && t.task.shape == Shape::Batch
-                && place::yields(t.task.band, band)
-                && matches!(t.stage, Stage::Running { .. })
+                && place::yields_to(t.task.band, band)
+                && matches!(t.state, AttemptState::Running { .. })
         };
-        self.tasks.values().filter(batch).map(|t| t.reserve).sum()
+        self.tasks.values().filter(batch).map(|t| t.reserved).sum()
     }
 
-    fn rooms(&self, now: Now, siblings_of: &TaskId) -> (Vec<id::Worker>, Vec<Capacity>) {
+    fn candidates(&self, now: Now, siblings_of: &TaskId) -> (Vec<id::Worker>, Vec<Capacity>) {
         let open = self.hosts.iter().filter(|(_, host)| host.accepts_work(now));
         let room = |(name, host): (&id::Worker, &WorkerState)| {
-            let sibling = |t: &&Placed| {
-                t.host == *name
+            let sibling = |t: &&Attempt| {
+                t.worker == *name
                     && t.task.id.job == siblings_of.job
                     && t.task.id.team == siblings_of.team
             };
@@ -366,7 +369,7 @@
             (
                 name.clone(),
                 Capacity {
-                    free: self.free(name, host),
+                    free: self.free_capacity(name, host),
                     total: host.size,
                     siblings,
                 },
@@ -376,13 +379,13 @@
     }
 
     /// The attempt can't run any more; its job's owner is told.
-    fn end(&mut self, id: &TaskId, fate: Fate) {
-        if let Some(placed) = self.tasks.remove(id) {
-            self.tell(placed.task.home, id.clone(), fate);
+    fn end_attempt(&mut self, id: &TaskId, fate: Fate) {
+        if let Some(attempt) = self.tasks.remove(id) {
+            self.record_event(attempt.task.home, id.clone(), fate);
         }
     }
 
-    fn tell(&mut self, home: id::Rack, task: TaskId, fate: Fate) {
+    fn record_event(&mut self, home: id::Rack, task: TaskId, fate: Fate) {
         let event = Event { task, fate };
         if !self.events.iter().any(|(h, e)| *h == home && *e == event) {
             self.events.push((home, event));
--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -10,22 +10,22 @@
 
 use super::Rack;
 use crate::Now;
-use crate::attempt::{Command, Outcome, Placed, Stage, stopped};
+use crate::attempt::{Attempt, AttemptState, Command, Outcome, fate_of_stop};
 
 /// How long a task may run on without a heartbeat.
 pub const TASK_LEASE: Duration = Duration::from_secs(10);
 /// How long room is kept for a gang that is not complete.
-const HOLD: Duration = Duration::from_secs(3);
+const GANG_HOLD_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a start may stay on its way to the worker.
-const DELIVERY: Duration = Duration::from_millis(1_000);
+const START_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long urgent work waits for others to make room before its owner looks elsewhere.
-const EVICTION: Duration = Duration::from_secs(3);
+const EVICTION_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Rack {
     /// Places the tasks of an order and tells what to say to the workers.
     pub fn place(&mut self, order: &Order, now: Now) -> (Reply, Vec<Command>) {
-        let meant = order.epoch == self.epoch;
-        if !meant || !self.may_act(now) || !self.accept_message(&order.from) {
+        let current_epoch = order.epoch == self.epoch;
+        if !current_epoch || !self.may_act(now) || !self.accept_message(&order.from) {
             let placements = vec![Placement::NotOwner; order.tasks.len()];
             return (
                 Reply {
@@ -36,8 +36,8 @@
             );
         }
         let (placements, commands) = match order.mode {
-            Mode::Start => self.start_each(&order.tasks, now),
-            Mode::Hold => (self.hold_all(&order.tasks, now), Vec::new()),
+            Mode::Start => self.start_tasks(&order.tasks, now),
+            Mode::Hold => (self.hold_tasks(&order.tasks, now), Vec::new()),
         };
         let digest: Digest = self.digest(now);
         (
@@ -51,8 +51,8 @@
 
     /// Starts a gang that is held here; `false` if the hold has lapsed.
     pub fn commit(&mut self, gang: &Gang, now: Now) -> Option<Vec<Command>> {
-        let members = self.members(gang);
-        let held = |id: &TaskId| matches!(self.tasks[id].stage, Stage::Held { .. });
+        let members = self.gang_attempts(gang);
+        let held = |id: &TaskId| matches!(self.tasks[id].state, AttemptState::Held { .. });
         if !self.may_act(now) || members.is_empty() || !members.iter().all(held) {
             return None;
         }
@@ -66,10 +66,10 @@
 
     /// Gives up a gang: lets go of what is held, stops what was started.
     pub fn abort(&mut self, gang: &Gang, now: Now) -> Vec<Command> {
-        let members = self.members(gang);
+        let members = self.gang_attempts(gang);
         members
             .iter()
-            .filter_map(|id| self.give_up(id, false, false, now))
+            .filter_map(|id| self.stop_attempt(id, false, false, now))
             .collect()
     }
 
@@ -78,37 +78,39 @@
         let of_job = |id: &&TaskId| id.team == team && id.job == job;
         let ids: Vec<TaskId> = self.tasks.keys().filter(of_job).cloned().collect();
         ids.iter()
-            .filter_map(|id| self.give_up(id, false, false, now))
+            .filter_map(|id| self.stop_attempt(id, false, false, now))
             .collect()
     }
 
     /// What came of a start.
     pub fn start_outcome(&mut self, id: &TaskId, outcome: Outcome, now: Now) {
-        let Some(placed) = self.tasks.get_mut(id) else {
+        let Some(attempt) = self.tasks.get_mut(id) else {
             return;
         };
-        if !matches!(placed.stage, Stage::Starting { .. }) {
+        if !matches!(attempt.state, AttemptState::Starting { .. }) {
             return;
         }
         match outcome {
             Outcome::Done { .. } => {
-                placed.stage = Stage::Running { since: now };
-                let home = placed.task.home.clone();
-                self.tell(home, id.clone(), wire::Fate::Running);
+                attempt.state = AttemptState::Running { since: now };
+                let home = attempt.task.home.clone();
+                self.record_event(home, id.clone(), wire::Fate::Running);
             }
-            Outcome::Refused => self.end(id, wire::Fate::NotStarted),
+            Outcome::Refused => self.end_attempt(id, wire::Fate::NotStarted),
             Outcome::Unknown => {}
         }
     }
 
     /// What came of a stop; urgent work that waited for the room is started.
     pub fn stop_outcome(&mut self, id: &TaskId, outcome: Outcome, now: Now) -> Vec<Command> {
-        let Some(placed) = self.tasks.get(id) else {
+        let Some(attempt) = self.tasks.get(id) else {
             return Vec::new();
         };
-        let (host, stage) = (placed.host.clone(), placed.stage);
-        if let (Stage::Stopping { preempted, .. }, Outcome::Done { saved_ms }) = (stage, outcome) {
-            self.end(id, stopped(preempted, saved_ms));
+        let (host, state) = (attempt.worker.clone(), attempt.state);
+        if let (AttemptState::Stopping { preempted, .. }, Outcome::Done { saved_ms }) =
+            (state, outcome)
+        {
+            self.end_attempt(id, fate_of_stop(preempted, saved_ms));
         }
         self.launch_awaiting(&host, now)
     }
@@ -118,8 +120,9 @@
         let Some(host) = self.hosts.get(worker) else {
             return Vec::new();
         };
-        let mut room = self.room_now(worker, host);
-        let waits = |t: &&Placed| t.host == worker && matches!(t.stage, Stage::Awaiting { .. });
+        let mut room = self.unoccupied_capacity(worker, host);
+        let waits =
+            |t: &&Attempt| t.worker == worker && matches!(t.state, AttemptState::Awaiting { .. });
         let waiting: Vec<TaskId> = self
             .tasks
             .values()
@@ -128,19 +131,19 @@
             .collect();
         let mut commands = Vec::new();
         for id in waiting {
-            let Some(rest) = room.minus(self.tasks[&id].reserve) else {
+            let Some(remaining) = room.minus(self.tasks[&id].reserved) else {
                 continue;
             };
-            room = rest;
+            room = remaining;
             commands.extend(self.launch(&id, now));
         }
         commands
     }
 
     /// Lets go of what was held or awaited for too long.
-    pub(super) fn lapse_holds(&mut self, now: Now) {
-        let due = |t: &&Placed| match t.stage {
-            Stage::Held { until } | Stage::Awaiting { until } => until <= now,
+    pub(super) fn expire_holds(&mut self, now: Now) {
+        let due = |t: &&Attempt| match t.state {
+            AttemptState::Held { until } | AttemptState::Awaiting { until } => until <= now,
             _ => false,
         };
         let due: Vec<TaskId> = self
@@ -150,24 +153,24 @@
             .map(|t| t.id().clone())
             .collect();
         for id in due {
-            self.end(&id, wire::Fate::NotStarted);
+            self.end_attempt(&id, wire::Fate::NotStarted);
         }
     }
 
-    fn start_each(&mut self, tasks: &[Task], now: Now) -> (Vec<Placement>, Vec<Command>) {
+    fn start_tasks(&mut self, tasks: &[Task], now: Now) -> (Vec<Placement>, Vec<Command>) {
         let mut commands = Vec::new();
         let mut place = |task: &Task| {
             if self.tasks.contains_key(&task.id) {
                 return Placement::Placed;
             }
-            if let Some(worker) = self.choose(task, now) {
-                let stage = Stage::Awaiting { until: now };
+            if let Some(worker) = self.choose_worker(task, now) {
+                let state = AttemptState::Awaiting { until: now };
                 self.tasks
-                    .insert(task.id.clone(), Placed::new(task.clone(), &worker, stage));
+                    .insert(task.id.clone(), Attempt::new(task.clone(), &worker, state));
                 commands.extend(self.launch(&task.id, now));
                 return Placement::Placed;
             }
-            match self.make_room(task, now) {
+            match self.evict_for(task, now) {
                 Some(stops) => {
                     commands.extend(stops);
                     Placement::Placed
@@ -178,81 +181,84 @@
         (tasks.iter().map(&mut place).collect(), commands)
     }
 
-    fn hold_all(&mut self, tasks: &[Task], now: Now) -> Vec<Placement> {
+    fn hold_tasks(&mut self, tasks: &[Task], now: Now) -> Vec<Placement> {
         for task in tasks {
             if self.tasks.contains_key(&task.id) {
                 continue;
             }
-            let Some(worker) = self.choose(task, now) else {
+            let Some(worker) = self.choose_worker(task, now) else {
                 for task in tasks {
                     self.tasks.remove(&task.id);
                 }
                 return vec![Placement::Full; tasks.len()];
             };
-            let stage = Stage::Held { until: now + HOLD };
+            let state = AttemptState::Held {
+                until: now + GANG_HOLD_TIMEOUT,
+            };
             self.tasks
-                .insert(task.id.clone(), Placed::new(task.clone(), &worker, stage));
+                .insert(task.id.clone(), Attempt::new(task.clone(), &worker, state));
         }
         vec![Placement::Placed; tasks.len()]
     }
 
-    fn choose(&self, task: &Task, now: Now) -> Option<id::Worker> {
+    fn choose_worker(&self, task: &Task, now: Now) -> Option<id::Worker> {
         let rule = match task.shape {
             Shape::Service => Rule::Spread,
             Shape::Batch => self.settings.batch,
             Shape::Gang => Rule::BestFit,
         };
-        let (names, rooms) = self.rooms(now, &task.id);
-        choose::place(rule, &rooms, task.size).map(|at| names[at].clone())
+        let (names, candidates) = self.candidates(now, &task.id);
+        choose::place(rule, &candidates, task.size).map(|at| names[at].clone())
     }
 
     /// Stops batch tasks of lower bands on one worker so that `task` fits there.
-    fn make_room(&mut self, task: &Task, now: Now) -> Option<Vec<Command>> {
+    fn evict_for(&mut self, task: &Task, now: Now) -> Option<Vec<Command>> {
         if task.band == Band::Borrowed {
             return None;
         }
         let open = self.hosts.iter().filter(|(_, host)| host.accepts_work(now));
-        let plan = |worker: &id::Worker, free| {
+        let eviction = |worker: &id::Worker, free| {
             let lower = self.tasks.values().filter(|t| {
-                t.host == *worker
+                t.worker == *worker
                     && t.task.shape == Shape::Batch
-                    && yields(t.task.band, task.band)
-                    && matches!(t.stage, Stage::Running { .. })
+                    && yields_to(t.task.band, task.band)
+                    && matches!(t.state, AttemptState::Running { .. })
             });
-            let lower: Vec<&Placed> = lower.collect();
-            let cost = |t: &&Placed| Victim {
-                size: t.reserve,
-                lost_work_ms: lost(t, now),
+            let lower: Vec<&Attempt> = lower.collect();
+            let victim = |t: &&Attempt| Victim {
+                size: t.reserved,
+                lost_work_ms: unsaved_work_ms(t, now),
             };
-            let costs: Vec<Victim> = lower.iter().map(cost).collect();
-            let chosen = evict::victims(free, task.size, &costs)?;
-            let loss: u64 = chosen.iter().map(|&at| costs[at].lost_work_ms).sum();
+            let victims: Vec<Victim> = lower.iter().map(victim).collect();
+            let chosen = evict::victims(free, task.size, &victims)?;
+            let loss: u64 = chosen.iter().map(|&at| victims[at].lost_work_ms).sum();
             let ids: Vec<TaskId> = chosen.iter().map(|&at| lower[at].id().clone()).collect();
             Some((ids.len(), loss, worker.clone(), ids))
         };
-        let plans = open.filter_map(|(name, host)| plan(name, self.free(name, host)));
-        let (_, _, worker, ids) = plans.min_by_key(|(n, loss, ..)| (*n, *loss))?;
-        let stage = Stage::Awaiting {
-            until: now + EVICTION,
+        let evictions =
+            open.filter_map(|(name, host)| eviction(name, self.free_capacity(name, host)));
+        let (_, _, worker, ids) = evictions.min_by_key(|(n, loss, ..)| (*n, *loss))?;
+        let state = AttemptState::Awaiting {
+            until: now + EVICTION_TIMEOUT,
         };
         self.tasks
-            .insert(task.id.clone(), Placed::new(task.clone(), &worker, stage));
+            .insert(task.id.clone(), Attempt::new(task.clone(), &worker, state));
         Some(
             ids.iter()
-                .filter_map(|id| self.give_up(id, true, true, now))
+                .filter_map(|id| self.stop_attempt(id, true, true, now))
                 .collect(),
         )
     }
 
     /// Tells the worker to start a task that has room there.
     fn launch(&mut self, id: &TaskId, now: Now) -> Option<Command> {
-        let until = self.authority.valid_until()?.min(now + DELIVERY);
-        let placed = self.tasks.get_mut(id)?;
-        let host = self.hosts.get_mut(&placed.host)?;
+        let until = self.authority.valid_until()?.min(now + START_TIMEOUT);
+        let attempt = self.tasks.get_mut(id)?;
+        let host = self.hosts.get_mut(&attempt.worker)?;
         host.work_sent();
         host.leases_renewed = host.leases_renewed.max(until);
         let not_after = host.earliest_moment(until);
-        placed.stage = Stage::Starting {
+        attempt.state = AttemptState::Starting {
             not_after,
             sent: now,
         };
@@ -261,7 +267,7 @@
             incarnation: host.incarnation,
             not_after,
             lease_ms: TASK_LEASE.as_millis() as u64,
-            task: placed.task.clone(),
+            task: attempt.task.clone(),
         };
         Some(Command::Start {
             address: host.address.clone(),
@@ -270,25 +276,28 @@
     }
 
     /// Stops an attempt, or forgets it if it was not started.
-    pub(super) fn give_up(
+    pub(super) fn stop_attempt(
         &mut self,
         id: &TaskId,
         preempted: bool,
         checkpoint: bool,
         now: Now,
     ) -> Option<Command> {
-        let placed = self.tasks.get_mut(id)?;
-        if !matches!(placed.stage, Stage::Starting { .. } | Stage::Running { .. }) {
-            if !matches!(placed.stage, Stage::Stopping { .. }) {
-                self.end(id, wire::Fate::NotStarted);
+        let attempt = self.tasks.get_mut(id)?;
+        if !matches!(
+            attempt.state,
+            AttemptState::Starting { .. } | AttemptState::Running { .. }
+        ) {
+            if !matches!(attempt.state, AttemptState::Stopping { .. }) {
+                self.end_attempt(id, wire::Fate::NotStarted);
             }
             return None;
         }
-        placed.stage = Stage::Stopping {
+        attempt.state = AttemptState::Stopping {
             since: now,
             preempted,
         };
-        let address = self.hosts.get(&placed.host)?.address.clone();
+        let address = self.hosts.get(&attempt.worker)?.address.clone();
         let stop = Stop {
             epoch: self.epoch,
             task: id.clone(),
@@ -297,7 +306,7 @@
         Some(Command::Stop { address, stop })
     }
 
-    fn members(&self, gang: &Gang) -> Vec<TaskId> {
+    fn gang_attempts(&self, gang: &Gang) -> Vec<TaskId> {
         let of_gang =
             |id: &&TaskId| id.team == gang.team && id.job == gang.job && id.attempt == gang.attempt;
         self.tasks.keys().filter(of_gang).cloned().collect()
@@ -308,7 +317,7 @@
 ///
 /// Borrowed room is taken back by anyone within a quota; within quotas only urgent work goes
 /// before the rest.
-pub(super) const fn yields(lower: Band, higher: Band) -> bool {
+pub(super) const fn yields_to(lower: Band, higher: Band) -> bool {
     match higher {
         Band::Urgent => !matches!(lower, Band::Urgent),
         Band::Normal | Band::Standing => matches!(lower, Band::Borrowed),
@@ -317,9 +326,9 @@
 }
 
 /// Work that a task would lose if its checkpoint fails, in milliseconds.
-fn lost(placed: &Placed, now: Now) -> u64 {
-    match placed.stage {
-        Stage::Running { since } => now.saturating_sub(since).as_millis() as u64,
+fn unsaved_work_ms(attempt: &Attempt, now: Now) -> u64 {
+    match attempt.state {
+        AttemptState::Running { since } => now.saturating_sub(since).as_millis() as u64,
         _ => 0,
     }
 }
--- a/crates/cell/src/rack/quick_requests.rs
+++ b/crates/cell/src/rack/quick_requests.rs
@@ -11,7 +11,7 @@
 use crate::worker_state::WorkerState;
 
 /// Share of its time left that a request may expect to wait; the rest is for its run.
-const PATIENCE: f64 = 0.8;
+const MAX_WAIT_SHARE: f64 = 0.8;
 
 /// Attempts that one epoch can number; with the epoch above them no two owners give the same.
 const ATTEMPT_BITS: u32 = 32;
@@ -32,19 +32,19 @@
             let reason = "the rack's owner can't prove yet that it is the only one";
             return Err(Fault::new(Kind::NoAuthority, reason));
         }
-        let slots = self.open_slots(now);
+        let slots = self.available_slots(now);
         if slots == 0 {
             return Err(Fault::new(
                 Kind::NoWorker,
                 "no worker of the rack takes work",
             ));
         }
-        let wait = self.quick.wait(slots);
-        let patience = expires.saturating_sub(now).mul_f64(PATIENCE);
-        if self.quick.len() >= self.settings.max_queued || wait > patience {
-            return Err(Fault::new(Kind::Busy, "the rack is busy").after(comeback(wait)));
+        let wait = self.quick.expected_wait(slots);
+        let max_wait = expires.saturating_sub(now).mul_f64(MAX_WAIT_SHARE);
+        if self.quick.len() >= self.settings.max_queued || wait > max_wait {
+            return Err(Fault::new(Kind::Busy, "the rack is busy").after(retry_after(wait)));
         }
-        Ok(self.quick.enter(rank, key, expires))
+        Ok(self.quick.enqueue(rank, key, expires))
     }
 
     /// Takes a request out of the queue; `false` if it was started, or has left already.
@@ -60,7 +60,7 @@
         let Some(until) = self.authority.valid_until() else {
             return Next::Idle;
         };
-        let Some(worker) = self.idlest(now) else {
+        let Some(worker) = self.least_loaded_worker(now) else {
             return Next::Idle;
         };
         let Some((ticket, key, expires)) = self.quick.pop() else {
@@ -72,7 +72,7 @@
         let Some(host) = self.hosts.get_mut(&worker) else {
             return Next::Idle;
         };
-        Next::Start(begin(
+        Next::Start(start_run(
             host,
             worker,
             ticket,
@@ -84,26 +84,26 @@
     }
 
     /// A started request has ended, or is not waited for any more.
-    pub fn finish(&mut self, go: &QuickRun, over: RunOutcome, took: Duration, now: Now) {
+    pub fn finish(&mut self, run: &QuickRun, outcome: RunOutcome, took: Duration, now: Now) {
         // This owner has lost the rack since, and taken it again; the key may be worked on anew,
         // and must not be freed for a second run.
-        if go.epoch < self.since {
+        if run.epoch < self.known_since {
             return;
         }
         let host = self
             .hosts
-            .get_mut(&go.worker)
-            .filter(|h| h.incarnation == go.incarnation);
-        match over {
+            .get_mut(&run.worker)
+            .filter(|h| h.incarnation == run.incarnation);
+        match outcome {
             RunOutcome::Known { failed } => {
-                self.quick.release(&go.key, Some(took));
+                self.quick.release(&run.key, Some(took));
                 if let Some(host) = host {
                     host.running = host.running.saturating_sub(1);
                     host.record_outcome(failed, now);
                 }
             }
             RunOutcome::Refused => {
-                self.quick.release(&go.key, None);
+                self.quick.release(&run.key, None);
                 if let Some(host) = host {
                     host.running = host.running.saturating_sub(1);
                 }
@@ -112,10 +112,11 @@
                 // It may run on a worker that can't be asked. The key stays taken until the worker
                 // itself must have ended the run; otherwise the next request for the same key
                 // would work on it in a second place.
-                let until = go.start_deadline + max_run + margin(max_run);
-                self.quick.block(&go.key, until);
+                let until = run.start_deadline + max_run + drift_allowance(max_run);
+                self.quick.block_key(&run.key, until);
                 if let Some(host) = host {
-                    self.lapses.push((until, go.worker.clone(), go.incarnation));
+                    self.unresolved_runs
+                        .push((until, run.worker.clone(), run.incarnation));
                     host.record_outcome(true, now);
                 }
             }
@@ -123,10 +124,10 @@
     }
 
     /// Frees slots and keys of runs that must be over by now.
-    pub(super) fn lapse(&mut self, now: Now) {
-        self.quick.tick(now);
+    pub(super) fn free_expired_runs(&mut self, now: Now) {
+        self.quick.unblock_expired(now);
         let due: Vec<_> = self
-            .lapses
+            .unresolved_runs
             .extract_if(.., |(until, ..)| *until <= now)
             .collect();
         for (_, worker, incarnation) in due {
@@ -140,7 +141,7 @@
         }
     }
 
-    fn open_slots(&self, now: Now) -> u32 {
+    fn available_slots(&self, now: Now) -> u32 {
         self.hosts
             .values()
             .filter(|h| h.accepts_work(now))
@@ -149,7 +150,7 @@
     }
 
     /// The worker with the smallest share of its slots taken.
-    fn idlest(&self, now: Now) -> Option<id::Worker> {
+    fn least_loaded_worker(&self, now: Now) -> Option<id::Worker> {
         let free = self
             .hosts
             .iter()
@@ -160,7 +161,7 @@
     }
 }
 
-fn begin(
+fn start_run(
     host: &mut WorkerState,
     worker: id::Worker,
     ticket: Ticket,
@@ -185,11 +186,11 @@
 }
 
 /// Allowance for drifting clocks over one run.
-fn margin(run: Duration) -> Duration {
+fn drift_allowance(run: Duration) -> Duration {
     run / 50 + Duration::from_millis(20)
 }
 
 /// When it makes sense to come back: once most of what waits now is done.
-fn comeback(wait: Duration) -> Duration {
+fn retry_after(wait: Duration) -> Duration {
     wait.max(Duration::from_millis(100))
 }
--- a/crates/cell/src/worker_state.rs
+++ b/crates/cell/src/worker_state.rs
@@ -10,10 +10,10 @@
 use crate::{Clock, Now};
 
 /// A worker that was given up on gets one piece of work after this long, to see if it is well.
-const PROBE_AFTER: Duration = Duration::from_secs(20);
+const PROBE_DELAY: Duration = Duration::from_secs(20);
 /// Evidence at which a worker is given up on: four failures in a row, or a few more if some work
 /// succeeds between them; see "Bad workers" in `docs/DESIGN.md`.
-const EVIDENCE: f64 = 12.0;
+const FAILURE_THRESHOLD: f64 = 12.0;
 
 /// Whether a worker gets work.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -79,7 +79,7 @@
             last_answer: sent,
             leases_renewed: received,
             forget: Vec::new(),
-            failure_detector: Cusum::new(EVIDENCE),
+            failure_detector: Cusum::new(FAILURE_THRESHOLD),
         }
     }
 
@@ -109,12 +109,12 @@
     pub fn record_outcome(&mut self, failed: bool, now: Now) {
         let broken = self.failure_detector.record(failed);
         self.trust = match (self.trust, failed) {
-            (Trust::Probing, true) => Trust::Suspect(now + PROBE_AFTER),
+            (Trust::Probing, true) => Trust::Suspect(now + PROBE_DELAY),
             (Trust::Probing, false) => {
                 self.failure_detector.reset();
                 Trust::Trusted
             }
-            (Trust::Trusted, _) if broken => Trust::Suspect(now + PROBE_AFTER),
+            (Trust::Trusted, _) if broken => Trust::Suspect(now + PROBE_DELAY),
             (trust, _) => trust,
         };
     }
--- a/crates/worker/src/client.rs
+++ b/crates/worker/src/client.rs
@@ -63,8 +63,8 @@
         self.call(address, "adopt", &adopt, CALL_TIMEOUT).await
     }
 
-    async fn heartbeat(&self, address: &str, pulse: Heartbeat) -> Result<Report, Error> {
-        self.call(address, "pulse", &pulse, CALL_TIMEOUT).await
+    async fn heartbeat(&self, address: &str, heartbeat: Heartbeat) -> Result<Report, Error> {
+        self.call(address, "pulse", &heartbeat, CALL_TIMEOUT).await
     }
 
     async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<RunResult, Error> {
--- a/crates/worker/src/worker_api.rs
+++ b/crates/worker/src/worker_api.rs
@@ -18,7 +18,7 @@
     /// Takes it over.
     async fn adopt(&self, address: &str, adopt: Adopt) -> Result<Adopted, Error>;
     /// Renews its leases and reads its state.
-    async fn heartbeat(&self, address: &str, pulse: Heartbeat) -> Result<Report, Error>;
+    async fn heartbeat(&self, address: &str, heartbeat: Heartbeat) -> Result<Report, Error>;
     /// Runs a quick request and waits for the whole answer, at most `limit`.
     async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<RunResult, Error>;
     /// Makes sure that an attempt does not run (any more).
