--- a/crates/cell/src/attempt.rs
+++ b/crates/cell/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one task, as the owner of its rack knows it.
+//! One attempt to run a task, as seen by the owner of its rack.
 
 use resource::{Size, id};
 use wire::{Fate, Task, TaskId};
@@ -6,71 +6,71 @@
 
 use crate::Now;
 
-/// What is to be said to a worker.
+/// A command to be sent to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Start a task.
+    /// Starts a task.
     Start {
-        /// The worker's address.
+        /// Address of the worker, `ip:port`.
         address: String,
         /// The message.
         start: Start,
     },
-    /// Stop a task.
+    /// Stops a task.
     Stop {
-        /// The worker's address.
+        /// Address of the worker, `ip:port`.
         address: String,
         /// The message.
         stop: Stop,
     },
-    /// Slow a task down to what it declared.
+    /// Throttles a task to its declared size.
     Throttle {
-        /// The worker's address.
+        /// Address of the worker, `ip:port`.
         address: String,
         /// The message.
         throttle: Throttle,
     },
 }
 
-/// What came of a command.
+/// Outcome of a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// The worker did it; work saved by a stop, in milliseconds.
+    /// The worker carried it out.
     Done {
-        /// Work saved, in milliseconds.
+        /// Work saved by a stop, in milliseconds.
         saved_ms: u64,
     },
-    /// It certainly had no effect.
+    /// The command certainly had no effect.
     Refused,
-    /// It may have had its effect; the next heartbeats tell.
+    /// The command may have had an effect; later heartbeats show whether it did.
     Unknown,
 }
 
-/// How far an attempt has come.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AttemptState {
-    /// Room is kept for a gang that is not complete yet.
+    /// Capacity is held for a gang that is not complete yet.
     Held { until: Now },
-    /// Room is being made by stopping others.
+    /// Waits until other tasks have been stopped to free capacity.
     Awaiting { until: Now },
-    /// The worker was told; it may start until this moment of its own.
+    /// A start command was sent; the worker may start it until `not_after`, by the worker's clock.
     Starting { not_after: Moment, sent: Now },
-    /// It runs.
+    /// It is running.
     Running { since: Now },
-    /// The worker was told to stop it.
+    /// A stop command was sent.
     Stopping { since: Now, preempted: bool },
 }
 
-/// One attempt, on one worker.
+/// One attempt to run a task on one worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) task: Task,
     pub(crate) worker: id::Worker,
-    /// What is set aside for it.
+    /// Capacity that is reserved for it.
     pub(crate) reserved: Size,
-    /// The most that it was seen to use.
+    /// Highest usage reported so far.
     pub(crate) peak: Size,
-    /// Reports that its peak was seen in.
+    /// Number of usage reports that `peak` is based on.
     pub(crate) usage_reports: u32,
     pub(crate) state: AttemptState,
 }
@@ -88,18 +88,17 @@
         }
     }
 
-    /// Whether it may be on its worker, or is promised its room there.
+    /// Whether it may be running on its worker, or has capacity held for it there.
     pub(crate) const fn occupies(&self) -> bool {
         !matches!(self.state, AttemptState::Awaiting { .. })
     }
 
-    /// The attempt's name.
     pub(crate) const fn id(&self) -> &TaskId {
         &self.task.id
     }
 }
 
-/// The fate that follows from how a stop was asked for.
+/// The fate of an attempt that ended after a stop command.
 pub(crate) const fn fate_of_stop(preempted: bool, saved_ms: u64) -> Fate {
     if preempted {
         Fate::Preempted { saved_ms }
--- a/crates/cell/src/clock.rs
+++ b/crates/cell/src/clock.rs
@@ -1,4 +1,4 @@
-//! A worker's time as its owner knows it.
+//! A worker's clock as seen by the owner of its rack.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 
 use crate::Now;
 
-/// Two clocks may drift apart by this share; workers and owners are watched by the platform's
-/// time service, which holds them far closer.
+/// Two clocks may drift apart by one part in this many, i.e. 1 %. The platform's time service keeps
+/// the clocks of workers and owners far closer than that.
 const DRIFT_DIVISOR: u32 = 100;
 
-/// Ties a worker's own moments to the owner's time, from one reply.
+/// Maps between a worker's clock and the owner's clock, based on one reply.
 ///
-/// The reply was written somewhere between `sent` and `received`. Every conversion takes the end
-/// of that span which makes the owner promise less.
+/// The worker wrote the reply at some time between `sent` and `received`. Each conversion assumes
+/// the end of that interval that is the safe one for the owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Clock {
     moment: Moment,
@@ -22,7 +22,7 @@
 }
 
 impl Clock {
-    /// The worker said that its time was `moment`, in reply to a call made at `sent`.
+    /// The worker reported the time `moment` in reply to a call made at `sent`.
     #[must_use]
     pub const fn new(moment: Moment, sent: Now, received: Now) -> Self {
         Self {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A moment of the worker that certainly comes no later than `time`.
+    /// A lower bound on the worker's clock at `time`.
     ///
     /// ```
     /// use cell::Clock;
@@ -49,7 +49,7 @@
         self.moment + ahead.as_millis() as Moment
     }
 
-    /// A time that certainly comes no earlier than the worker's `moment`.
+    /// An upper bound on the time at which the worker's clock shows `moment`.
     #[must_use]
     pub fn latest_time(&self, moment: Moment) -> Now {
         let ahead = Duration::from_millis(moment.saturating_sub(self.moment));
--- a/crates/cell/src/fence.rs
+++ b/crates/cell/src/fence.rs
@@ -1,18 +1,19 @@
-//! The proof that an owner is still the owner, and when a new one may begin.
+//! The proof that an owner still owns its rack, and the delay before a new owner may act.
 //!
-//! Two owners of one rack must never both start work on the same key. Epochs come from the table
-//! and rise, and each worker obeys the highest that has adopted it. That leaves the workers that
-//! a new owner can't reach: an old owner that still reaches them would go on there. So
+//! Two owners of one rack must never both start work on the same key. The table hands out
+//! increasing epochs, and each worker obeys the highest epoch that has adopted it. This does not
+//! cover the workers that a new owner can't reach: an old owner that still reaches them would
+//! continue to start work there. Therefore
 //!
 //! * an owner acts only while a **majority** of the rack's workers has acknowledged its epoch
-//!   within [`AUTHORITY_VALIDITY`], counted from when it asked ([`Authority`]);
-//! * a new owner acts at once if it has fenced every worker, and otherwise once it has fenced a
-//!   majority and then waited until the old one's proof and its last run have expired
+//!   within the last [`AUTHORITY_VALIDITY`], counted from when it sent the call ([`Authority`]);
+//! * a new owner acts at once if it has fenced every worker; otherwise it fences a majority and
+//!   then waits until the old owner's proof and the last run started under it have expired
 //!   ([`Takeover`]).
 //!
-//! Any two majorities share a worker, so the old owner's proof can't be renewed after the new
-//! owner has fenced one. The table is not needed to go on, only to change hands: an outage of the
-//! table stops no owner.
+//! Any two majorities share a worker, so the old owner can't renew its proof after the new owner
+//! has fenced a majority. The table is needed only to change owners, so an outage of the table
+//! stops no owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -21,22 +22,22 @@
 
 use crate::Now;
 
-/// How long one round of acknowledgements lets an owner act.
+/// How long an owner may act after a majority has acknowledged its epoch.
 pub const AUTHORITY_VALIDITY: Duration = Duration::from_millis(2_000);
 
-/// Allowance for the drift between two hosts' clocks over [`Takeover::MAX_DELAY`].
+/// Allowance for the drift between the clocks of two hosts over [`Takeover::MAX_DELAY`].
 const DRIFT_ALLOWANCE: Duration = Duration::from_millis(100);
 
-/// The workers that decide about a rack.
+/// The workers whose acknowledgements count towards the majority of a rack.
 pub type Roster = BTreeSet<id::Worker>;
 
-/// How many of `n` workers are more than half.
+/// The smallest number of workers that is more than half of `n`.
 #[must_use]
 pub const fn majority(n: usize) -> usize {
     n / 2 + 1
 }
 
-/// An owner's proof that it is still the owner.
+/// An owner's proof that it still owns its rack.
 ///
 /// ```
 /// use cell::fence::{AUTHORITY_VALIDITY, Authority};
@@ -57,7 +58,7 @@
 }
 
 impl Authority {
-    /// The proof of an owner whose rack has these workers; nothing is proved yet.
+    /// A proof over this roster, without any acknowledgement yet.
     #[must_use]
     pub const fn new(roster: Roster) -> Self {
         Self {
@@ -66,13 +67,13 @@
         }
     }
 
-    /// The workers that count.
+    /// The workers whose acknowledgements count.
     #[must_use]
     pub const fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// A worker has acknowledged the epoch, in reply to a call made at `sent`.
+    /// Records that a worker has acknowledged the epoch in reply to a call made at `sent`.
     pub fn acknowledge(&mut self, worker: &str, sent: Now) {
         if !self.roster.contains(worker) {
             return;
@@ -81,12 +82,12 @@
         *latest = sent.max(*latest);
     }
 
-    /// A worker has lost its memory; what it acknowledged counts no more.
+    /// Drops the acknowledgement of a worker that has lost its state.
     pub fn revoke(&mut self, worker: &str) {
         self.acknowledged.remove(worker);
     }
 
-    /// Until when the owner may act; `None` if no majority has acknowledged it.
+    /// The time until which the owner may act; `None` if no majority has acknowledged its epoch.
     #[must_use]
     pub fn valid_until(&self) -> Option<Now> {
         let mut acknowledged: Vec<Now> = self.acknowledged.values().copied().collect();
@@ -95,14 +96,14 @@
         Some(*nth + AUTHORITY_VALIDITY)
     }
 
-    /// Whether the owner may act now.
+    /// Whether the owner may act at `now`.
     #[must_use]
     pub fn is_valid(&self, now: Now) -> bool {
         self.valid_until().is_some_and(|until| now < until)
     }
 }
 
-/// A new owner's way to its first action.
+/// Progress of a new owner towards its first action.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Takeover {
     rosters: Vec<Roster>,
@@ -111,7 +112,7 @@
 }
 
 impl Takeover {
-    /// Time from fencing a majority to the first action: by then the old owner's proof has
+    /// Delay between fencing a majority and the first action. After it the old owner's proof has
     /// expired, and so has every run that it started on a worker that was not fenced.
     pub const MAX_DELAY: Duration = AUTHORITY_VALIDITY
         .saturating_add(config::MAX_RUN)
@@ -127,7 +128,7 @@
         }
     }
 
-    /// A worker obeys the new epoch, or exists no more.
+    /// Records that a worker obeys the new epoch or no longer exists.
     pub fn fence(&mut self, worker: &str, now: Now) {
         self.fenced.insert(worker.to_owned());
         let enough = |r: &Roster| r.is_empty() || self.fenced_count(r) >= majority(r.len());
@@ -136,13 +137,13 @@
         }
     }
 
-    /// Whether a worker obeys the new epoch.
+    /// Whether a worker is known to obey the new epoch, or to be gone.
     #[must_use]
     pub fn has_fenced(&self, worker: &str) -> bool {
         self.fenced.contains(worker)
     }
 
-    /// Whether the new owner may act.
+    /// Whether the new owner may act at `now`.
     #[must_use]
     pub fn ready(&self, now: Now) -> bool {
         let all = self.rosters.iter().all(|r| self.fenced_count(r) == r.len());
@@ -151,8 +152,9 @@
             .is_some_and(|at| now >= at + Self::MAX_DELAY)
     }
 
-    /// Whether no task can run that the new owner has not seen: every worker was fenced, or the
-    /// old owner's last heartbeat has expired, and with it every task lease that it renewed.
+    /// Whether the new owner has seen every task that can still be running: either every worker was
+    /// fenced, or the old owner's last heartbeat has expired, and with it every task lease that the
+    /// heartbeat renewed.
     #[must_use]
     pub fn knows_all_tasks(&self, now: Now) -> bool {
         let all = self.rosters.iter().all(|r| self.fenced_count(r) == r.len());
--- a/crates/cell/src/job_scheduler.rs
+++ b/crates/cell/src/job_scheduler.rs
@@ -1,8 +1,9 @@
-//! The jobs at home in one rack, as the rack's owner looks after them.
+//! Scheduling of the jobs whose home is one rack, done by the rack's owner.
 //!
-//! All jobs of a team are at home in one rack, so one owner knows what the team uses and its quota
-//! is exact. What must last is in the job's row ([`SavedJob`]); which task runs where is not stored:
-//! a new owner asks the owners of all racks ([`JobScheduler::apply_inventory`]).
+//! All jobs of a team have the same home rack, so a single owner knows what the team uses and
+//! enforces its quota exactly. The durable state of a job is in its row ([`SavedJob`]). Which task
+//! runs where is not stored: a new owner asks the owners of all racks
+//! ([`JobScheduler::apply_inventory`]).
 
 mod digests;
 mod job;
@@ -22,13 +23,14 @@
 use crate::Now;
 use job::{TaskState, TrackedJob};
 
-/// A task whose order was not answered, or whose rack has a new owner, is asked after this often.
+/// How often a rack is asked for its inventory while it is unknown what it holds, because an order
+/// was not answered or the rack has a new owner.
 const INVENTORY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Team and job.
 type JobKey = (id::Team, id::Job);
 
-/// The jobs at home in one rack.
+/// The jobs whose home is one rack.
 #[derive(Debug)]
 pub struct JobScheduler {
     home: id::Rack,
@@ -37,15 +39,15 @@
     arrivals: u64,
     attempts: u64,
     serial: u64,
-    /// Racks whose holdings are not known for sure, and since when.
+    /// Racks of which it is unknown what they hold, and when each was last asked.
     unknown_racks: BTreeMap<id::Rack, Now>,
     dirty: BTreeSet<JobKey>,
-    /// Jobs with waiting tasks, in no particular order.
+    /// Jobs with waiting tasks; jobs without any are removed by the next scheduling pass.
     waiting: BTreeSet<JobKey>,
 }
 
 impl JobScheduler {
-    /// A desk without jobs.
+    /// A scheduler without jobs.
     #[must_use]
     pub const fn new(home: id::Rack, epoch: id::Epoch) -> Self {
         Self {
@@ -61,8 +63,8 @@
         }
     }
 
-    /// Takes the jobs of an earlier owner, from their rows. What runs where is not known until
-    /// every rack was asked.
+    /// Loads the jobs of an earlier owner from their rows. Which of their tasks run where is
+    /// unknown until every rack has been asked.
     pub fn recover(&mut self, saved: impl IntoIterator<Item = SavedJob>, cell: &Cell, now: Now) {
         for saved in saved {
             let name = (saved.job.team.clone(), saved.job.id.clone());
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Takes a new job, whose row was written.
+    /// Adds a new job whose row has been written.
     pub fn submit(&mut self, job: Job) -> State {
         let name = (job.team.clone(), job.id.clone());
         self.arrivals += 1;
@@ -89,10 +91,10 @@
         state
     }
 
-    /// A job that is here already; it must be the same.
+    /// Looks up a job that may have been submitted before.
     ///
     /// # Errors
-    /// [`Kind::Conflict`] if another job has this name.
+    /// [`Kind::Conflict`] if a different job has this id.
     pub fn find(&self, job: &Job) -> Result<Option<State>, Fault> {
         match self.jobs.get(&(job.team.clone(), job.id.clone())) {
             None => Ok(None),
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Where a job stands.
+    /// Current state of a job.
     #[must_use]
     pub fn state(&self, team: &str, job: &str) -> Option<State> {
         self.jobs
@@ -109,7 +111,8 @@
             .map(TrackedJob::state)
     }
 
-    /// Withdraws a job: nothing more of it starts. Tells the racks where some of it still runs.
+    /// Cancels a job, so that none of its tasks is started any more. Returns its state and the
+    /// racks on which some of its tasks still run.
     pub fn cancel(&mut self, team: &str, job: &str) -> Option<(State, Vec<id::Rack>)> {
         let name = (team.to_owned(), job.to_owned());
         let tracked = self.jobs.get_mut(&name)?;
@@ -121,7 +124,7 @@
         Some((tracked.state(), tracked.racks()))
     }
 
-    /// Racks on which something runs of jobs that are over, with team and job.
+    /// Racks on which tasks of ended jobs still run, with team and job.
     #[must_use]
     pub fn running_tasks_of_ended_jobs(&self) -> Vec<(id::Rack, id::Team, id::Job)> {
         let over = self.jobs.values().filter(|w| w.phase.is_over());
@@ -134,7 +137,7 @@
         over.flat_map(place).collect()
     }
 
-    /// The owner of a rack has answered an order.
+    /// Applies the reply of a rack's owner to an order.
     pub fn order_answered(&mut self, order: &wire::Order, reply: &Placed) {
         for (task, placement) in order.tasks.iter().zip(&reply.placements) {
             if *placement == Placement::Placed {
@@ -150,14 +153,14 @@
         }
     }
 
-    /// An order was not answered, or a rack has a new owner: what it holds is not known.
+    /// Marks a rack as unknown, because an order was not answered or the rack has a new owner.
     pub fn mark_unknown(&mut self, rack: &str, now: Now) {
         self.unknown_racks
             .entry(rack.to_owned())
             .or_insert(now.saturating_sub(INVENTORY_INTERVAL));
     }
 
-    /// Whether some rack is to be asked what it holds now.
+    /// Whether any rack is due to be asked for its inventory; if so, it counts as asked at `now`.
     pub fn inventory_due(&mut self, now: Now) -> bool {
         let mut due = false;
         for asked in self.unknown_racks.values_mut() {
@@ -169,7 +172,7 @@
         due
     }
 
-    /// A rack has said what it holds.
+    /// Applies the inventory that a rack's owner has sent.
     pub fn apply_inventory(&mut self, inventory: &Inventory) {
         if !self.unknown_racks.contains_key(&inventory.rack) {
             return;
@@ -207,7 +210,7 @@
         }
     }
 
-    /// The owner of a rack says what became of an attempt.
+    /// Applies an event of an attempt that a rack's owner has reported.
     pub fn apply_event(&mut self, event: &Event) {
         let id = &event.task;
         let name = (id.team.clone(), id.job.clone());
@@ -227,8 +230,8 @@
         }
     }
 
-    /// Gangs of which a member has ended before its work was done: the rest must be stopped, and
-    /// then all start anew.
+    /// Gangs of which a member has ended before its work was done. The remaining members must be
+    /// stopped before the whole gang is started again.
     pub fn gangs_to_restart(&mut self) -> Vec<(wire::Gang, Vec<id::Rack>)> {
         let broken = self
             .jobs
@@ -237,7 +240,7 @@
         broken.filter_map(TrackedJob::gang_to_stop).collect()
     }
 
-    /// Rows of jobs that have changed since the last call.
+    /// Rows of the jobs that have changed since the last call.
     pub fn take_unsaved(&mut self) -> Vec<SavedJob> {
         let names = std::mem::take(&mut self.dirty);
         names
@@ -247,14 +250,14 @@
             .collect()
     }
 
-    /// A row could not be written; it is tried again.
+    /// Marks a job as changed again after writing its row has failed.
     pub fn save_failed(&mut self, saved: &SavedJob) {
         self.dirty
             .insert((saved.job.team.clone(), saved.job.id.clone()));
     }
 
-    /// Forgets all but the last `keep` jobs that are over and have nothing left running; tells
-    /// whose rows can be deleted.
+    /// Removes all but the last `keep` jobs that have ended and have nothing running. Returns the
+    /// jobs whose rows can be deleted.
     pub fn remove_ended(&mut self, keep: usize) -> Vec<(id::Team, id::Job)> {
         let over = |w: &&TrackedJob| w.phase.is_over() && w.racks().is_empty();
         let mut done: Vec<(u64, JobKey)> = self
@@ -272,7 +275,7 @@
         names
     }
 
-    /// What each team at home here uses, and how many of its tasks wait.
+    /// Used capacity and number of waiting tasks of each team whose home is this rack.
     #[must_use]
     pub fn usage(&self) -> BTreeMap<id::Team, (Size, u32)> {
         let mut usage: BTreeMap<id::Team, (Size, u32)> = BTreeMap::new();
@@ -284,7 +287,7 @@
         usage
     }
 
-    /// The next message of this owner.
+    /// Identifies the next message of this owner.
     pub fn next_serial(&mut self) -> wire::Seniority {
         self.serial += 1;
         wire::Seniority {
@@ -294,7 +297,8 @@
         }
     }
 
-    /// The next attempt's number; no other owner of the home rack gives the same.
+    /// Number of the next attempt. The epoch is part of it, so that no other owner of the home rack
+    /// assigns the same number.
     fn next_attempt(&mut self) -> u64 {
         const ATTEMPT_BITS: u32 = 32;
         self.attempts += 1;
--- a/crates/cell/src/job_scheduler/digests.rs
+++ b/crates/cell/src/job_scheduler/digests.rs
@@ -1,4 +1,4 @@
-//! Room in all racks of a region, as far as it is known here.
+//! Capacity of all racks of a region, as last reported by their owners.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,21 @@
 use resource::{Size, id};
 use wire::{Band, Digest};
 
-/// Room in racks, learnt from their owners' digests.
+/// Capacity of racks, from their owners' digests.
 #[derive(Clone, Debug, Default)]
 pub struct Digests {
     worker_size: Size,
     index: Index,
     rack_of: Vec<id::Rack>,
     positions: BTreeMap<id::Rack, Vec<usize>>,
-    /// By rack, for each worker: what yields to urgent work, and what was lent.
+    /// For each worker of a rack: what urgent work may preempt there, and what of it is borrowed
+    /// and may be preempted by any work within its quota.
     preemptible: BTreeMap<id::Rack, Vec<(Size, Size)>>,
     epochs: BTreeMap<id::Rack, id::Epoch>,
 }
 
 impl Digests {
-    /// Nothing is known; full workers have `worker_size`.
+    /// Without any digest. An empty worker has the capacity `worker_size`.
     #[must_use]
     pub fn new(worker_size: Size) -> Self {
         Self {
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The owner of a rack has told its room.
+    /// Applies the digest of a rack's owner.
     pub fn update(&mut self, digest: &Digest) {
         let positions = self.positions.entry(digest.rack.clone()).or_default();
         while positions.len() < digest.free.len() {
@@ -54,13 +55,13 @@
             .insert(digest.rack.clone(), amounts.collect());
     }
 
-    /// Epoch of the owner that last told a rack's room.
+    /// Epoch of the owner that sent the last digest of a rack.
     #[must_use]
     pub fn epoch(&self, rack: &str) -> id::Epoch {
         self.epochs.get(rack).copied().unwrap_or_default()
     }
 
-    /// Nothing is known of a rack any more.
+    /// Forgets the capacity of a rack.
     pub fn remove(&mut self, rack: &str) {
         self.update(&Digest {
             rack: rack.to_owned(),
@@ -68,14 +69,16 @@
         });
     }
 
-    /// A rack with room for a task; the room counts as taken until the owner tells otherwise.
+    /// Chooses a rack that has capacity for a task. The capacity counts as used until the next
+    /// digest of that rack.
     pub fn reserve(&mut self, rule: Rule, size: Size) -> Option<&id::Rack> {
         let at = self.index.place(rule, size)?;
         self.index.reserve(at, size);
         self.rack_of.get(at)
     }
 
-    /// A rack where a task of this band would be made room for by others; the room counts as taken.
+    /// Chooses a rack where a task of this band fits once other tasks have been preempted. The
+    /// capacity counts as used until the next digest of that rack.
     pub fn reserve_preemptible(&mut self, size: Size, band: Band) -> Option<id::Rack> {
         for (rack, workers) in &mut self.preemptible {
             let positions = self.positions.get(rack)?;
@@ -84,7 +87,7 @@
                 let free = self
                     .index
                     .capacity(*position)
-                    .map_or(Size::ZERO, |room| room.free);
+                    .map_or(Size::ZERO, |capacity| capacity.free);
                 if yields == Size::ZERO || !size.fits(free.plus(yields)) {
                     continue;
                 }
@@ -98,7 +101,7 @@
         None
     }
 
-    /// All room together.
+    /// Total free capacity.
     #[must_use]
     pub fn free(&self) -> Size {
         (0..self.index.len())
--- a/crates/cell/src/job_scheduler/job.rs
+++ b/crates/cell/src/job_scheduler/job.rs
@@ -6,28 +6,28 @@
 use serde::{Deserialize, Serialize};
 use wire::{Band, Fate, Gang, Job, Phase, Shape, State};
 
-/// Failed attempts of one task after which the job is given up.
+/// A job fails after this many failed attempts per task, counted over all its tasks together.
 const MAX_FAILURES_PER_TASK: u32 = 8;
 
-/// What must last of a job: its row in the platform's table.
+/// Durable state of a job: its row in the platform's table.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SavedJob {
     /// The job.
     pub job: Job,
-    /// Where it stands.
+    /// Phase of the job.
     pub phase: Phase,
-    /// Finished tasks, as ranges: first and last.
+    /// Indices of finished tasks, as inclusive ranges.
     pub finished: Vec<(u32, u32)>,
-    /// Attempts that were lost, failed or given up for other work.
+    /// Number of attempts that were lost, failed or preempted.
     pub restarts: u32,
 }
 
 impl SavedJob {
-    /// Prefix of the rows of all jobs.
+    /// Prefix of the keys of these rows.
     pub const PREFIX: &str = "job/";
 
-    /// The row of a job that was just submitted.
+    /// The row of a new job.
     #[must_use]
     pub const fn new(job: Job) -> Self {
         Self {
@@ -45,14 +45,14 @@
     }
 }
 
-/// One task of a job.
+/// State of one task of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum TaskState {
-    /// An earlier owner may have placed it.
+    /// Unknown after a change of owner: an earlier owner may have placed it.
     Unknown,
-    /// It waits for room; work saved by an earlier attempt.
+    /// It waits for capacity; `saved_ms` is the work saved by an earlier attempt.
     Waiting { saved_ms: u64 },
-    /// It was given to a rack.
+    /// It was placed on a rack.
     Placed {
         rack: id::Rack,
         attempt: u64,
@@ -60,22 +60,22 @@
         running: bool,
         saved_ms: u64,
     },
-    /// Its work is done.
+    /// It has finished.
     Finished,
 }
 
-/// One job and its tasks.
+/// A job with the state of its tasks.
 #[derive(Debug)]
 pub(super) struct TrackedJob {
     pub(super) job: Job,
     pub(super) phase: Phase,
     pub(super) tasks: Vec<TaskState>,
-    /// Tasks that wait; may name some that do not wait any more.
+    /// Indices of waiting tasks; may contain tasks that no longer wait.
     pub(super) queue: VecDeque<u32>,
     pub(super) arrival: u64,
     failures: u32,
     restarts: u32,
-    /// Attempt of a gang that must be broken up.
+    /// Attempt of a gang whose remaining members must be stopped.
     broken_attempt: Option<u64>,
 }
 
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Racks that hold something of it.
+    /// Racks that hold tasks of this job.
     pub(super) fn racks(&self) -> Vec<id::Rack> {
         let rack = |p: &TaskState| match p {
             TaskState::Placed { rack, .. } => Some(rack.clone()),
@@ -159,7 +159,7 @@
         racks.into_iter().collect()
     }
 
-    /// What its tasks take.
+    /// Capacity that its placed tasks use.
     pub(super) fn used(&self) -> Size {
         let placed = self
             .tasks
@@ -169,12 +169,13 @@
         self.job.size.times(placed as u64)
     }
 
-    /// Whether some task waits and may be placed.
+    /// Whether any task waits and may be placed.
     pub(super) fn has_waiting_tasks(&self) -> bool {
         !self.phase.is_over() && !self.queue.is_empty()
     }
 
-    /// An attempt has no room after all; `true` if the task waits again.
+    /// Queues a task again that its rack could not place; `false` if the attempt is not the current
+    /// one.
     pub(super) fn return_to_queue(&mut self, index: u32, attempt: u64, saved_ms: u64) -> bool {
         if !self.is_current_attempt(index, attempt) {
             return false;
@@ -198,7 +199,8 @@
         }
     }
 
-    /// A rack holds this attempt; an earlier owner may have placed it.
+    /// Records that a rack holds this attempt of a task whose state was unknown; an earlier owner
+    /// placed it.
     pub(super) fn attempt_found(&mut self, index: u32, attempt: u64, rack: &str) {
         let band = match self.job.shape {
             Shape::Service => Band::Standing,
@@ -235,7 +237,7 @@
         }
     }
 
-    /// An attempt is over before its work was done.
+    /// Records that an attempt ended before its work was done, and queues the task again.
     pub(super) fn attempt_ended(&mut self, index: u32, attempt: u64, fate: Fate) {
         if !self.is_current_attempt(index, attempt) {
             return;
@@ -257,20 +259,20 @@
         }
     }
 
-    /// Attempts on this rack that it does not hold are over.
+    /// Ends the attempts that were placed on this rack but are not held there.
     pub(super) fn end_missing_attempts(
         &mut self,
         rack: &str,
         held: &impl Fn(u32, u64, &Job) -> bool,
     ) {
-        let gone = |(index, part): (u32, &TaskState)| match part {
+        let missing = |(index, part): (u32, &TaskState)| match part {
             TaskState::Placed {
                 rack: r, attempt, ..
             } if r == rack => (!held(index, *attempt, &self.job)).then_some((index, *attempt)),
             _ => None,
         };
-        let gone: Vec<(u32, u64)> = (0u32..).zip(&self.tasks).filter_map(gone).collect();
-        for (index, attempt) in gone {
+        let missing: Vec<(u32, u64)> = (0u32..).zip(&self.tasks).filter_map(missing).collect();
+        for (index, attempt) in missing {
             self.restarts += 1;
             self.requeue(index, 0);
             if self.job.shape == Shape::Gang {
@@ -279,7 +281,8 @@
         }
     }
 
-    /// Every rack was asked: what none of them holds does not run.
+    /// Queues the tasks whose state is still unknown after every rack was asked: no rack holds
+    /// them, so they don't run.
     pub(super) fn requeue_unknown_tasks(&mut self) {
         let unknown = (0u32..)
             .zip(&self.tasks)
@@ -297,7 +300,7 @@
         }
     }
 
-    /// For a gang that must be broken up: the attempt and the racks that hold the rest of it.
+    /// The attempt of a gang whose remaining members must be stopped, and the racks that hold them.
     pub(super) fn gang_to_stop(&mut self) -> Option<(Gang, Vec<id::Rack>)> {
         let attempt = self.broken_attempt.take()?;
         let racks = self.racks();
@@ -309,12 +312,12 @@
         Some((Gang { team, job, attempt }, racks))
     }
 
-    /// Whether a gang has members left of an attempt that failed.
+    /// Whether members of a failed attempt of a gang may still run.
     pub(super) const fn has_broken_gang(&self) -> bool {
         self.broken_attempt.is_some()
     }
 
-    /// Nothing is left of the attempt that failed.
+    /// Records that no member of the failed attempt is left.
     pub(super) const fn clear_broken_gang(&mut self) {
         self.broken_attempt = None;
     }
--- a/crates/cell/src/job_scheduler/schedule.rs
+++ b/crates/cell/src/job_scheduler/schedule.rs
@@ -1,4 +1,4 @@
-//! Which waiting tasks go to which rack now.
+//! Scheduling passes: which waiting tasks are sent to which rack.
 
 use std::collections::BTreeMap;
 
@@ -10,32 +10,35 @@
 use super::job::TaskState;
 use super::{Digests, JobKey, JobScheduler};
 
-/// Tasks that are placed in one round, at most, so that a round stays short.
+/// Maximum number of tasks placed in one pass, which keeps a pass short.
 const MAX_TASKS_PER_PASS: usize = 512;
-/// Jobs of one team that are looked at beyond the first that finds no room. Smaller ones behind
-/// it may use what it can't, but not for ever: see [`PATIENCE`].
+/// Number of jobs of one team that are still tried after the first that finds no capacity. Smaller
+/// ones may use capacity that is too small for it, but not indefinitely: see
+/// [`MAX_OVERTAKING_JOBS`].
 const MAX_SKIPPED_JOBS: usize = 16;
-/// Gangs that wait while this many later jobs have passed them keep later ones from passing.
+/// A job is overtaken once more than this many jobs have arrived after it. An overtaken gang keeps
+/// later jobs of its team from being placed before it.
 const MAX_OVERTAKING_JOBS: u64 = 64;
 
-/// Something to be done now.
+/// Orders that a scheduling pass has decided on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Dispatch {
-    /// Start tasks, each by itself.
+    /// Start each of these tasks independently.
     Start(Order),
-    /// Hold room on all these racks, in this order, then start all or let go of all.
+    /// Hold capacity on all these racks, in this order; then start the whole gang, or release all
+    /// of the holds.
     Gang {
         /// The gang.
         gang: Gang,
-        /// One order for each rack, in the order of their names: two gangs that take racks in the
-        /// same order can't wait for each other.
+        /// One order per rack, sorted by rack name: two gangs that take racks in the same order
+        /// can't deadlock.
         orders: Vec<Order>,
     },
 }
 
 impl JobScheduler {
-    /// Decides which waiting tasks go where: urgent work first, then services, then teams that use
-    /// least of their quota.
+    /// Runs one scheduling pass. Urgent work goes first, then services, then the teams that use the
+    /// smallest share of their quota.
     pub fn schedule(&mut self, cell: &Cell, digests: &mut Digests) -> Vec<Dispatch> {
         let mut used = self.usage();
         let mut orders: BTreeMap<id::Rack, Vec<Task>> = BTreeMap::new();
@@ -86,7 +89,7 @@
         dispatches
     }
 
-    /// Jobs with waiting tasks, in the order of their turns.
+    /// Jobs with waiting tasks, in the order in which they are tried.
     fn scheduling_order(
         &mut self,
         cell: &Cell,
@@ -109,8 +112,8 @@
                 (false, Shape::Service) => 1,
                 (false, Shape::Batch | Shape::Gang) => 2,
             };
-            // Large tasks first, since small ones fill the gaps that they leave; but what many
-            // have passed goes before all of them, or it would wait for ever.
+            // Large tasks go first, since small ones fill the gaps between them. A job that many
+            // others have overtaken goes before all of them, or it could wait indefinitely.
             let passed = self.arrivals > tracked.arrival + MAX_OVERTAKING_JOBS;
             let size = match class {
                 2 if by_size && passed => f64::INFINITY,
@@ -227,7 +230,7 @@
         Some(Dispatch::Gang { gang, orders })
     }
 
-    /// The band that one more task of a job would have; `None` if it must wait.
+    /// Band of one more task of a job; `None` if the task must wait.
     fn band(&self, name: &JobKey, cell: &Cell, used: Size) -> Option<Band> {
         let job = &self.jobs.get(name)?.job;
         let standing = quota(cell, &name.0, used).status_with(job.size);
@@ -236,8 +239,8 @@
             (QuotaStatus::Within, Shape::Service) => Some(Band::Standing),
             (QuotaStatus::Within, _) => Some(Band::Normal),
             (QuotaStatus::Borrowing, Shape::Batch) => Some(Band::Borrowed),
-            // Services are never stopped for others, so they can't be given what may be asked
-            // back.
+            // Services are never preempted, so they can't run on borrowed capacity, which may be
+            // reclaimed.
             (QuotaStatus::Borrowing | QuotaStatus::Exceeded, _) => None,
         }
     }
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -1,11 +1,12 @@
-//! What owners know and the rules by which it changes; no I/O, no clocks.
+//! State of rack owners and the rules by which it changes; without I/O and clocks.
 //!
 //! * [`Ownership`]: the life cycle of owning a rack.
-//! * [`fence`]: the proof that an owner is still the owner, and when a new one may begin.
+//! * [`fence`]: the proof that an owner still owns its rack, and the delay before a new owner may
+//!   act.
 //! * [`Record`]: a rack's row in the platform's table.
 //! * [`Rack`]: workers, quick requests and tasks of one rack.
-//! * [`JobScheduler`]: the jobs at home in one rack.
-//! * [`Clock`]: a worker's time as its owner knows it.
+//! * [`JobScheduler`]: the jobs whose home is one rack.
+//! * [`Clock`]: a worker's clock as seen by its owner.
 
 mod attempt;
 mod clock;
@@ -26,5 +27,5 @@
 pub use record::Record;
 pub use worker_state::{Trust, WorkerState};
 
-/// Time since the process began; passed in, so that tests decide what time it is.
+/// Time since the process began. It is passed in, so that tests control it.
 pub type Now = std::time::Duration;
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -10,46 +10,47 @@
 use statig::blocking::StateMachine;
 use statig::prelude::*;
 
-/// What happens to an owner.
+/// An event in the life cycle of an owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// This process should own the rack.
     Assigned,
-    /// The workers' present lives are known.
+    /// The current incarnations of the workers are known.
     Greeted,
-    /// The table has given the rack to this process.
+    /// The table has recorded this process as the owner under this epoch.
     Taken(id::Epoch),
-    /// The table has refused, or can't be asked.
+    /// The table has rejected the change of owner, or can't be reached.
     Refused,
-    /// No earlier owner can act any more.
+    /// No earlier owner can act any longer.
     Ready,
-    /// Another owner has the rack.
+    /// Another process owns the rack.
     Deposed,
     /// Another process should own the rack.
     Unassigned,
-    /// Nothing is in hand any more, and the row says so.
+    /// No work is in progress any more, and the rack's row shows no owner.
     Released,
 }
 
-/// Where a process stands towards a rack.
+/// Stage of the life cycle in which a process is for one rack.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stage {
     /// It is not the owner.
     Watching,
-    /// It asks the workers for their present lives, before it takes the rack: a life that is seen
-    /// before the table has confirmed ownership can't have been adopted by a later owner.
+    /// It asks the workers for their current incarnations before it takes the rack: an incarnation
+    /// that is seen before the table has confirmed ownership can't have been adopted by a later
+    /// owner.
     Greeting,
     /// It has asked the table for the rack.
     Taking,
-    /// It is the owner; earlier ones may still act.
+    /// It is the owner, but earlier owners may still act.
     Fencing,
     /// It is the owner, and the only one that can act.
     Active,
-    /// It takes nothing new, and lets go once nothing is in hand.
+    /// It accepts no new work, and gives up ownership once no work is in progress.
     Releasing,
 }
 
-/// Where this process stands towards one rack, and what it does next.
+/// State machine for the ownership of one rack by this process.
 ///
 /// ```
 /// use cell::{Event, Ownership, Stage};
@@ -68,7 +69,7 @@
 }
 
 impl Ownership {
-    /// A process that watches a rack.
+    /// A process that does not own the rack.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -76,12 +77,12 @@
         }
     }
 
-    /// Takes note of an event; one that has no place in the present stage changes nothing.
+    /// Applies an event. An event that is not expected in the current stage changes nothing.
     pub fn handle(&mut self, event: &Event) {
         self.machine.handle(event);
     }
 
-    /// The present stage.
+    /// The current stage.
     #[must_use]
     pub fn stage(&self) -> Stage {
         match self.machine.state() {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// The epoch under which the rack was last taken; 0 if it never was.
+    /// The epoch under which this process last took the rack; 0 if it never did.
     #[must_use]
     pub fn epoch(&self) -> id::Epoch {
         self.machine.inner().epoch
@@ -154,7 +155,7 @@
     #[state(superstate = "owning")]
     fn active(event: &Event) -> Outcome<State> {
         match event {
-            // The same owner takes its rack again to change the roster.
+            // The owner takes its own rack again to change the roster.
             Event::Assigned => Transition(State::greeting()),
             _ => Super,
         }
--- a/crates/cell/src/quick_queue.rs
+++ b/crates/cell/src/quick_queue.rs
@@ -1,4 +1,4 @@
-//! Quick requests of one rack: who waits, and which keys are worked on.
+//! Queue of the quick requests of one rack, and the keys that are in use.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -9,64 +9,64 @@
 
 use crate::Now;
 
-/// Names a waiting request within its rack.
+/// Identifies a waiting request within its rack.
 pub type Ticket = u64;
 
-/// What to do next.
+/// Result of asking for the next request to start.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
     /// Start this request.
     Start(QuickRun),
-    /// Nothing can start now.
+    /// No request can start now.
     Idle,
 }
 
-/// A request that has a worker and its key to itself.
+/// A request that has been given a worker and exclusive use of its key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuickRun {
-    /// The request.
+    /// Ticket of the request.
     pub ticket: Ticket,
     /// Service and key.
     pub key: String,
-    /// The worker.
+    /// Name of the worker.
     pub worker: id::Worker,
-    /// The worker's life.
+    /// Incarnation of the worker.
     pub incarnation: id::Incarnation,
-    /// The worker's address.
+    /// Address of the worker, `ip:port`.
     pub address: String,
-    /// The epoch to say.
+    /// Epoch to send with the request.
     pub epoch: id::Epoch,
-    /// Number of the attempt; rises within the epoch.
+    /// Number of the attempt; increases within an epoch.
     pub attempt: u64,
-    /// Last moment, by the worker's time, at which it may start.
+    /// Latest moment, by the worker's clock, at which it may start.
     pub not_after: Moment,
-    /// The same by the owner's time, on the late side.
+    /// Upper bound on that moment, by the owner's clock.
     pub start_deadline: Now,
 }
 
 /// How a started request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RunOutcome {
-    /// It is certainly over; whether the worker failed it.
+    /// The run is certainly over.
     Known {
         /// Whether the worker failed it.
         failed: bool,
     },
-    /// It was turned away before it started.
+    /// The worker rejected it before it started.
     Refused,
-    /// It may still run, at most this long after its latest start.
+    /// It may still be running, for at most `max_run` after its start deadline.
     Unknown {
-        /// Longest run.
+        /// Longest time that the run can take.
         max_run: Duration,
     },
 }
 
-/// Weight of one run in the usual run time.
+/// Weight of one run in the moving average of run times.
 const RUN_TIME_WEIGHT: f64 = 0.05;
-/// Usual run time before any was seen, in seconds.
+/// Assumed mean run time before the first run, in seconds.
 const INITIAL_RUN_SECS: f64 = 0.010;
 
-/// The waiting requests, by rank and age, and the keys that are worked on.
+/// The waiting requests, ordered by rank and age, and the keys that are in use.
 #[derive(Debug)]
 pub(crate) struct QuickQueue {
     ready: BTreeSet<(Reverse<u8>, Ticket)>,
@@ -83,10 +83,10 @@
     expires: Now,
 }
 
-/// Who works on a key, and who waits for it.
+/// The requests that wait for a key that is in use.
 #[derive(Debug, Default)]
 struct KeyState {
-    /// Set if it is not known who: free at this time.
+    /// Set if it is not known whether the key is still in use: when it certainly is free.
     blocked_until: Option<Now>,
     waiters: VecDeque<Ticket>,
 }
@@ -109,7 +109,7 @@
         self.waiting.len()
     }
 
-    /// How long a new request would wait if `slots` run at once.
+    /// How long a new request is expected to wait if `slots` requests run at once.
     pub(crate) fn expected_wait(&self, slots: u32) -> Duration {
         let ahead = self.waiting.len() as f64;
         Duration::from_secs_f64(ahead * self.mean_run_secs / f64::from(slots.max(1)))
@@ -127,7 +127,7 @@
         self.last_ticket
     }
 
-    /// Takes a request out; `false` if it does not wait any more.
+    /// Removes a request from the queue; `false` if it no longer waits.
     pub(crate) fn withdraw(&mut self, ticket: Ticket) -> bool {
         let Some(waiting) = self.waiting.remove(&ticket) else {
             return false;
@@ -139,7 +139,8 @@
         true
     }
 
-    /// The first request whose key is free, with its key and deadline; the key is taken.
+    /// Removes the first request whose key is free and marks the key as in use. Returns the ticket,
+    /// the key and the time at which the request expires.
     pub(crate) fn pop(&mut self) -> Option<(Ticket, String, Now)> {
         while let Some(first) = self.ready.pop_first() {
             let ticket = first.1;
@@ -157,7 +158,7 @@
         None
     }
 
-    /// A run on this key has ended after `took`, if that is known.
+    /// Frees a key after its run has ended; `took` is the run time, if known.
     pub(crate) fn release(&mut self, key: &str, took: Option<Duration>) {
         if let Some(took) = took {
             self.mean_run_secs += RUN_TIME_WEIGHT * (took.as_secs_f64() - self.mean_run_secs);
@@ -172,13 +173,13 @@
         }
     }
 
-    /// Something may work on this key until then.
+    /// Marks a key as possibly in use until `until`.
     pub(crate) fn block_key(&mut self, key: &str, until: Now) {
         let state = self.keys.entry(key.to_owned()).or_default();
         state.blocked_until = Some(state.blocked_until.map_or(until, |u| u.max(until)));
     }
 
-    /// Frees keys whose time has come.
+    /// Frees the keys that were blocked until `now` or earlier.
     pub(crate) fn unblock_expired(&mut self, now: Now) {
         let due = |h: &KeyState| h.blocked_until.is_some_and(|until| until <= now);
         let due: Vec<String> = self
--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -1,4 +1,4 @@
-//! One rack as its owner knows it: workers, quick requests, tasks.
+//! One rack as seen by its owner: workers, quick requests, tasks.
 
 mod heartbeat;
 mod place;
@@ -19,16 +19,16 @@
 use crate::worker_state::WorkerState;
 use crate::{Clock, Now};
 
-/// What the owner of a rack takes from the configuration.
+/// Settings of a rack owner, from the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Rule that puts batch tasks on workers.
+    /// Placement rule for batch tasks.
     pub batch: Rule,
-    /// Quick requests that wait, at most.
+    /// Maximum number of waiting quick requests.
     pub max_queued: usize,
-    /// Share kept above measured usage.
+    /// Share of measured usage that is reserved in addition to it.
     pub usage_margin: f64,
-    /// Whether idle declared resources of batch work are given to others.
+    /// Whether resources that batch tasks declare but don't use are given to other work.
     pub reclaim: bool,
 }
 
@@ -54,11 +54,11 @@
     }
 }
 
-/// One rack, under one owner.
+/// One rack under one owner.
 #[derive(Debug)]
 pub struct Rack {
     name: id::Rack,
-    /// The epoch under which this knowledge began.
+    /// The epoch under which the state in this struct was first built up.
     known_since: id::Epoch,
     epoch: id::Epoch,
     settings: Settings,
@@ -67,10 +67,10 @@
     hosts: BTreeMap<id::Worker, WorkerState>,
     quick: QuickQueue,
     attempts: u64,
-    /// Slots whose runs may still be going on, until then.
+    /// Slots whose runs may still be going on: each is counted as free at this time.
     unresolved_runs: Vec<(Now, id::Worker, id::Incarnation)>,
     tasks: BTreeMap<TaskId, Attempt>,
-    /// The last message heard from the owner of each home rack: its epoch and serial.
+    /// Epoch and serial number of the last message accepted from the owner of each home rack.
     last_messages: BTreeMap<id::Rack, (id::Epoch, u64)>,
     events: Vec<(id::Rack, Event)>,
 }
@@ -96,24 +96,24 @@
         }
     }
 
-    /// Takes the same rack again, under a new epoch and roster, keeping what is known.
+    /// Takes the same rack again under a new epoch and roster, keeping the known state.
     pub fn reacquire(&mut self, epoch: id::Epoch, roster: Roster) {
         self.epoch = epoch;
         self.authority = Authority::new(roster);
         self.active = false;
     }
 
-    /// Follows a change of configuration.
+    /// Applies a change of the configuration.
     pub fn configure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// No earlier owner can act any more; from now on this one does.
+    /// No earlier owner can act any longer: this owner may act from now on.
     pub fn activate(&mut self) {
         self.active = true;
     }
 
-    /// Nothing new is started from now on.
+    /// Starts nothing new from now on.
     pub fn deactivate(&mut self) {
         self.active = false;
     }
@@ -130,25 +130,25 @@
         self.epoch
     }
 
-    /// Whether the owner may start something now.
+    /// Whether the owner may start something at `now`.
     #[must_use]
     pub fn may_act(&self, now: Now) -> bool {
         self.active && self.authority.is_valid(now)
     }
 
-    /// Whether a majority of the workers has acknowledged the owner of late.
+    /// Whether a majority of the workers has acknowledged the owner recently enough.
     #[must_use]
     pub fn has_authority(&self, now: Now) -> bool {
         self.authority.is_valid(now)
     }
 
-    /// The workers that prove ownership.
+    /// The workers whose acknowledgements prove ownership.
     #[must_use]
     pub const fn roster(&self) -> &Roster {
         self.authority.roster()
     }
 
-    /// An adopted worker.
+    /// State of an adopted worker.
     #[must_use]
     pub fn host(&self, worker: &str) -> Option<&WorkerState> {
         self.hosts.get(worker)
@@ -159,14 +159,14 @@
         self.hosts.iter()
     }
 
-    /// Marks a worker as the platform lists it.
+    /// Records whether the platform lists a worker as leaving.
     pub fn set_listed_leaving(&mut self, worker: &str, leaving: bool) {
         if let Some(host) = self.hosts.get_mut(worker) {
             host.listed_leaving = leaving;
         }
     }
 
-    /// A worker was adopted under the present epoch, by a call made at `sent`.
+    /// A worker was adopted under the current epoch, by a call made at `sent`.
     pub fn adopt(
         &mut self,
         worker: &str,
@@ -200,25 +200,26 @@
         self.reconcile(worker, &adopted.report, sent, received);
     }
 
-    /// The worker's present life has ended: nothing that it ran runs any more.
+    /// A worker's current incarnation has ended, and with it everything that ran on it.
     pub fn remove_worker(&mut self, worker: &str) {
         self.authority.revoke(worker);
         if self.hosts.remove(worker).is_none() {
             return;
         }
         self.unresolved_runs.retain(|(_, name, _)| name != worker);
-        let gone: Vec<TaskId> = self
+        let ended: Vec<TaskId> = self
             .tasks
             .values()
             .filter(|t| t.worker == worker)
             .map(|t| t.id().clone())
             .collect();
-        for id in gone {
+        for id in ended {
             self.end_attempt(&id, Fate::Lost);
         }
     }
 
-    /// Listens to the owner of a home rack; `false` if a later message was heard before.
+    /// Accepts a message from the owner of a home rack; `false` if a later message was accepted
+    /// before.
     pub fn accept_message(&mut self, from: &Seniority) -> bool {
         let latest = self.last_messages.entry(from.home.clone()).or_default();
         let message = (from.epoch, from.serial);
@@ -229,13 +230,13 @@
         true
     }
 
-    /// Owners of home racks before this epoch are not listened to any more.
+    /// From now on rejects messages from owners of a home rack with an epoch lower than this one.
     pub fn reject_older_owners(&mut self, home: &str, epoch: id::Epoch) {
         let latest = self.last_messages.entry(home.to_owned()).or_default();
         *latest = (*latest).max((epoch, 0));
     }
 
-    /// What the rack holds of the jobs of one home rack.
+    /// The attempts of the jobs of one home rack that this rack holds.
     #[must_use]
     pub fn inventory(&self, home: &str, complete: bool) -> Inventory {
         let of_home = self.tasks.values().filter(|t| t.task.home == home);
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Room in the rack.
+    /// Free and preemptible capacity of the rack.
     #[must_use]
     pub fn digest(&self, now: Now) -> Digest {
         let open = || {
@@ -279,13 +280,13 @@
         }
     }
 
-    /// News for the owners of home racks that they have not confirmed yet.
+    /// Events that the owners of home racks have not confirmed yet.
     #[must_use]
     pub fn unconfirmed_events(&self) -> &[(id::Rack, Event)] {
         &self.events
     }
 
-    /// The owner of this home rack has taken note of these events.
+    /// The owner of this home rack has recorded these events.
     pub fn confirm_events(&mut self, home: &str, seen: &[Event]) {
         self.events
             .retain(|(h, event)| h != home || !seen.contains(event));
@@ -325,7 +326,7 @@
         self.quick.len() > 0 || self.hosts.values().any(|h| h.running > 0)
     }
 
-    /// What is free for new tasks on a worker: neither taken nor promised.
+    /// Capacity of a worker that is neither used nor reserved.
     fn free_capacity(&self, worker: &str, host: &WorkerState) -> Size {
         let taken = self
             .tasks
@@ -336,7 +337,8 @@
         host.size.saturating_minus(taken)
     }
 
-    /// What tasks may take on a worker at this very moment.
+    /// Capacity of a worker that is not occupied at this moment: attempts that still wait for
+    /// capacity are not counted.
     fn unoccupied_capacity(&self, worker: &str, host: &WorkerState) -> Size {
         let occupied = self
             .tasks
@@ -346,7 +348,7 @@
             .saturating_minus(occupied.map(|t| t.reserved).sum())
     }
 
-    /// What batch work on a worker takes that would make room for work of this band.
+    /// Capacity of a worker that batch tasks use and that work of this band may preempt.
     fn preemptible_size(&self, worker: &str, band: Band) -> Size {
         let batch = |t: &&Attempt| {
             t.worker == worker
@@ -359,7 +361,7 @@
 
     fn candidates(&self, now: Now, siblings_of: &TaskId) -> (Vec<id::Worker>, Vec<Capacity>) {
         let open = self.hosts.iter().filter(|(_, host)| host.accepts_work(now));
-        let room = |(name, host): (&id::Worker, &WorkerState)| {
+        let candidate = |(name, host): (&id::Worker, &WorkerState)| {
             let sibling = |t: &&Attempt| {
                 t.worker == *name
                     && t.task.id.job == siblings_of.job
@@ -375,10 +377,10 @@
                 },
             )
         };
-        open.map(room).unzip()
+        open.map(candidate).unzip()
     }
 
-    /// The attempt can't run any more; its job's owner is told.
+    /// Removes an attempt that can't run any longer, and records an event for its job's owner.
     fn end_attempt(&mut self, id: &TaskId, fate: Fate) {
         if let Some(attempt) = self.tasks.remove(id) {
             self.record_event(attempt.task.home, id.clone(), fate);
--- a/crates/cell/src/rack/heartbeat.rs
+++ b/crates/cell/src/rack/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what workers say, and what follows from their silence.
+//! Heartbeats: reports of the workers, and what follows when a worker stops answering.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 use crate::attempt::{Attempt, AttemptState, Command, fate_of_stop};
 use crate::{Clock, Now};
 
-/// A worker that has been silent for this long gets heartbeats that renew nothing, so that its
-/// tasks end by themselves at a known time.
+/// A worker that has not answered for this long gets heartbeats that renew nothing, so that its
+/// tasks end on their own at a known time.
 const RENEWAL_CUTOFF: Duration = Duration::from_secs(4);
-/// A stop that has shown no effect for this long is repeated.
+/// A stop command that has had no effect for this long is repeated.
 const STOP_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 impl Rack {
-    /// The next heartbeat for a worker, with its address.
+    /// The next heartbeat for a worker, with the worker's address.
     pub fn next_heartbeat(&mut self, worker: &str, now: Now) -> Option<(String, Heartbeat)> {
         let until = self.authority.valid_until().filter(|until| now < *until);
         let host = self.hosts.get_mut(worker)?;
@@ -67,7 +67,7 @@
         commands
     }
 
-    /// Lets time pass: holds lapse, silent workers' tasks are lost, stops are repeated.
+    /// Expires holds and runs, ends the tasks of unresponsive workers and repeats stop commands.
     pub fn tick(&mut self, now: Now) -> Vec<Command> {
         self.free_expired_runs(now);
         self.expire_holds(now);
@@ -75,7 +75,7 @@
         self.repeat_stops(now)
     }
 
-    /// Brings what is known of a worker's tasks in line with what it says.
+    /// Brings the state of a worker's tasks in line with its report.
     pub(super) fn reconcile(&mut self, worker: &str, report: &Report, sent: Now, now: Now) {
         for ended in &report.ended {
             self.attempt_ended(worker, ended, now);
@@ -91,7 +91,7 @@
             .collect();
         for (id, state) in silent {
             match state {
-                // The worker's clock has passed the last moment at which it could start.
+                // The worker's clock is past the latest moment at which the task could start.
                 AttemptState::Starting { not_after, .. } if report.clock > not_after => {
                     self.end_attempt(&id, Fate::NotStarted);
                 }
@@ -148,9 +148,9 @@
         }
     }
 
-    /// Brings a worker back within its true capacity when its tasks use more than they declared:
-    /// those that do are throttled to what they said, and if memory is short, the batch task that
-    /// is furthest beyond is checkpointed and stopped.
+    /// Brings a worker back within its capacity when its tasks use more than they declared. Those
+    /// tasks are throttled to their declared size; if memory is short, the batch task that exceeds
+    /// its declaration most is checkpointed and stopped.
     fn relieve_overload(&mut self, worker: &str) -> Vec<Command> {
         let Some(host) = self.hosts.get(worker) else {
             return Vec::new();
@@ -188,13 +188,14 @@
         commands
     }
 
-    /// Tasks of workers that have been silent until their leases ran out are over.
+    /// Ends the tasks of workers that have not answered until their leases expired.
     fn end_expired_attempts(&mut self, now: Now) {
         let lapsed = |renewed: Now| now > renewed + TASK_LEASE + TASK_LEASE / 50;
         let hosts = self.hosts.iter().filter(|(_, h)| lapsed(h.leases_renewed));
         let silent: Vec<String> = hosts.map(|(name, _)| name.clone()).collect();
         for worker in silent {
-            // Only what was started before the last renewal: nothing is started on a silent one.
+            // All of these were started before the last renewal, since an unresponsive worker is
+            // given nothing new.
             let on_worker = self.tasks.values().filter(|t| t.worker == worker);
             let ids: Vec<TaskId> = on_worker.map(|t| t.id().clone()).collect();
             for id in ids {
@@ -229,7 +230,7 @@
     }
 }
 
-/// Corrects what is set aside for a task from what it was seen to use.
+/// Adjusts the capacity that is reserved for a task to its reported usage.
 fn record_usage(attempt: &mut Attempt, running: &RunningTask, margin: f64, reclaim: bool) {
     let (peak, usage) = (attempt.peak, running.usage);
     attempt.usage_reports += 1;
--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -1,4 +1,4 @@
-//! Tasks: which worker they go to, who makes room for them.
+//! Placement of tasks on workers, and preemption.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 use crate::Now;
 use crate::attempt::{Attempt, AttemptState, Command, Outcome, fate_of_stop};
 
-/// How long a task may run on without a heartbeat.
+/// How long a task may run without a heartbeat.
 pub const TASK_LEASE: Duration = Duration::from_secs(10);
-/// How long room is kept for a gang that is not complete.
+/// How long capacity is held for a gang that is not complete.
 const GANG_HOLD_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a start may stay on its way to the worker.
+/// How long a start command may take to reach the worker.
 const START_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long urgent work waits for others to make room before its owner looks elsewhere.
+/// How long a task waits for preempted tasks to end before its owner tries elsewhere.
 const EVICTION_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Rack {
-    /// Places the tasks of an order and tells what to say to the workers.
+    /// Places the tasks of an order. Returns the reply and the commands to be sent to the workers.
     pub fn place(&mut self, order: &Order, now: Now) -> (Reply, Vec<Command>) {
         let current_epoch = order.epoch == self.epoch;
         if !current_epoch || !self.may_act(now) || !self.accept_message(&order.from) {
@@ -49,7 +49,7 @@
         )
     }
 
-    /// Starts a gang that is held here; `false` if the hold has lapsed.
+    /// Starts a gang that is held here; `None` if the hold has expired.
     pub fn commit(&mut self, gang: &Gang, now: Now) -> Option<Vec<Command>> {
         let members = self.gang_attempts(gang);
         let held = |id: &TaskId| matches!(self.tasks[id].state, AttemptState::Held { .. });
@@ -64,7 +64,7 @@
         )
     }
 
-    /// Gives up a gang: lets go of what is held, stops what was started.
+    /// Aborts a gang: releases what is held and stops what was started.
     pub fn abort(&mut self, gang: &Gang, now: Now) -> Vec<Command> {
         let members = self.gang_attempts(gang);
         members
@@ -82,7 +82,7 @@
             .collect()
     }
 
-    /// What came of a start.
+    /// Applies the outcome of a start command.
     pub fn start_outcome(&mut self, id: &TaskId, outcome: Outcome, now: Now) {
         let Some(attempt) = self.tasks.get_mut(id) else {
             return;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// What came of a stop; urgent work that waited for the room is started.
+    /// Applies the outcome of a stop command, and starts tasks that waited for the capacity.
     pub fn stop_outcome(&mut self, id: &TaskId, outcome: Outcome, now: Now) -> Vec<Command> {
         let Some(attempt) = self.tasks.get(id) else {
             return Vec::new();
@@ -115,12 +115,12 @@
         self.launch_awaiting(&host, now)
     }
 
-    /// Starts urgent work on a worker for which room has been made.
+    /// Starts waiting tasks on a worker for which enough capacity has become free.
     pub(super) fn launch_awaiting(&mut self, worker: &str, now: Now) -> Vec<Command> {
         let Some(host) = self.hosts.get(worker) else {
             return Vec::new();
         };
-        let mut room = self.unoccupied_capacity(worker, host);
+        let mut available = self.unoccupied_capacity(worker, host);
         let waits =
             |t: &&Attempt| t.worker == worker && matches!(t.state, AttemptState::Awaiting { .. });
         let waiting: Vec<TaskId> = self
@@ -131,16 +131,16 @@
             .collect();
         let mut commands = Vec::new();
         for id in waiting {
-            let Some(remaining) = room.minus(self.tasks[&id].reserved) else {
+            let Some(remaining) = available.minus(self.tasks[&id].reserved) else {
                 continue;
             };
-            room = remaining;
+            available = remaining;
             commands.extend(self.launch(&id, now));
         }
         commands
     }
 
-    /// Lets go of what was held or awaited for too long.
+    /// Releases capacity that was held or awaited for too long.
     pub(super) fn expire_holds(&mut self, now: Now) {
         let due = |t: &&Attempt| match t.state {
             AttemptState::Held { until } | AttemptState::Awaiting { until } => until <= now,
@@ -250,7 +250,7 @@
         )
     }
 
-    /// Tells the worker to start a task that has room there.
+    /// Builds the command to start a task for which there is capacity on its worker.
     fn launch(&mut self, id: &TaskId, now: Now) -> Option<Command> {
         let until = self.authority.valid_until()?.min(now + START_TIMEOUT);
         let attempt = self.tasks.get_mut(id)?;
@@ -275,7 +275,7 @@
         })
     }
 
-    /// Stops an attempt, or forgets it if it was not started.
+    /// Stops an attempt, or removes it if it was not started.
     pub(super) fn stop_attempt(
         &mut self,
         id: &TaskId,
@@ -313,10 +313,10 @@
     }
 }
 
-/// Whether work of one band makes room for work of another.
+/// Whether work of one band may be preempted for work of another.
 ///
-/// Borrowed room is taken back by anyone within a quota; within quotas only urgent work goes
-/// before the rest.
+/// Borrowed capacity is reclaimed by any work within its quota. Among work within quotas only
+/// urgent work preempts the rest.
 pub(super) const fn yields_to(lower: Band, higher: Band) -> bool {
     match higher {
         Band::Urgent => !matches!(lower, Band::Urgent),
@@ -325,7 +325,7 @@
     }
 }
 
-/// Work that a task would lose if its checkpoint fails, in milliseconds.
+/// Work that a task loses if its checkpoint fails, in milliseconds.
 fn unsaved_work_ms(attempt: &Attempt, now: Now) -> u64 {
     match attempt.state {
         AttemptState::Running { since } => now.saturating_sub(since).as_millis() as u64,
--- a/crates/cell/src/rack/quick_requests.rs
+++ b/crates/cell/src/rack/quick_requests.rs
@@ -1,4 +1,4 @@
-//! Quick requests: who may wait, who starts next.
+//! Quick requests: admission to the queue, and which request starts next.
 
 use std::time::Duration;
 
@@ -10,17 +10,18 @@
 use crate::quick_queue::{Next, QuickRun, RunOutcome, Ticket};
 use crate::worker_state::WorkerState;
 
-/// Share of its time left that a request may expect to wait; the rest is for its run.
+/// Share of a request's remaining time that it may be expected to wait; the rest is for its run.
 const MAX_WAIT_SHARE: f64 = 0.8;
 
-/// Attempts that one epoch can number; with the epoch above them no two owners give the same.
+/// Number of low bits of an attempt number that count attempts. The epoch is in the bits above, so
+/// that no two owners assign the same number.
 const ATTEMPT_BITS: u32 = 32;
 
 impl Rack {
-    /// Lets a request wait for a worker.
+    /// Queues a request for a worker.
     ///
     /// # Errors
-    /// A [`Fault`] at once, if the owner may not act, or the request would wait in vain.
+    /// A [`Fault`], at once, if the owner may not act or the request would wait in vain.
     pub fn enqueue(
         &mut self,
         rank: u8,
@@ -47,12 +48,12 @@
         Ok(self.quick.enqueue(rank, key, expires))
     }
 
-    /// Takes a request out of the queue; `false` if it was started, or has left already.
+    /// Removes a request from the queue; `false` if it was started or removed before.
     pub fn withdraw(&mut self, ticket: Ticket) -> bool {
         self.quick.withdraw(ticket)
     }
 
-    /// The next request to start, if one can.
+    /// Starts the next request, if one can start.
     pub fn start_next(&mut self, now: Now) -> Next {
         if !self.may_act(now) {
             return Next::Idle;
@@ -83,10 +84,10 @@
         ))
     }
 
-    /// A started request has ended, or is not waited for any more.
+    /// Records that a started request has ended, or that its result is no longer awaited.
     pub fn finish(&mut self, run: &QuickRun, outcome: RunOutcome, took: Duration, now: Now) {
-        // This owner has lost the rack since, and taken it again; the key may be worked on anew,
-        // and must not be freed for a second run.
+        // This owner has lost the rack and taken it again since the run began. Another run may be
+        // using the key now, so the key must not be freed.
         if run.epoch < self.known_since {
             return;
         }
@@ -109,9 +110,9 @@
                 }
             }
             RunOutcome::Unknown { max_run } => {
-                // It may run on a worker that can't be asked. The key stays taken until the worker
-                // itself must have ended the run; otherwise the next request for the same key
-                // would work on it in a second place.
+                // The run may still be going on at a worker that can't be reached. The key stays
+                // blocked until the worker must have ended the run; otherwise the next request for
+                // the same key would run at the same time as this one.
                 let until = run.start_deadline + max_run + drift_allowance(max_run);
                 self.quick.block_key(&run.key, until);
                 if let Some(host) = host {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Frees slots and keys of runs that must be over by now.
+    /// Frees slots and keys of runs that must have ended by now.
     pub(super) fn free_expired_runs(&mut self, now: Now) {
         self.quick.unblock_expired(now);
         let due: Vec<_> = self
@@ -149,7 +150,7 @@
             .sum()
     }
 
-    /// The worker with the smallest share of its slots taken.
+    /// The worker with the smallest share of its slots in use.
     fn least_loaded_worker(&self, now: Now) -> Option<id::Worker> {
         let free = self
             .hosts
@@ -185,12 +186,12 @@
     }
 }
 
-/// Allowance for drifting clocks over one run.
+/// Allowance for clock drift over one run.
 fn drift_allowance(run: Duration) -> Duration {
     run / 50 + Duration::from_millis(20)
 }
 
-/// When it makes sense to come back: once most of what waits now is done.
+/// When a rejected caller should retry: once most of the requests that wait now are done.
 fn retry_after(wait: Duration) -> Duration {
     wait.max(Duration::from_millis(100))
 }
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -5,22 +5,22 @@
 
 use crate::fence::Roster;
 
-/// Who owns a rack; changed only by compare-and-set.
+/// Owner of a rack; changed only by compare-and-set.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
-    /// The placer; `None` if nobody owns the rack.
+    /// Name of the owning placer; `None` if the rack has no owner.
     pub owner: Option<id::Placer>,
-    /// The owner's address, `ip:port`.
+    /// Address of the owner, `ip:port`.
     pub address: String,
-    /// Rises with every take.
+    /// Increases with each change of owner or roster.
     pub epoch: id::Epoch,
-    /// Rosters under which an owner may still act; the last one is the present owner's.
+    /// Rosters under which an owner may still act; the last one belongs to the current owner.
     pub rosters: Vec<Roster>,
 }
 
 impl Record {
-    /// Prefix of the rows of all racks.
+    /// Prefix of the keys of these rows.
     pub const PREFIX: &str = "rack/";
 
     /// Key of a rack's row.
@@ -29,7 +29,7 @@
         format!("{}{rack}", Self::PREFIX)
     }
 
-    /// The row that takes the rack for another owner.
+    /// The row after another owner, or the same one again, has taken the rack.
     ///
     /// ```
     /// use cell::Record;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The row once its owner has fenced all earlier ones: their rosters count no more.
+    /// The row once its owner has fenced all earlier owners: their rosters no longer count.
     #[must_use]
     pub fn without_earlier_rosters(&self) -> Self {
         let rosters = self.rosters.last().cloned().into_iter().collect();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The row after its owner has let go.
+    /// The row after its owner has released the rack.
     #[must_use]
     pub fn released(&self) -> Self {
         Self {
--- a/crates/cell/src/worker_state.rs
+++ b/crates/cell/src/worker_state.rs
@@ -1,4 +1,4 @@
-//! One worker, as the owner of its rack knows it.
+//! One worker as seen by the owner of its rack.
 
 use std::time::Duration;
 
@@ -9,47 +9,47 @@
 
 use crate::{Clock, Now};
 
-/// A worker that was given up on gets one piece of work after this long, to see if it is well.
+/// A suspect worker gets one piece of work after this time, as a probe.
 const PROBE_DELAY: Duration = Duration::from_secs(20);
-/// Evidence at which a worker is given up on: four failures in a row, or a few more if some work
-/// succeeds between them; see "Bad workers" in `docs/DESIGN.md`.
+/// CUSUM value at which a worker becomes suspect: four failures in a row, or a few more if some
+/// work succeeds in between; see "Bad workers" in `docs/DESIGN.md`.
 const FAILURE_THRESHOLD: f64 = 12.0;
 
-/// Whether a worker gets work.
+/// Whether a worker is given work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trust {
-    /// It does.
+    /// It is given work.
     Trusted,
-    /// It failed what it was given; it gets nothing until then.
+    /// Too much of its work has failed; it gets none until this time.
     Suspect(Now),
-    /// It has one piece of work, whose outcome decides.
+    /// It has one piece of work, whose outcome decides whether it is trusted again.
     Probing,
 }
 
-/// One adopted worker.
+/// State of one adopted worker.
 #[derive(Clone, Debug)]
 pub struct WorkerState {
     /// Its address, `ip:port`.
     pub address: String,
-    /// Its present life.
+    /// Its current incarnation.
     pub incarnation: id::Incarnation,
-    /// What it has for tasks.
+    /// Its capacity for tasks.
     pub size: Size,
-    /// Quick requests that its executor runs at once.
+    /// Number of quick requests that its executor runs at once.
     pub slots: u32,
-    /// Quick requests that it runs, as far as is known.
+    /// Number of quick requests that it is running, as far as is known.
     pub running: u32,
-    /// Whether the platform's list says that it is leaving.
+    /// Whether the platform lists it as leaving.
     pub listed_leaving: bool,
-    /// Whether it says so itself.
+    /// Whether it reports itself as leaving.
     pub reports_leaving: bool,
-    /// Whether it gets work.
+    /// Whether it is given work.
     pub trust: Trust,
-    /// Its time.
+    /// Its clock.
     pub clock: Clock,
-    /// When it was last asked, with an answer.
+    /// When the last call that it answered was sent.
     pub last_answer: Now,
-    /// When its leases were last renewed, whether or not it answered.
+    /// Upper bound on the time of the last renewal of its leases, whether or not it answered.
     pub leases_renewed: Now,
     /// Ended attempts that it may forget.
     pub forget: Vec<TaskId>,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Whether it may be given new work: it answers, stays and is trusted.
+    /// Whether it may be given new work: it answers, is not leaving and is trusted.
     #[must_use]
     pub fn accepts_work(&self, now: Now) -> bool {
         let trusted = match self.trust {
@@ -95,17 +95,17 @@
         trusted && !silent && !self.listed_leaving && !self.reports_leaving
     }
 
-    /// A worker that has not answered for this long gets no new work.
+    /// A worker that has not answered for longer than this gets no new work.
     pub const MAX_SILENCE: Duration = Duration::from_millis(1_500);
 
-    /// Work was sent to it.
+    /// Records that work was sent to it.
     pub fn work_sent(&mut self) {
         if matches!(self.trust, Trust::Suspect(_)) {
             self.trust = Trust::Probing;
         }
     }
 
-    /// Work that it was given has ended.
+    /// Records the end of work that it was given.
     pub fn record_outcome(&mut self, failed: bool, now: Now) {
         let broken = self.failure_detector.record(failed);
         self.trust = match (self.trust, failed) {
@@ -119,7 +119,7 @@
         };
     }
 
-    /// The worker's moment that comes no later than `time`.
+    /// A lower bound on the worker's clock at `time`.
     #[must_use]
     pub fn earliest_moment(&self, time: Now) -> Moment {
         self.clock.earliest_moment(time)
--- a/crates/cell/tests/losses.rs
+++ b/crates/cell/tests/losses.rs
@@ -1,4 +1,4 @@
-//! What becomes of tasks whose attempts are lost.
+//! Tasks whose attempts are lost.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -7,10 +7,12 @@
 use resource::Size;
 use wire::{Digest, Event, Fate, Job, Phase, Shape};
 
-/// Starts that a task may take if each of them crashes its worker: three, and two more.
+/// Maximum number of starts of a task that crashes its worker each time: three, plus two as a
+/// tolerance.
 const STARTS_MOST: usize = 5;
 
-/// Guards against a task that crashes its workers being started without end: a lost attempt doesn't count as one that failed.
+/// Guards against starting a task without end that crashes its workers: a lost attempt doesn't
+/// count as a failed one.
 #[test]
 fn a_batch_task_whose_workers_crash_is_given_up() {
     let cell = Builder::new("test")
--- a/crates/cell/tests/rack.rs
+++ b/crates/cell/tests/rack.rs
@@ -1,4 +1,4 @@
-//! A rack's owner on its own: which orders it takes, what it holds, when it may act.
+//! One rack owner: which orders it accepts, what it holds, when it may act.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -68,21 +68,21 @@
     rack.place(order, NOW).0.placements
 }
 
-/// The owner of the job sees "not owner" and plans anew. An order that was meant for an earlier
-/// owner of the rack comes late: that one was given up on, and the task may run elsewhere.
+/// An order is late and was meant for an earlier owner of the rack. The owner of the job gave up on
+/// it, so the task may run elsewhere; the answer is "not owner", and the job is scheduled again.
 #[test]
-fn an_order_that_was_meant_for_an_earlier_owner_is_turned_away() {
+fn an_order_that_was_meant_for_an_earlier_owner_is_rejected() {
     let mut rack = rack();
     let late = order(EPOCH - 1, 5, vec![task(0, 1, Band::Normal)]);
     assert_eq!(place(&mut rack, &late), [Placement::NotOwner]);
-    let meant = order(EPOCH, 6, vec![task(0, 1, Band::Normal)]);
-    assert_eq!(place(&mut rack, &meant), [Placement::Placed]);
+    let current = order(EPOCH, 6, vec![task(0, 1, Band::Normal)]);
+    assert_eq!(place(&mut rack, &current), [Placement::Placed]);
 }
 
-/// The owner of the job sees "not owner". It gave up on an order and asked what the rack holds; the
-/// order comes after that.
+/// The owner of the job gave up on an order and asked what the rack holds; the order arrives after
+/// that and must have no effect. The answer is "not owner".
 #[test]
-fn an_order_that_is_older_than_the_last_message_is_turned_away() {
+fn an_order_that_is_older_than_the_last_message_is_rejected() {
     let mut rack = rack();
     let asked = Seniority {
         home: "home".to_owned(),
@@ -94,19 +94,19 @@
     assert_eq!(place(&mut rack, &late), [Placement::NotOwner]);
 }
 
-/// A deposed owner of a job sees "not owner". The rack's new owner has heard nothing of the job's
-/// new owner, but has read its epoch.
+/// The job's earlier owner sends an order. The rack's new owner has received no message from the
+/// job's new owner yet, but has read its epoch; the answer is "not owner".
 #[test]
-fn an_order_from_an_owner_that_the_table_has_replaced_is_turned_away() {
+fn an_order_from_an_owner_that_the_table_has_replaced_is_rejected() {
     let mut rack = rack();
     rack.reject_older_owners("home", 4);
     let old = order(EPOCH, 5, vec![task(0, 1, Band::Normal)]);
     assert_eq!(place(&mut rack, &old), [Placement::NotOwner]);
 }
 
-/// Workers see no more than they can hold, whatever is asked for at once.
+/// An order of more tasks than fit must not overcommit a worker.
 #[test]
-fn no_worker_is_promised_more_than_it_has() {
+fn no_worker_is_overcommitted() {
     let mut rack = rack();
     let tasks: Vec<Task> = (0..20).map(|n| task(n, 5, Band::Normal)).collect();
     let placed = place(&mut rack, &order(EPOCH, 1, tasks));
@@ -119,9 +119,9 @@
     }
 }
 
-/// Workers see the urgent task's start only after the tasks that make room have ended.
+/// The urgent task is started only after the preempted tasks have ended.
 #[test]
-fn urgent_work_starts_after_the_others_have_ended() {
+fn urgent_work_starts_after_the_preempted_tasks_have_ended() {
     let mut rack = rack();
     let tasks: Vec<Task> = (0..4).map(|n| task(n, 8, Band::Normal)).collect();
     let (_, starts) = rack.place(&order(EPOCH, 1, tasks), NOW);
@@ -150,8 +150,8 @@
     assert_eq!(preempted.1.fate, Fate::Preempted { saved_ms: 50 });
 }
 
-/// Callers see "not run, come back": without fresh answers from a majority the owner starts
-/// nothing.
+/// Without recent acknowledgements from a majority of the workers the owner starts nothing; callers
+/// are told that the request was not run.
 #[test]
 fn an_owner_without_proof_starts_nothing() {
     let mut rack = rack();
@@ -161,10 +161,10 @@
     assert_eq!(placed.0.placements, [Placement::NotOwner]);
 }
 
-/// Callers see: one run for the key at a time. A placer loses the rack and takes it again; then the
-/// answer to a run of its former time comes, for a key that another run works on now.
+/// A key has at most one run at a time. A placer loses the rack and takes it again; then the result
+/// of a run from its first ownership arrives, while another run uses the key.
 #[test]
-fn the_end_of_a_run_of_a_former_time_frees_nothing() {
+fn the_end_of_a_run_of_an_earlier_ownership_frees_no_key() {
     let expires = NOW + Duration::from_secs(1);
     let start = |rack: &mut Rack| {
         rack.enqueue(0, "seat", expires, NOW).unwrap();
@@ -173,8 +173,8 @@
         };
         go
     };
-    let mut former = rack();
-    let old = start(&mut former);
+    let mut earlier = rack();
+    let old = start(&mut earlier);
     let mut rack = rack_of(EPOCH + 2);
     let new = start(&mut rack);
     assert_ne!(old.attempt, new.attempt);
--- a/crates/cell/tests/scheduling.rs
+++ b/crates/cell/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Which waiting tasks go where, and in which turn.
+//! Which waiting tasks are placed where, and in which order.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -49,44 +49,48 @@
     digests
 }
 
-fn placed(plans: &[Dispatch]) -> Vec<Task> {
-    let tasks = plans.iter().flat_map(|plan| match plan {
+fn placed(dispatches: &[Dispatch]) -> Vec<Task> {
+    let tasks = dispatches.iter().flat_map(|dispatch| match dispatch {
         Dispatch::Start(order) => order.tasks.clone(),
         Dispatch::Gang { orders, .. } => orders.iter().flat_map(|o| o.tasks.clone()).collect(),
     });
     tasks.collect()
 }
 
-fn names(plans: &[Dispatch]) -> Vec<String> {
-    placed(plans).into_iter().map(|task| task.id.job).collect()
+fn names(dispatches: &[Dispatch]) -> Vec<String> {
+    placed(dispatches)
+        .into_iter()
+        .map(|task| task.id.job)
+        .collect()
 }
 
-/// Callers see: more work at once. Small tasks came first and would leave no room for large ones;
-/// large ones go first, and small ones fill the gaps.
+/// Guards against small tasks taking the capacity that large tasks need: large tasks go first, and
+/// small ones fill the gaps.
 #[test]
 fn large_tasks_go_before_small_ones() {
     let mut scheduler = JobScheduler::new("r1".to_owned(), 1);
     scheduler.submit(job("small", Shape::Batch, 8, 2));
     scheduler.submit(job("large", Shape::Batch, 2, 12));
-    let plans = scheduler.schedule(&cell(64.0), &mut capacity(&[16, 16]));
-    let names = names(&plans);
+    let dispatches = scheduler.schedule(&cell(64.0), &mut capacity(&[16, 16]));
+    let names = names(&dispatches);
     assert_eq!(names.iter().filter(|name| *name == "large").count(), 2);
     assert_eq!(names.iter().filter(|name| *name == "small").count(), 4);
 }
 
-/// Callers see: an old small job runs, however many large ones come after it.
+/// Guards against starvation: an old small job runs, however many large ones are submitted after
+/// it.
 #[test]
-fn what_has_waited_long_goes_first() {
+fn a_job_that_has_waited_long_goes_first() {
     let mut scheduler = JobScheduler::new("r1".to_owned(), 1);
     scheduler.submit(job("old", Shape::Batch, 1, 2));
     for n in 0..100 {
         scheduler.submit(job(&format!("large{n}"), Shape::Batch, 1, 16));
     }
-    let plans = scheduler.schedule(&cell(64.0), &mut capacity(&[16]));
-    assert_eq!(names(&plans)[0], "old");
+    let dispatches = scheduler.schedule(&cell(64.0), &mut capacity(&[16]));
+    assert_eq!(names(&dispatches)[0], "old");
 }
 
-/// Callers see: urgent work first, whatever waits.
+/// Urgent work goes before all other waiting work.
 #[test]
 fn urgent_work_goes_first() {
     let mut scheduler = JobScheduler::new("r1".to_owned(), 1);
@@ -96,25 +100,25 @@
         ..job("urgent", Shape::Batch, 1, 1)
     };
     scheduler.submit(urgent);
-    let plans = scheduler.schedule(&cell(64.0), &mut capacity(&[16]));
-    assert_eq!(names(&plans), ["urgent"]);
-    assert_eq!(placed(&plans)[0].band, Band::Urgent);
+    let dispatches = scheduler.schedule(&cell(64.0), &mut capacity(&[16]));
+    assert_eq!(names(&dispatches), ["urgent"]);
+    assert_eq!(placed(&dispatches)[0].band, Band::Urgent);
 }
 
-/// Callers see: work beyond the quota runs on idle room, and is marked as borrowed.
+/// Work beyond the quota runs on idle capacity and is marked as borrowed.
 #[test]
 fn work_beyond_the_quota_borrows() {
     let mut scheduler = JobScheduler::new("r1".to_owned(), 1);
     scheduler.submit(job("report", Shape::Batch, 4, 4));
-    let plans = scheduler.schedule(&cell(8.0), &mut capacity(&[16]));
-    let bands: Vec<Band> = placed(&plans).iter().map(|task| task.band).collect();
+    let dispatches = scheduler.schedule(&cell(8.0), &mut capacity(&[16]));
+    let bands: Vec<Band> = placed(&dispatches).iter().map(|task| task.band).collect();
     assert_eq!(
         bands,
         [Band::Normal, Band::Normal, Band::Borrowed, Band::Borrowed]
     );
 }
 
-/// Callers see: no part of a gang before there is room for the whole.
+/// No member of a gang starts before there is capacity for the whole gang.
 #[test]
 fn a_gang_without_room_for_the_whole_waits() {
     let mut scheduler = JobScheduler::new("r1".to_owned(), 1);
@@ -126,10 +130,10 @@
     );
 }
 
-/// Callers see: nothing starts twice. What was planned is not planned again before its rack has
-/// answered.
+/// Guards against starting a task twice: a task that was sent to a rack is not sent again before
+/// the rack has answered.
 #[test]
-fn what_was_planned_is_not_planned_again() {
+fn a_task_that_was_placed_is_not_placed_again() {
     let mut scheduler = JobScheduler::new("r1".to_owned(), 1);
     scheduler.submit(job("report", Shape::Batch, 2, 2));
     let mut digests = capacity(&[16]);
