--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! HTTP client for the platform.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use crate::{Host, Hosts, Objects, Row, Scan, Table, Transaction, Version, http};
 
 /// Time limit of one call to the platform.
-const LIMIT: Duration = Duration::from_millis(1_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Speaks to the platform over HTTP.
+/// Calls the platform over HTTP.
 #[derive(Clone, Debug)]
 pub struct Client {
     base: String,
@@ -35,7 +35,7 @@
         let url = format!("{}{path}", self.base);
         let reply = self
             .http
-            .post(&url, body, LIMIT)
+            .post(&url, body, CALL_TIMEOUT)
             .await
             .map_err(Error::from)?;
         if reply.status == StatusCode::SERVICE_UNAVAILABLE {
@@ -88,7 +88,10 @@
 impl Objects for Client {
     async fn put(&self, name: &str, value: Vec<u8>) -> Result<(), Error> {
         let url = format!("{}/objects/{name}", self.base);
-        let reply = self.http.call(Method::PUT, &url, value, LIMIT).await?;
+        let reply = self
+            .http
+            .call(Method::PUT, &url, value, CALL_TIMEOUT)
+            .await?;
         if reply.status.is_success() {
             return Ok(());
         }
@@ -99,7 +102,10 @@
 
     async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         let url = format!("{}/objects/{name}", self.base);
-        let reply = self.http.call(Method::GET, &url, Vec::new(), LIMIT).await?;
+        let reply = self
+            .http
+            .call(Method::GET, &url, Vec::new(), CALL_TIMEOUT)
+            .await?;
         match reply.status {
             StatusCode::OK => Ok(Some(reply.body.to_vec())),
             StatusCode::NOT_FOUND => Ok(None),
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,29 +1,29 @@
-//! What can go wrong with the platform.
+//! Errors of the calls to the platform.
 
 use snafu::Snafu;
 
 use crate::Row;
 
-/// Why the platform did not do what was asked.
+/// Why a call to the platform failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
     /// The request had no effect.
-    #[snafu(display("the platform is down: {reason}"))]
+    #[snafu(display("the platform is unavailable: {reason}"))]
     Down {
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
-    /// The request may have taken effect; the answer was lost.
-    #[snafu(display("the platform's answer was lost: {reason}"))]
+    /// The response was lost; the request may have taken effect.
+    #[snafu(display("no response from the platform, the request may have taken effect: {reason}"))]
     Lost {
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
-    /// A check of the transaction failed, and nothing was written.
-    #[snafu(display("{} rows were not as expected", rows.len()))]
+    /// A version check of the transaction failed, and nothing was written.
+    #[snafu(display("version check failed for {} rows", rows.len()))]
     Conflict {
-        /// The rows that were not as expected, as they are now.
+        /// Current state of the rows whose check failed.
         rows: Vec<Row>,
     },
 }
--- a/crates/platform/src/host.rs
+++ b/crates/platform/src/host.rs
@@ -1,4 +1,4 @@
-//! The lagging list of hosts.
+//! The platform's list of hosts, which lags behind by some seconds.
 
 use async_trait::async_trait;
 use resource::id;
@@ -6,23 +6,23 @@
 
 use crate::Error;
 
-/// What the platform says of a host.
+/// Status of a host in the platform's list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostStatus {
-    /// It is there.
+    /// It is in service.
     Live,
-    /// It will go and should get no new work.
+    /// It will be removed and should get no new work.
     Leaving,
 }
 
-/// One worker, as the platform lists it.
+/// A worker in the platform's list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
-    /// Its name.
+    /// Name of the worker.
     pub name: id::Worker,
-    /// The rack it stands in.
+    /// Rack in which it is located.
     pub rack: id::Rack,
     /// Its address, `ip:port`.
     pub address: String,
@@ -34,7 +34,7 @@
 /// The platform's list of hosts.
 #[async_trait]
 pub trait Hosts: Send + Sync {
-    /// All hosts of these racks, as of some seconds ago; all racks if none is named.
+    /// Hosts of these racks, as of some seconds ago; hosts of all racks if `racks` is empty.
     ///
     /// # Errors
     /// [`Error::Down`] or [`Error::Lost`].
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for the platform and the workers.
+//! A small HTTP client for calls to the platform and the workers.
 
 use std::time::Duration;
 
@@ -12,38 +12,39 @@
 use serde::de::DeserializeOwned;
 use snafu::Snafu;
 
-/// Largest reply that is read, in bytes.
-const MAX_REPLY: usize = 16 * 1024 * 1024;
-/// An idle connection is closed before the usual server closes it under a request.
-const IDLE: Duration = Duration::from_secs(4);
+/// Maximum size of a response body, in bytes.
+const MAX_REPLY_BYTES: usize = 16 * 1024 * 1024;
+/// Idle connections are closed after this time, before a typical server closes them while a request
+/// is being sent.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What can go wrong with one call.
+/// Why a call failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No connection: the other side saw nothing of it.
+    /// No connection could be made, so the server has not received the request.
     #[snafu(display("not sent: {reason}"))]
     NotSent {
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
-    /// It was sent, and no whole answer came.
-    #[snafu(display("no whole answer: {reason}"))]
+    /// The request was sent, but no complete response was received.
+    #[snafu(display("no complete response: {reason}"))]
     NoAnswer {
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
 }
 
-/// A status with the whole body.
+/// An HTTP response with its complete body.
 #[derive(Debug)]
 pub struct Reply {
-    /// HTTP status.
+    /// Status of the response.
     pub status: StatusCode,
-    /// The whole body.
+    /// Complete body of the response.
     pub body: Bytes,
 }
 
-/// Keeps connections open and makes calls with a time limit.
+/// Makes calls with a time limit and keeps connections open.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Pool<HttpConnector, Full<Bytes>>,
@@ -56,26 +57,26 @@
 }
 
 impl Client {
-    /// A client that gives up a connection attempt after `connect`.
+    /// A client with a time limit of `connect` for opening a connection.
     #[must_use]
     pub fn new(connect: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect));
         connector.set_nodelay(true);
-        // A call that the library repeats by itself could start work twice, unseen by its
-        // attempt number; so it must not.
+        // The library must not repeat requests on its own: a repeated request could start work
+        // twice under the same attempt number.
         let pool = Pool::builder(TokioExecutor::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
             .build(connector);
         Self { pool }
     }
 
-    /// Makes a call; a body that ends short of its declared length is no answer.
+    /// Makes a call. A body that is shorter than its declared length counts as no response.
     ///
     /// # Errors
-    /// [`Error::NotSent`] only if no connection could be made.
+    /// [`Error::NotSent`] only if the request was not sent, [`Error::NoAnswer`] otherwise.
     pub async fn call(
         &self,
         method: Method,
@@ -101,7 +102,9 @@
                 }
             })?;
             let status = reply.status();
-            let body = Limited::new(reply.into_body(), MAX_REPLY).collect().await;
+            let body = Limited::new(reply.into_body(), MAX_REPLY_BYTES)
+                .collect()
+                .await;
             let body = body
                 .map_err(|e| Error::NoAnswer {
                     reason: e.to_string(),
@@ -112,12 +115,12 @@
         match tokio::time::timeout(limit, exchange).await {
             Ok(result) => result,
             Err(_) => Err(Error::NoAnswer {
-                reason: format!("nothing within {limit:?}"),
+                reason: format!("no response within {limit:?}"),
             }),
         }
     }
 
-    /// Posts JSON.
+    /// Posts a value as JSON.
     ///
     /// # Errors
     /// As [`Client::call`].
@@ -136,10 +139,10 @@
 }
 
 impl Reply {
-    /// The body as JSON.
+    /// Decodes the body as JSON.
     ///
     /// # Errors
-    /// [`Error::NoAnswer`] if it is something else.
+    /// [`Error::NoAnswer`] if the body is not a `T` in JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Error> {
         serde_json::from_slice(&self.body).map_err(|e| Error::NoAnswer {
             reason: e.to_string(),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,10 +1,10 @@
-//! What the platform gives to the system.
+//! Interfaces of the platform.
 //!
 //! * [`Table`]: rows with versions, transactions and compare-and-set.
-//! * [`Hosts`]: the lagging list of live and leaving hosts.
+//! * [`Hosts`]: the list of hosts that are live or leaving, which lags behind by some seconds.
 //! * [`Objects`]: the object store.
 //! * [`Client`]: all three over HTTP.
-//! * [`http`]: the small HTTP client that is shared with the worker's adapter.
+//! * [`http`]: the small HTTP client, which the worker's client uses too.
 
 mod client;
 mod error;
--- a/crates/platform/src/object.rs
+++ b/crates/platform/src/object.rs
@@ -7,13 +7,13 @@
 /// The platform's object store.
 #[async_trait]
 pub trait Objects: Send + Sync {
-    /// Stores an object, in place of what had this name.
+    /// Stores an object, replacing any object of this name.
     ///
     /// # Errors
     /// [`Error::Down`] or [`Error::Lost`].
     async fn put(&self, name: &str, value: Vec<u8>) -> Result<(), Error>;
 
-    /// The object of this name, if there is one.
+    /// Reads the object of this name; `None` if it does not exist.
     ///
     /// # Errors
     /// [`Error::Down`] or [`Error::Lost`].
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -5,42 +5,43 @@
 
 use crate::Error;
 
-/// Version of a row: the number of the transaction that wrote it. It rises, also across rows.
+/// Version of a row: the number of the transaction that wrote it. Numbers increase over the whole
+/// table, not just per row.
 pub type Version = u64;
 
-/// One row.
+/// A row of the table.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
     /// Its key.
     pub key: String,
-    /// The transaction that wrote it; 0 if the row was never there.
+    /// Number of the transaction that wrote it; 0 if the row never existed.
     pub version: Version,
-    /// What it holds; `None` if it was deleted or never there.
+    /// Its value; `None` if it was deleted or never existed.
     pub value: Option<String>,
 }
 
-/// A row must have this version (0: must not exist) for the transaction to be written.
+/// A condition of a transaction: the row has this version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Check {
-    /// The row.
+    /// Key of the row.
     pub key: String,
-    /// Its version; 0 if it must not exist.
+    /// Its version; 0 if the row must not exist.
     pub version: Version,
 }
 
-/// What to put into a row.
+/// A write of a transaction.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Write {
-    /// The row.
+    /// Key of the row.
     pub key: String,
-    /// Its new value; `None` deletes it.
+    /// New value of the row; `None` deletes it.
     pub value: Option<String>,
 }
 
-/// Checks and writes that take effect together or not at all.
+/// Checks and writes that take effect atomically.
 ///
 /// ```
 /// use platform::Transaction;
@@ -53,14 +54,14 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Transaction {
-    /// Every one must hold.
+    /// Conditions, all of which must hold.
     pub checks: Vec<Check>,
-    /// What is written then.
+    /// Writes that are made if they do.
     pub writes: Vec<Write>,
 }
 
 impl Transaction {
-    /// The row must have this version.
+    /// Requires a row to have this version.
     #[must_use]
     pub fn check(mut self, key: impl Into<String>, version: Version) -> Self {
         self.checks.push(Check {
@@ -70,7 +71,7 @@
         self
     }
 
-    /// Puts a value into a row.
+    /// Writes a value to a row.
     #[must_use]
     pub fn put(mut self, key: impl Into<String>, value: impl Into<String>) -> Self {
         self.writes.push(Write {
@@ -91,20 +92,20 @@
     }
 }
 
-/// Rows of a range.
+/// Result of a range read.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scan {
-    /// The transaction up to which the range was read.
+    /// Number of the last transaction that the result includes.
     pub version: Version,
-    /// Rows written after the asked version, deleted ones included.
+    /// Rows written after the requested version, including deleted rows.
     pub rows: Vec<Row>,
 }
 
 /// The platform's table.
 #[async_trait]
 pub trait Table: Send + Sync {
-    /// Writes a transaction and tells its number.
+    /// Commits a transaction and returns its number.
     ///
     /// # Errors
     /// [`Error::Conflict`] if a check failed, [`Error::Down`] if nothing was written,
--- a/crates/worker/src/call.rs
+++ b/crates/worker/src/call.rs
@@ -1,62 +1,62 @@
-//! What is said between an owner and a worker.
+//! Messages between a rack owner and a worker.
 //!
-//! Moments are milliseconds since the worker began its present life, by its own clock: nothing
-//! depends on clocks of different hosts agreeing.
+//! Moments are milliseconds since the worker's current incarnation began, by the worker's clock, so
+//! nothing depends on the clocks of different hosts agreeing.
 
 use resource::{Size, id};
 use serde::{Deserialize, Serialize};
 use wire::{Body, Fate, Task, TaskId};
 
-/// Milliseconds since the worker began its present life.
+/// Milliseconds since the worker's current incarnation began.
 pub type Moment = u64;
 
-/// What a worker says of itself to anyone.
+/// What a worker reports about itself to anyone who asks.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Hello {
-    /// Its present life.
+    /// Its current incarnation.
     pub incarnation: id::Incarnation,
     /// The epoch that it obeys.
     pub epoch: id::Epoch,
 }
 
-/// Takes the worker over.
+/// Asks a worker to obey a new epoch.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adopt {
     /// The new owner's epoch.
     pub epoch: id::Epoch,
-    /// The life that the new owner has seen.
+    /// The incarnation that the new owner has seen.
     pub incarnation: id::Incarnation,
 }
 
-/// What the new owner learns.
+/// Reply to [`Adopt`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adopted {
-    /// What the worker has for tasks.
+    /// The worker's capacity for tasks.
     pub size: Size,
-    /// Quick requests that its executor runs at once.
+    /// Number of quick requests that its executor runs at once.
     pub slots: u32,
-    /// What else is known of it.
+    /// State of the worker.
     pub report: Report,
 }
 
-/// A heartbeat: renews all task leases.
+/// A heartbeat, which renews all task leases.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Heartbeat {
     /// The owner's epoch.
     pub epoch: id::Epoch,
-    /// The life of the worker that it is meant for.
+    /// The incarnation of the worker for which it is intended.
     #[serde(rename = "life")]
     pub incarnation: id::Incarnation,
-    /// How long tasks may go on without another heartbeat, in milliseconds; 0 renews nothing.
+    /// How long tasks may run without another heartbeat, in milliseconds; 0 renews nothing.
     pub lease_ms: u64,
-    /// Last moment at which it renews anything. A heartbeat that is delivered late would let tasks
-    /// of a deposed owner live on after the new owner has counted them as lost.
+    /// Latest moment at which it renews anything. Otherwise a heartbeat that is delivered late
+    /// could keep tasks of a deposed owner running after the new owner has counted them as lost.
     pub not_after: Moment,
-    /// Ended attempts whose end was passed on: the worker may forget them.
+    /// Ended attempts whose end has been recorded: the worker may forget them.
     pub forget: Vec<TaskId>,
 }
 
@@ -64,25 +64,25 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
-    /// Its own time.
+    /// Current time by its clock.
     pub clock: Moment,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Tasks that run.
+    /// Running tasks.
     pub tasks: Vec<RunningTask>,
-    /// Attempts that have ended and were not yet forgotten.
+    /// Attempts that have ended and have not been forgotten yet.
     pub ended: Vec<EndedTask>,
-    /// Quick requests that run: their keys, and the moment by which each is over.
+    /// Keys of running quick requests, with the moment by which each run ends.
     pub runs: Vec<OccupiedKey>,
 }
 
-/// A task that runs.
+/// A running task.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunningTask {
-    /// The attempt.
+    /// The task, with its attempt.
     pub task: Task,
-    /// What it uses, as measured some seconds ago.
+    /// Its resource usage, as measured some seconds ago.
     pub usage: Size,
 }
 
@@ -92,19 +92,19 @@
 pub struct EndedTask {
     /// The attempt.
     pub task: TaskId,
-    /// Rack whose owner looks after the job.
+    /// Home rack of the job; its owner schedules the job.
     pub home: id::Rack,
     /// How it ended.
     pub fate: Fate,
 }
 
-/// A key that a quick request works on.
+/// A key that a quick request is using.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OccupiedKey {
     /// Service and key.
     pub key: String,
-    /// The worker ends the run at this moment.
+    /// Moment at which the worker ends the run.
     pub until: Moment,
 }
 
@@ -114,12 +114,12 @@
 pub struct Run {
     /// The owner's epoch.
     pub epoch: id::Epoch,
-    /// The life of the worker that it is meant for.
+    /// The incarnation of the worker for which it is intended.
     #[serde(rename = "life")]
     pub incarnation: id::Incarnation,
-    /// Last moment at which it may start.
+    /// Latest moment at which it may start.
     pub not_after: Moment,
-    /// Longest time that it may run, in milliseconds; the worker ends it then.
+    /// Maximum run time in milliseconds, after which the worker ends the run.
     pub run_ms: u64,
     /// Team and id of the request.
     pub id: String,
@@ -129,11 +129,11 @@
     pub service: id::Service,
     /// Service and key.
     pub key: String,
-    /// What is asked.
+    /// Body of the request.
     pub body: Body,
 }
 
-/// The answer to a quick request.
+/// Result of a quick request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunResult {
@@ -141,11 +141,11 @@
     pub id: String,
     /// Number of the attempt.
     pub attempt: u64,
-    /// The answer, or why the run failed.
+    /// The response body, or why the run failed.
     pub result: Result<Body, String>,
 }
 
-/// Makes sure that an attempt at a quick request does not run (any more).
+/// Ensures that an attempt at a quick request does not run, or no longer runs.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Void {
@@ -157,15 +157,15 @@
     pub attempt: u64,
 }
 
-/// What had become of a voided attempt.
+/// State in which a voided attempt was found.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Voided {
     /// It had not started, and never will.
     Never,
-    /// It ran to its end; this is its answer.
+    /// It had ended, with this result.
     Ended(RunResult),
-    /// It ran, and was stopped half-way.
+    /// It was running, and was stopped before it ended.
     Stopped,
 }
 
@@ -175,14 +175,14 @@
 pub struct Start {
     /// The owner's epoch.
     pub epoch: id::Epoch,
-    /// The life of the worker that it is meant for.
+    /// The incarnation of the worker for which it is intended.
     #[serde(rename = "life")]
     pub incarnation: id::Incarnation,
-    /// Last moment at which it may start.
+    /// Latest moment at which it may start.
     pub not_after: Moment,
-    /// How long it may go on without a heartbeat, in milliseconds.
+    /// How long it may run without a heartbeat, in milliseconds.
     pub lease_ms: u64,
-    /// The attempt.
+    /// The task, with its attempt.
     pub task: Task,
 }
 
@@ -194,19 +194,19 @@
     pub epoch: id::Epoch,
     /// The attempt.
     pub task: TaskId,
-    /// Whether to save its work first.
+    /// Whether to checkpoint it first.
     pub checkpoint: bool,
 }
 
-/// What had become of a stopped task.
+/// Result of stopping a task.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stopped {
-    /// Work saved, in milliseconds.
+    /// Work saved by the checkpoint, in milliseconds.
     pub saved_ms: u64,
 }
 
-/// Slows a task down.
+/// Throttles a task.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Throttle {
@@ -214,6 +214,6 @@
     pub epoch: id::Epoch,
     /// The attempt.
     pub task: TaskId,
-    /// What it may use from now on.
+    /// Resources that it may use from now on.
     pub size: Size,
 }
--- a/crates/worker/src/client.rs
+++ b/crates/worker/src/client.rs
@@ -1,4 +1,4 @@
-//! The worker's calls over HTTP.
+//! HTTP client for the calls of a worker.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 };
 use crate::{Error, WorkerApi};
 
-/// Time limit of every call but [`WorkerApi::run`].
+/// Time limit of every call except [`WorkerApi::run`].
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Speaks to workers over HTTP.
+/// Makes the calls of [`WorkerApi`] over HTTP.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: http::Client,
@@ -68,15 +68,15 @@
     }
 
     async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<RunResult, Error> {
-        let ran: RunResult = self.call(address, "run", &run, limit).await?;
-        // A connection that is reused after a fault can bring the answer to another request; the
-        // caller would get somebody else's result. The id and the attempt tell them apart.
-        if ran.id != run.id || ran.attempt != run.attempt {
+        let result: RunResult = self.call(address, "run", &run, limit).await?;
+        // After a fault, a reused connection can deliver the response to another request, and the
+        // caller would get someone else's result. The id and the attempt identify the response.
+        if result.id != run.id || result.attempt != run.attempt {
             return Err(Error::NoAnswer {
-                reason: format!("a foreign answer, {}", ran.id),
+                reason: format!("response belongs to another request, {}", result.id),
             });
         }
-        Ok(ran)
+        Ok(result)
     }
 
     async fn void(&self, address: &str, void: Void) -> Result<Voided, Error> {
--- a/crates/worker/src/epoch_fence.rs
+++ b/crates/worker/src/epoch_fence.rs
@@ -1,48 +1,49 @@
-//! The fencing rule that a worker keeps.
+//! The fencing rule that a worker enforces.
 
 use resource::id::{Epoch, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// Why a worker turned a command away. Nothing was started, and the same command never will be.
+/// Why a worker rejected a command. Nothing was started, and this command will never be carried
+/// out.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// Another epoch owns the worker.
+    /// The worker obeys another epoch.
     Fenced {
-        /// The epoch that it follows.
+        /// The epoch that it obeys.
         epoch: Epoch,
     },
-    /// The worker has begun a new life since the sender last heard of it.
+    /// The worker has restarted since the sender last heard from it.
     Restarted {
-        /// Its present life.
+        /// Its current incarnation.
         incarnation: Incarnation,
     },
-    /// The command came after its last permitted moment.
+    /// The command arrived after its latest permitted moment.
     Late,
     /// The worker is leaving.
     Leaving,
-    /// All slots are taken, or the size does not fit.
+    /// All slots are in use, or the task does not fit.
     Full,
-    /// This attempt was voided, or seen before.
+    /// This attempt was voided, or was received before.
     Voided,
 }
 
-/// Whom a worker obeys: the highest epoch that has adopted it in this life.
+/// The epoch that a worker obeys: the highest one that has adopted it in this incarnation.
 ///
-/// An owner that was paused while another took its rack still believes in itself. Its commands
-/// would start work in a second place. The worker has seen the higher epoch and turns them away,
-/// however late they come; so no clock of the owner has to be trusted.
+/// An owner that was paused while another one took its rack still considers itself the owner, and
+/// its commands would start the same work in a second place. The worker has seen the higher epoch
+/// and rejects them, however late they arrive, so no owner's clock has to be trusted.
 ///
 /// ```
-/// use worker::{Refusal, EpochFence};
+/// use worker::{EpochFence, Refusal};
 ///
-/// let mut slot = EpochFence::new(1);
-/// slot.adopt(4, 1).unwrap();
-/// slot.adopt(5, 1).unwrap();
-/// assert_eq!(slot.admit(4, 1, 10, 20), Err(Refusal::Fenced { epoch: 5 }));
-/// assert_eq!(slot.admit(5, 1, 10, 20), Ok(()));
-/// assert_eq!(slot.admit(5, 1, 21, 20), Err(Refusal::Late));
-/// assert_eq!(slot.admit(5, 2, 10, 20), Err(Refusal::Restarted { incarnation: 1 }));
+/// let mut fence = EpochFence::new(1);
+/// fence.adopt(4, 1).unwrap();
+/// fence.adopt(5, 1).unwrap();
+/// assert_eq!(fence.admit(4, 1, 10, 20), Err(Refusal::Fenced { epoch: 5 }));
+/// assert_eq!(fence.admit(5, 1, 10, 20), Ok(()));
+/// assert_eq!(fence.admit(5, 1, 21, 20), Err(Refusal::Late));
+/// assert_eq!(fence.admit(5, 2, 10, 20), Err(Refusal::Restarted { incarnation: 1 }));
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct EpochFence {
@@ -51,7 +52,7 @@
 }
 
 impl EpochFence {
-    /// The slot of a worker that has just begun this life.
+    /// The fence of a worker whose incarnation has just begun.
     #[must_use]
     pub const fn new(incarnation: Incarnation) -> Self {
         Self {
@@ -66,19 +67,19 @@
         self.epoch
     }
 
-    /// The worker's present life.
+    /// The worker's current incarnation.
     #[must_use]
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Lets an epoch take the worker over.
+    /// Makes the worker obey an epoch.
     ///
-    /// The sender names the life that it has seen. A restart wipes the slot; without the name, a
-    /// deposed owner's late adoption would find an empty slot and succeed.
+    /// The sender passes the incarnation that it has seen. A restart resets the fence; without that
+    /// check a late adoption by a deposed owner would find no epoch and succeed.
     ///
     /// # Errors
-    /// [`Refusal::Restarted`] for another life, [`Refusal::Fenced`] for a lower epoch.
+    /// [`Refusal::Restarted`] for another incarnation, [`Refusal::Fenced`] for a lower epoch.
     pub const fn adopt(&mut self, epoch: Epoch, seen: Incarnation) -> Result<(), Refusal> {
         if seen != self.incarnation {
             return Err(Refusal::Restarted {
@@ -94,25 +95,25 @@
 
     /// Whether a command of this epoch may be carried out.
     ///
-    /// `now` and `not_after` are in the worker's own milliseconds. A worker that the new owner
-    /// could not adopt still obeys the old one; `not_after` bounds for how long. A restart begins
-    /// the worker's time anew, and a command that was meant for an earlier life would never be
-    /// late; so it names the life.
+    /// `now` and `not_after` are in milliseconds of the worker's clock. A worker that the new owner
+    /// could not adopt still obeys the old one; `not_after` limits for how long. A restart sets the
+    /// worker's clock back to zero, so that a command intended for an earlier incarnation would not
+    /// be late; therefore the command names the incarnation.
     ///
     /// # Errors
-    /// [`Refusal::Fenced`] for any other epoch, [`Refusal::Restarted`] for any other life,
+    /// [`Refusal::Fenced`] for any other epoch, [`Refusal::Restarted`] for any other incarnation,
     /// [`Refusal::Late`] after `not_after`.
     pub const fn admit(
         &self,
         epoch: Epoch,
-        life: Incarnation,
+        incarnation: Incarnation,
         now: u64,
         not_after: u64,
     ) -> Result<(), Refusal> {
         if epoch != self.epoch {
             return Err(Refusal::Fenced { epoch: self.epoch });
         }
-        if life != self.incarnation {
+        if incarnation != self.incarnation {
             return Err(Refusal::Restarted {
                 incarnation: self.incarnation,
             });
--- a/crates/worker/src/error.rs
+++ b/crates/worker/src/error.rs
@@ -1,36 +1,36 @@
-//! What can go wrong between an owner and a worker.
+//! Errors of the calls to a worker.
 
 use platform::http;
 use snafu::Snafu;
 
 use crate::Refusal;
 
-/// Why a command to a worker brought no result.
+/// Why a call to a worker brought no result.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// The worker turned it away; it has no effect.
+    /// The worker rejected the call, which had no effect.
     #[snafu(display("the worker refused: {refusal:?}"))]
     Refused {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
     },
-    /// The worker saw nothing of it.
+    /// The call did not reach the worker.
     #[snafu(display("not sent: {reason}"))]
     NotSent {
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
-    /// It may have had its effect.
-    #[snafu(display("no whole answer: {reason}"))]
+    /// The call may have had an effect.
+    #[snafu(display("no complete response: {reason}"))]
     NoAnswer {
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
 }
 
 impl Error {
-    /// Whether the command certainly had no effect.
+    /// Whether the call certainly had no effect.
     #[must_use]
     pub const fn had_no_effect(&self) -> bool {
         matches!(self, Self::Refused { .. } | Self::NotSent { .. })
--- a/crates/worker/src/lib.rs
+++ b/crates/worker/src/lib.rs
@@ -1,8 +1,9 @@
-//! The contract with a worker and the executor on it.
+//! The interface of a worker and its executor.
 //!
-//! * [`EpochFence`]: the fencing rule; pure, and shared with the specification and the stand-in.
-//! * [`WorkerApi`]: what can be asked of a worker.
-//! * [`Client`]: the same over HTTP.
+//! * [`EpochFence`]: the fencing rule. It does no I/O, and the specification and the stand-in use
+//!   it too.
+//! * [`WorkerApi`]: the calls of a worker.
+//! * [`Client`]: the same calls over HTTP.
 //! * [`call`]: the messages.
 
 pub mod call;
