--- a/crates/cell/src/job_scheduler/digests.rs
+++ b/crates/cell/src/job_scheduler/digests.rs
@@ -83,12 +83,12 @@
         for (rack, workers) in &mut self.preemptible {
             let positions = self.positions.get(rack)?;
             for ((urgent, lent), position) in workers.iter_mut().zip(positions) {
-                let yields = if band == Band::Urgent { *urgent } else { *lent };
+                let yielded = if band == Band::Urgent { *urgent } else { *lent };
                 let free = self
                     .index
                     .capacity(*position)
                     .map_or(Size::ZERO, |capacity| capacity.free);
-                if yields == Size::ZERO || !size.fits(free.plus(yields)) {
+                if yielded == Size::ZERO || !size.fits(free.plus(yielded)) {
                     continue;
                 }
                 let needed = size.saturating_minus(free);
@@ -106,7 +106,7 @@
     pub fn free(&self) -> Size {
         (0..self.index.len())
             .filter_map(|at| self.index.capacity(at))
-            .map(|r| r.free)
+            .map(|capacity| capacity.free)
             .sum()
     }
 }
--- a/crates/cell/src/job_scheduler/job.rs
+++ b/crates/cell/src/job_scheduler/job.rs
@@ -102,8 +102,8 @@
         tracked.queue.clear();
         for (first, last) in saved.finished {
             for index in first..=last {
-                if let Some(part) = tracked.tasks.get_mut(index as usize) {
-                    *part = TaskState::Finished;
+                if let Some(task) = tracked.tasks.get_mut(index as usize) {
+                    *task = TaskState::Finished;
                 }
             }
         }
@@ -112,8 +112,8 @@
 
     pub(super) fn saved(&self) -> SavedJob {
         let mut finished: Vec<(u32, u32)> = Vec::new();
-        for (index, part) in (0u32..).zip(&self.tasks) {
-            if *part != TaskState::Finished {
+        for (index, task) in (0u32..).zip(&self.tasks) {
+            if *task != TaskState::Finished {
                 continue;
             }
             match finished.last_mut() {
@@ -206,11 +206,11 @@
             Shape::Service => Band::Standing,
             Shape::Batch | Shape::Gang => Band::Normal,
         };
-        if let Some(part) = self.tasks.get_mut(index as usize)
-            && *part == TaskState::Unknown
+        if let Some(task) = self.tasks.get_mut(index as usize)
+            && *task == TaskState::Unknown
         {
             let rack = rack.to_owned();
-            *part = TaskState::Placed {
+            *task = TaskState::Placed {
                 rack,
                 attempt,
                 band,
@@ -228,8 +228,8 @@
         if !unknown && !self.is_current_attempt(index, attempt) {
             return;
         }
-        if let Some(part) = self.tasks.get_mut(index as usize) {
-            *part = TaskState::Finished;
+        if let Some(task) = self.tasks.get_mut(index as usize) {
+            *task = TaskState::Finished;
         }
         let all = self.tasks.iter().all(|p| *p == TaskState::Finished);
         if all && !self.phase.is_over() {
@@ -265,7 +265,7 @@
         rack: &str,
         held: &impl Fn(u32, u64, &Job) -> bool,
     ) {
-        let missing = |(index, part): (u32, &TaskState)| match part {
+        let missing = |(index, task): (u32, &TaskState)| match task {
             TaskState::Placed {
                 rack: r, attempt, ..
             } if r == rack => (!held(index, *attempt, &self.job)).then_some((index, *attempt)),
@@ -330,8 +330,8 @@
     }
 
     fn requeue(&mut self, index: u32, saved_ms: u64) {
-        if let Some(part) = self.tasks.get_mut(index as usize) {
-            *part = TaskState::Waiting { saved_ms };
+        if let Some(task) = self.tasks.get_mut(index as usize) {
+            *task = TaskState::Waiting { saved_ms };
             self.queue.push_back(index);
         }
     }
--- a/crates/cell/src/job_scheduler/schedule.rs
+++ b/crates/cell/src/job_scheduler/schedule.rs
@@ -105,7 +105,7 @@
             used.get(team).map_or(0.0, |(used, _)| used.share(quota))
         };
         let by_size = cell.policy.batch == Pack::BestFit;
-        let turn = |name: &JobKey| {
+        let rank = |name: &JobKey| {
             let tracked = self.jobs.get(name)?;
             let class = match (tracked.job.urgent, tracked.job.shape) {
                 (true, _) => 0,
@@ -114,22 +114,22 @@
             };
             // Large tasks go first, since small ones fill the gaps between them. A job that many
             // others have overtaken goes before all of them, or it could wait indefinitely.
-            let passed = self.arrivals > tracked.arrival + MAX_OVERTAKING_JOBS;
+            let overtaken = self.arrivals > tracked.arrival + MAX_OVERTAKING_JOBS;
             let size = match class {
-                2 if by_size && passed => f64::INFINITY,
+                2 if by_size && overtaken => f64::INFINITY,
                 2 if by_size => tracked.job.size.share(cell.worker),
                 _ => 0.0,
             };
             Some((class, share(&name.0), -size, tracked.arrival, name.clone()))
         };
-        let mut turns: Vec<_> = self.waiting.iter().filter_map(turn).collect();
-        turns.sort_by(|a, b| {
+        let mut ranked: Vec<_> = self.waiting.iter().filter_map(rank).collect();
+        ranked.sort_by(|a, b| {
             a.0.cmp(&b.0)
                 .then(a.1.total_cmp(&b.1))
                 .then(a.2.total_cmp(&b.2))
                 .then(a.3.cmp(&b.3))
         });
-        turns.into_iter().map(|(.., name)| name).collect()
+        ranked.into_iter().map(|(.., name)| name).collect()
     }
 
     fn is_overtaken(&self, name: &JobKey) -> bool {
@@ -184,11 +184,11 @@
         digests: &mut Digests,
     ) -> Option<Dispatch> {
         let tracked = self.jobs.get_mut(name)?;
-        let whole = tracked
+        let all_waiting = tracked
             .tasks
             .iter()
             .all(|p| matches!(p, TaskState::Waiting { .. }));
-        if tracked.has_broken_gang() && !tracked.racks().is_empty() || !whole {
+        if tracked.has_broken_gang() && !tracked.racks().is_empty() || !all_waiting {
             return None;
         }
         tracked.clear_broken_gang();
@@ -233,8 +233,8 @@
     /// Band of one more task of a job; `None` if the task must wait.
     fn band(&self, name: &JobKey, cell: &Cell, used: Size) -> Option<Band> {
         let job = &self.jobs.get(name)?.job;
-        let standing = quota(cell, &name.0, used).status_with(job.size);
-        match (standing, job.shape) {
+        let quota_status = quota(cell, &name.0, used).status_with(job.size);
+        match (quota_status, job.shape) {
             (QuotaStatus::Within, _) if job.urgent => Some(Band::Urgent),
             (QuotaStatus::Within, Shape::Service) => Some(Band::Standing),
             (QuotaStatus::Within, _) => Some(Band::Normal),
--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -244,7 +244,7 @@
             task: t.id().clone(),
             size: t.task.size,
         };
-        let news = self
+        let events = self
             .events
             .iter()
             .filter(|(h, _)| h == home)
@@ -253,14 +253,14 @@
             rack: self.name.clone(),
             complete: complete && self.active,
             holdings: of_home.map(holding).collect(),
-            news: news.collect(),
+            news: events.collect(),
         }
     }
 
     /// Free and preemptible capacity of the rack.
     #[must_use]
     pub fn digest(&self, now: Now) -> Digest {
-        let open = || {
+        let accepting = || {
             self.hosts
                 .iter()
                 .filter(|(_, h)| self.active && h.accepts_work(now))
@@ -268,13 +268,13 @@
         Digest {
             rack: self.name.clone(),
             epoch: self.epoch,
-            free: open()
+            free: accepting()
                 .map(|(name, host)| self.free_capacity(name, host))
                 .collect(),
-            yielding: open()
+            yielding: accepting()
                 .map(|(name, _)| self.preemptible_size(name, Band::Urgent))
                 .collect(),
-            lent: open()
+            lent: accepting()
                 .map(|(name, _)| self.preemptible_size(name, Band::Normal))
                 .collect(),
         }
@@ -287,10 +287,10 @@
     }
 
     /// The owner of this home rack has recorded these events.
-    pub fn confirm_events(&mut self, home: &str, seen: &[Event]) {
+    pub fn confirm_events(&mut self, home: &str, confirmed: &[Event]) {
         self.events
-            .retain(|(h, event)| h != home || !seen.contains(event));
-        let ended = seen.iter().filter(|event| event.fate.is_over());
+            .retain(|(h, event)| h != home || !confirmed.contains(event));
+        let ended = confirmed.iter().filter(|event| event.fate.is_over());
         for event in ended {
             for host in self.hosts.values_mut() {
                 host.forget.push(event.task.clone());
@@ -301,7 +301,7 @@
     /// State of the rack for operators.
     #[must_use]
     pub fn status(&self, stage: &str, now: Now) -> RackStatus {
-        let host = |(name, host): (&id::Worker, &WorkerState)| {
+        let worker_status = |(name, host): (&id::Worker, &WorkerState)| {
             let free = self.free_capacity(name, host);
             (
                 name.clone(),
@@ -313,7 +313,7 @@
             rack: self.name.clone(),
             epoch: self.epoch,
             stage: stage.to_owned(),
-            workers: self.hosts.iter().map(host).collect(),
+            workers: self.hosts.iter().map(worker_status).collect(),
             tasks: self.tasks.len() as u32,
             waiting: self.quick.len() as u32,
             teams: Vec::new(),
@@ -328,13 +328,13 @@
 
     /// Capacity of a worker that is neither used nor reserved.
     fn free_capacity(&self, worker: &str, host: &WorkerState) -> Size {
-        let taken = self
+        let reserved = self
             .tasks
             .values()
             .filter(|t| t.worker == worker)
             .map(|t| t.reserved)
             .sum();
-        host.size.saturating_minus(taken)
+        host.size.saturating_minus(reserved)
     }
 
     /// Capacity of a worker that is not occupied at this moment: attempts that still wait for
@@ -350,17 +350,21 @@
 
     /// Capacity of a worker that batch tasks use and that work of this band may preempt.
     fn preemptible_size(&self, worker: &str, band: Band) -> Size {
-        let batch = |t: &&Attempt| {
+        let preemptible = |t: &&Attempt| {
             t.worker == worker
                 && t.task.shape == Shape::Batch
                 && place::yields_to(t.task.band, band)
                 && matches!(t.state, AttemptState::Running { .. })
         };
-        self.tasks.values().filter(batch).map(|t| t.reserved).sum()
+        self.tasks
+            .values()
+            .filter(preemptible)
+            .map(|t| t.reserved)
+            .sum()
     }
 
     fn candidates(&self, now: Now, siblings_of: &TaskId) -> (Vec<id::Worker>, Vec<Capacity>) {
-        let open = self.hosts.iter().filter(|(_, host)| host.accepts_work(now));
+        let accepting = self.hosts.iter().filter(|(_, host)| host.accepts_work(now));
         let candidate = |(name, host): (&id::Worker, &WorkerState)| {
             let sibling = |t: &&Attempt| {
                 t.worker == *name
@@ -377,7 +381,7 @@
                 },
             )
         };
-        open.map(candidate).unzip()
+        accepting.map(candidate).unzip()
     }
 
     /// Removes an attempt that can't run any longer, and records an event for its job's owner.
--- a/crates/cell/src/rack/heartbeat.rs
+++ b/crates/cell/src/rack/heartbeat.rs
@@ -85,11 +85,11 @@
         }
         let on_worker = self.tasks.values().filter(|t| t.worker == worker);
         let listed = |id: &TaskId| report.tasks.iter().any(|r| r.task.id == *id);
-        let silent: Vec<(TaskId, AttemptState)> = on_worker
+        let unlisted: Vec<(TaskId, AttemptState)> = on_worker
             .filter(|t| !listed(t.id()))
             .map(|t| (t.id().clone(), t.state))
             .collect();
-        for (id, state) in silent {
+        for (id, state) in unlisted {
             match state {
                 // The worker's clock is past the latest moment at which the task could start.
                 AttemptState::Starting { not_after, .. } if report.clock > not_after => {
@@ -109,7 +109,7 @@
     fn attempt_ended(&mut self, worker: &str, ended: &EndedTask, now: Now) {
         let known = self.tasks.remove(&ended.task).is_some();
         let host = self.hosts.get_mut(worker);
-        let forgetting = host
+        let recorded = host
             .as_ref()
             .is_some_and(|h| h.forget.contains(&ended.task));
         if known && let Some(host) = host {
@@ -119,7 +119,7 @@
                 _ => {}
             }
         }
-        if known || !forgetting {
+        if known || !recorded {
             self.record_event(ended.home.clone(), ended.task.clone(), ended.fate);
         }
     }
@@ -190,8 +190,8 @@
 
     /// Ends the tasks of workers that have not answered until their leases expired.
     fn end_expired_attempts(&mut self, now: Now) {
-        let lapsed = |renewed: Now| now > renewed + TASK_LEASE + TASK_LEASE / 50;
-        let hosts = self.hosts.iter().filter(|(_, h)| lapsed(h.leases_renewed));
+        let expired = |renewed: Now| now > renewed + TASK_LEASE + TASK_LEASE / 50;
+        let hosts = self.hosts.iter().filter(|(_, h)| expired(h.leases_renewed));
         let silent: Vec<String> = hosts.map(|(name, _)| name.clone()).collect();
         for worker in silent {
             // All of these were started before the last renewal, since an unresponsive worker is
--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -216,7 +216,7 @@
         if task.band == Band::Borrowed {
             return None;
         }
-        let open = self.hosts.iter().filter(|(_, host)| host.accepts_work(now));
+        let accepting = self.hosts.iter().filter(|(_, host)| host.accepts_work(now));
         let eviction = |worker: &id::Worker, free| {
             let lower = self.tasks.values().filter(|t| {
                 t.worker == *worker
@@ -236,7 +236,7 @@
             Some((ids.len(), loss, worker.clone(), ids))
         };
         let evictions =
-            open.filter_map(|(name, host)| eviction(name, self.free_capacity(name, host)));
+            accepting.filter_map(|(name, host)| eviction(name, self.free_capacity(name, host)));
         let (_, _, worker, ids) = evictions.min_by_key(|(n, loss, ..)| (*n, *loss))?;
         let state = AttemptState::Awaiting {
             until: now + EVICTION_TIMEOUT,
--- a/crates/cell/tests/losses.rs
+++ b/crates/cell/tests/losses.rs
@@ -11,8 +11,8 @@
 /// tolerance.
 const STARTS_MOST: usize = 5;
 
-/// Guards against starting a task without end that crashes its workers: a lost attempt doesn't
-/// count as a failed one.
+/// Guards against endless restarts of a task that crashes its workers, which come about because a
+/// lost attempt doesn't count as a failed one.
 #[test]
 fn a_batch_task_whose_workers_crash_is_given_up() {
     let cell = Builder::new("test")
--- a/crates/cell/tests/rack.rs
+++ b/crates/cell/tests/rack.rs
@@ -168,10 +168,10 @@
     let expires = NOW + Duration::from_secs(1);
     let start = |rack: &mut Rack| {
         rack.enqueue(0, "seat", expires, NOW).unwrap();
-        let Next::Start(go) = rack.start_next(NOW) else {
+        let Next::Start(run) = rack.start_next(NOW) else {
             panic!("nothing starts")
         };
-        go
+        run
     };
     let mut earlier = rack();
     let old = start(&mut earlier);
