--- a/crates/cell/src/attempt.rs
+++ b/crates/cell/src/attempt.rs
@@ -46,9 +46,9 @@
     Unknown,
 }
 
-/// State of an attempt.
+/// Phase of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum AttemptState {
+pub(crate) enum AttemptPhase {
     /// Capacity is held for a gang that is not complete yet.
     Held { until: Now },
     /// Waits until other tasks have been stopped to free capacity.
@@ -72,11 +72,11 @@
     pub(crate) peak: Size,
     /// Number of usage reports that `peak` is based on.
     pub(crate) usage_reports: u32,
-    pub(crate) state: AttemptState,
+    pub(crate) phase: AttemptPhase,
 }
 
 impl Attempt {
-    pub(crate) fn new(task: Task, worker: &str, state: AttemptState) -> Self {
+    pub(crate) fn new(task: Task, worker: &str, phase: AttemptPhase) -> Self {
         let reserved = task.size;
         Self {
             task,
@@ -84,13 +84,13 @@
             reserved,
             peak: Size::ZERO,
             usage_reports: 0,
-            state,
+            phase,
         }
     }
 
     /// Whether it may be running on its worker, or has capacity held for it there.
     pub(crate) const fn occupies(&self) -> bool {
-        !matches!(self.state, AttemptState::Awaiting { .. })
+        !matches!(self.phase, AttemptPhase::Awaiting { .. })
     }
 
     pub(crate) const fn id(&self) -> &TaskId {
--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -13,7 +13,7 @@
 use wire::{Band, Digest, Event, Fate, Holding, Inventory, RackStatus, Seniority, Shape, TaskId};
 use worker::call::Adopted;
 
-use crate::attempt::{Attempt, AttemptState};
+use crate::attempt::{Attempt, AttemptPhase};
 use crate::fence::{Authority, Roster};
 use crate::quick_queue::QuickQueue;
 use crate::worker_state::WorkerState;
@@ -354,7 +354,7 @@
             t.worker == worker
                 && t.task.shape == Shape::Batch
                 && place::yields_to(t.task.band, band)
-                && matches!(t.state, AttemptState::Running { .. })
+                && matches!(t.phase, AttemptPhase::Running { .. })
         };
         self.tasks
             .values()
--- a/crates/cell/src/rack/heartbeat.rs
+++ b/crates/cell/src/rack/heartbeat.rs
@@ -8,7 +8,7 @@
 
 use super::Rack;
 use super::place::TASK_LEASE;
-use crate::attempt::{Attempt, AttemptState, Command, fate_of_stop};
+use crate::attempt::{Attempt, AttemptPhase, Command, fate_of_stop};
 use crate::{Clock, Now};
 
 /// A worker that has not answered for this long gets heartbeats that renew nothing, so that its
@@ -85,20 +85,20 @@
         }
         let on_worker = self.tasks.values().filter(|t| t.worker == worker);
         let listed = |id: &TaskId| report.tasks.iter().any(|r| r.task.id == *id);
-        let unlisted: Vec<(TaskId, AttemptState)> = on_worker
+        let unlisted: Vec<(TaskId, AttemptPhase)> = on_worker
             .filter(|t| !listed(t.id()))
-            .map(|t| (t.id().clone(), t.state))
+            .map(|t| (t.id().clone(), t.phase))
             .collect();
-        for (id, state) in unlisted {
-            match state {
+        for (id, phase) in unlisted {
+            match phase {
                 // The worker's clock is past the latest moment at which the task could start.
-                AttemptState::Starting { not_after, .. } if report.clock > not_after => {
+                AttemptPhase::Starting { not_after, .. } if report.clock > not_after => {
                     self.end_attempt(&id, Fate::NotStarted);
                 }
-                AttemptState::Running { since } if since < sent => {
+                AttemptPhase::Running { since } if since < sent => {
                     self.end_attempt(&id, Fate::Lost);
                 }
-                AttemptState::Stopping { since, preempted } if since < sent => {
+                AttemptPhase::Stopping { since, preempted } if since < sent => {
                     self.end_attempt(&id, fate_of_stop(preempted, 0));
                 }
                 _ => {}
@@ -127,10 +127,10 @@
     fn attempt_running(&mut self, worker: &str, running: &RunningTask, now: Now) {
         let id = &running.task.id;
         if !self.tasks.contains_key(id) {
-            let state = AttemptState::Running { since: now };
+            let phase = AttemptPhase::Running { since: now };
             self.tasks.insert(
                 id.clone(),
-                Attempt::new(running.task.clone(), worker, state),
+                Attempt::new(running.task.clone(), worker, phase),
             );
             self.record_event(running.task.home.clone(), id.clone(), Fate::Running);
         }
@@ -138,8 +138,8 @@
         let Some(attempt) = self.tasks.get_mut(id) else {
             return;
         };
-        if matches!(attempt.state, AttemptState::Starting { .. }) {
-            attempt.state = AttemptState::Running { since: now };
+        if matches!(attempt.phase, AttemptPhase::Starting { .. }) {
+            attempt.phase = AttemptPhase::Running { since: now };
             let home = attempt.task.home.clone();
             self.record_event(home, id.clone(), Fate::Running);
         }
@@ -205,8 +205,8 @@
     }
 
     fn repeat_stops(&mut self, now: Now) -> Vec<Command> {
-        let due = |t: &&Attempt| match t.state {
-            AttemptState::Stopping { since, .. } => now > since + STOP_RETRY_DELAY,
+        let due = |t: &&Attempt| match t.phase {
+            AttemptPhase::Stopping { since, .. } => now > since + STOP_RETRY_DELAY,
             _ => false,
         };
         let due: Vec<TaskId> = self
@@ -220,10 +220,10 @@
             let Some(attempt) = self.tasks.get_mut(&id) else {
                 continue;
             };
-            let AttemptState::Stopping { preempted, .. } = attempt.state else {
+            let AttemptPhase::Stopping { preempted, .. } = attempt.phase else {
                 continue;
             };
-            attempt.state = AttemptState::Running { since: now };
+            attempt.phase = AttemptPhase::Running { since: now };
             commands.extend(self.stop_attempt(&id, preempted, false, now));
         }
         commands
--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -10,7 +10,7 @@
 
 use super::Rack;
 use crate::Now;
-use crate::attempt::{Attempt, AttemptState, Command, Outcome, fate_of_stop};
+use crate::attempt::{Attempt, AttemptPhase, Command, Outcome, fate_of_stop};
 
 /// How long a task may run without a heartbeat.
 pub const TASK_LEASE: Duration = Duration::from_secs(10);
@@ -52,7 +52,7 @@
     /// Starts a gang that is held here; `None` if the hold has expired.
     pub fn commit(&mut self, gang: &Gang, now: Now) -> Option<Vec<Command>> {
         let members = self.gang_attempts(gang);
-        let held = |id: &TaskId| matches!(self.tasks[id].state, AttemptState::Held { .. });
+        let held = |id: &TaskId| matches!(self.tasks[id].phase, AttemptPhase::Held { .. });
         if !self.may_act(now) || members.is_empty() || !members.iter().all(held) {
             return None;
         }
@@ -87,12 +87,12 @@
         let Some(attempt) = self.tasks.get_mut(id) else {
             return;
         };
-        if !matches!(attempt.state, AttemptState::Starting { .. }) {
+        if !matches!(attempt.phase, AttemptPhase::Starting { .. }) {
             return;
         }
         match outcome {
             Outcome::Done { .. } => {
-                attempt.state = AttemptState::Running { since: now };
+                attempt.phase = AttemptPhase::Running { since: now };
                 let home = attempt.task.home.clone();
                 self.record_event(home, id.clone(), wire::Fate::Running);
             }
@@ -106,9 +106,9 @@
         let Some(attempt) = self.tasks.get(id) else {
             return Vec::new();
         };
-        let (host, state) = (attempt.worker.clone(), attempt.state);
-        if let (AttemptState::Stopping { preempted, .. }, Outcome::Done { saved_ms }) =
-            (state, outcome)
+        let (host, phase) = (attempt.worker.clone(), attempt.phase);
+        if let (AttemptPhase::Stopping { preempted, .. }, Outcome::Done { saved_ms }) =
+            (phase, outcome)
         {
             self.end_attempt(id, fate_of_stop(preempted, saved_ms));
         }
@@ -122,7 +122,7 @@
         };
         let mut available = self.unoccupied_capacity(worker, host);
         let waits =
-            |t: &&Attempt| t.worker == worker && matches!(t.state, AttemptState::Awaiting { .. });
+            |t: &&Attempt| t.worker == worker && matches!(t.phase, AttemptPhase::Awaiting { .. });
         let waiting: Vec<TaskId> = self
             .tasks
             .values()
@@ -142,8 +142,8 @@
 
     /// Releases capacity that was held or awaited for too long.
     pub(super) fn expire_holds(&mut self, now: Now) {
-        let due = |t: &&Attempt| match t.state {
-            AttemptState::Held { until } | AttemptState::Awaiting { until } => until <= now,
+        let due = |t: &&Attempt| match t.phase {
+            AttemptPhase::Held { until } | AttemptPhase::Awaiting { until } => until <= now,
             _ => false,
         };
         let due: Vec<TaskId> = self
@@ -164,9 +164,9 @@
                 return Placement::Placed;
             }
             if let Some(worker) = self.choose_worker(task, now) {
-                let state = AttemptState::Awaiting { until: now };
+                let phase = AttemptPhase::Awaiting { until: now };
                 self.tasks
-                    .insert(task.id.clone(), Attempt::new(task.clone(), &worker, state));
+                    .insert(task.id.clone(), Attempt::new(task.clone(), &worker, phase));
                 commands.extend(self.launch(&task.id, now));
                 return Placement::Placed;
             }
@@ -192,11 +192,11 @@
                 }
                 return vec![Placement::Full; tasks.len()];
             };
-            let state = AttemptState::Held {
+            let phase = AttemptPhase::Held {
                 until: now + GANG_HOLD_TIMEOUT,
             };
             self.tasks
-                .insert(task.id.clone(), Attempt::new(task.clone(), &worker, state));
+                .insert(task.id.clone(), Attempt::new(task.clone(), &worker, phase));
         }
         vec![Placement::Placed; tasks.len()]
     }
@@ -222,7 +222,7 @@
                 t.worker == *worker
                     && t.task.shape == Shape::Batch
                     && yields_to(t.task.band, task.band)
-                    && matches!(t.state, AttemptState::Running { .. })
+                    && matches!(t.phase, AttemptPhase::Running { .. })
             });
             let lower: Vec<&Attempt> = lower.collect();
             let victim = |t: &&Attempt| Victim {
@@ -238,11 +238,11 @@
         let evictions =
             accepting.filter_map(|(name, host)| eviction(name, self.free_capacity(name, host)));
         let (_, _, worker, ids) = evictions.min_by_key(|(n, loss, ..)| (*n, *loss))?;
-        let state = AttemptState::Awaiting {
+        let phase = AttemptPhase::Awaiting {
             until: now + EVICTION_TIMEOUT,
         };
         self.tasks
-            .insert(task.id.clone(), Attempt::new(task.clone(), &worker, state));
+            .insert(task.id.clone(), Attempt::new(task.clone(), &worker, phase));
         Some(
             ids.iter()
                 .filter_map(|id| self.stop_attempt(id, true, true, now))
@@ -258,7 +258,7 @@
         host.work_sent();
         host.leases_renewed = host.leases_renewed.max(until);
         let not_after = host.earliest_moment(until);
-        attempt.state = AttemptState::Starting {
+        attempt.phase = AttemptPhase::Starting {
             not_after,
             sent: now,
         };
@@ -285,15 +285,15 @@
     ) -> Option<Command> {
         let attempt = self.tasks.get_mut(id)?;
         if !matches!(
-            attempt.state,
-            AttemptState::Starting { .. } | AttemptState::Running { .. }
+            attempt.phase,
+            AttemptPhase::Starting { .. } | AttemptPhase::Running { .. }
         ) {
-            if !matches!(attempt.state, AttemptState::Stopping { .. }) {
+            if !matches!(attempt.phase, AttemptPhase::Stopping { .. }) {
                 self.end_attempt(id, wire::Fate::NotStarted);
             }
             return None;
         }
-        attempt.state = AttemptState::Stopping {
+        attempt.phase = AttemptPhase::Stopping {
             since: now,
             preempted,
         };
@@ -327,8 +327,8 @@
 
 /// Work that a task loses if its checkpoint fails, in milliseconds.
 fn unsaved_work_ms(attempt: &Attempt, now: Now) -> u64 {
-    match attempt.state {
-        AttemptState::Running { since } => now.saturating_sub(since).as_millis() as u64,
+    match attempt.phase {
+        AttemptPhase::Running { since } => now.saturating_sub(since).as_millis() as u64,
         _ => 0,
     }
 }
