--- a/crates/cell/src/attempt.rs
+++ b/crates/cell/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt to run a task, as seen by the owner of its rack.
 
 use resource::{Size, id};
-use wire::{Fate, Task, TaskId};
+use wire::{AttemptState, Task, TaskId};
 use worker::call::{Moment, Start, Stop, Throttle};
 
 use crate::Now;
@@ -99,10 +99,10 @@
 }
 
 /// The fate of an attempt that ended after a stop command.
-pub(crate) const fn fate_of_stop(preempted: bool, saved_ms: u64) -> Fate {
+pub(crate) const fn fate_of_stop(preempted: bool, saved_ms: u64) -> AttemptState {
     if preempted {
-        Fate::Preempted { saved_ms }
+        AttemptState::Preempted { saved_ms }
     } else {
-        Fate::Lost
+        AttemptState::Lost
     }
 }
--- a/crates/cell/src/job_scheduler.rs
+++ b/crates/cell/src/job_scheduler.rs
@@ -14,7 +14,9 @@
 
 use config::Cell;
 use resource::{Size, id};
-use wire::{Event, Fate, Fault, Inventory, Job, Kind, Phase, Placed, Placement, Shape, State};
+use wire::{
+    AttemptState, Event, Fault, Inventory, Job, Kind, Phase, PlaceReply, Placement, Shape, State,
+};
 
 pub use digests::Digests;
 pub use job::SavedJob;
@@ -138,7 +140,7 @@
     }
 
     /// Applies the reply of a rack's owner to an order.
-    pub fn order_answered(&mut self, order: &wire::Order, reply: &Placed) {
+    pub fn order_answered(&mut self, order: &wire::PlaceRequest, reply: &PlaceReply) {
         for (task, placement) in order.tasks.iter().zip(&reply.placements) {
             if *placement == Placement::Placed {
                 continue;
@@ -177,7 +179,7 @@
         if !self.unknown_racks.contains_key(&inventory.rack) {
             return;
         }
-        for event in &inventory.news {
+        for event in &inventory.unconfirmed {
             self.apply_event(event);
         }
         for holding in &inventory.holdings {
@@ -217,15 +219,15 @@
         let Some(tracked) = self.jobs.get_mut(&name) else {
             return;
         };
-        match event.fate {
-            Fate::Running => tracked.attempt_running(id.index, id.attempt),
-            Fate::Finished => tracked.attempt_finished(id.index, id.attempt),
+        match event.state {
+            AttemptState::Running => tracked.attempt_running(id.index, id.attempt),
+            AttemptState::Finished => tracked.attempt_finished(id.index, id.attempt),
             fate => tracked.attempt_ended(id.index, id.attempt, fate),
         }
         if tracked.has_waiting_tasks() {
             self.waiting.insert(name.clone());
         }
-        if !matches!(event.fate, Fate::Running) {
+        if !matches!(event.state, AttemptState::Running) {
             self.dirty.insert(name);
         }
     }
@@ -288,9 +290,9 @@
     }
 
     /// Identifies the next message of this owner.
-    pub fn next_serial(&mut self) -> wire::Seniority {
+    pub fn next_serial(&mut self) -> wire::FencingToken {
         self.serial += 1;
-        wire::Seniority {
+        wire::FencingToken {
             home: self.home.clone(),
             epoch: self.epoch,
             serial: self.serial,
--- a/crates/cell/src/job_scheduler/job.rs
+++ b/crates/cell/src/job_scheduler/job.rs
@@ -4,7 +4,7 @@
 
 use resource::{Size, id};
 use serde::{Deserialize, Serialize};
-use wire::{Band, Fate, Gang, Job, Phase, Shape, State};
+use wire::{AttemptState, Band, Gang, Job, Phase, Shape, State};
 
 /// A job fails after this many failed attempts per task, counted over all its tasks together.
 const MAX_FAILURES_PER_TASK: u32 = 8;
@@ -238,17 +238,17 @@
     }
 
     /// Records that an attempt ended before its work was done, and queues the task again.
-    pub(super) fn attempt_ended(&mut self, index: u32, attempt: u64, fate: Fate) {
+    pub(super) fn attempt_ended(&mut self, index: u32, attempt: u64, fate: AttemptState) {
         if !self.is_current_attempt(index, attempt) {
             return;
         }
         let saved_ms = match fate {
-            Fate::Preempted { saved_ms } => saved_ms,
+            AttemptState::Preempted { saved_ms } => saved_ms,
             _ => 0,
         };
         self.restarts += 1;
         self.requeue(index, saved_ms);
-        if fate == Fate::Failed {
+        if fate == AttemptState::Failed {
             self.failures += 1;
             if self.failures >= MAX_FAILURES_PER_TASK * self.job.tasks && !self.phase.is_over() {
                 self.phase = Phase::Failed;
--- a/crates/cell/src/job_scheduler/schedule.rs
+++ b/crates/cell/src/job_scheduler/schedule.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use config::{Cell, Pack};
+use config::{Cell, PackingRule};
 use policy::{Quota, QuotaStatus, Rule};
 use resource::{Size, id};
-use wire::{Band, Gang, Mode, Order, Shape, Task, TaskId};
+use wire::{Band, Gang, Mode, PlaceRequest, Shape, Task, TaskId};
 
 use super::job::TaskState;
 use super::{Digests, JobKey, JobScheduler};
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Dispatch {
     /// Start each of these tasks independently.
-    Start(Order),
+    Start(PlaceRequest),
     /// Hold capacity on all these racks, in this order; then start the whole gang, or release all
     /// of the holds.
     Gang {
@@ -32,7 +32,7 @@
         gang: Gang,
         /// One order per rack, sorted by rack name: two gangs that take racks in the same order
         /// can't deadlock.
-        orders: Vec<Order>,
+        orders: Vec<PlaceRequest>,
     },
 }
 
@@ -78,7 +78,7 @@
         }
         for (rack, tasks) in orders {
             let from = self.next_serial();
-            dispatches.push(Dispatch::Start(Order {
+            dispatches.push(Dispatch::Start(PlaceRequest {
                 epoch: digests.epoch(&rack),
                 rack,
                 from,
@@ -104,7 +104,7 @@
             let quota = cell.team(team).map_or(Size::ZERO, |t| t.quota);
             used.get(team).map_or(0.0, |(used, _)| used.share(quota))
         };
-        let by_size = cell.policy.batch == Pack::BestFit;
+        let by_size = cell.policy.batch == PackingRule::BestFit;
         let rank = |name: &JobKey| {
             let tracked = self.jobs.get(name)?;
             let class = match (tracked.job.urgent, tracked.job.shape) {
@@ -218,7 +218,7 @@
         };
         let order = |(rack, tasks): (id::Rack, Vec<Task>)| {
             let from = self.next_serial();
-            Order {
+            PlaceRequest {
                 epoch: digests.epoch(&rack),
                 rack,
                 from,
--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -10,7 +10,9 @@
 
 use policy::{Capacity, Rule};
 use resource::{Size, id};
-use wire::{Band, Digest, Event, Fate, Holding, Inventory, RackStatus, Seniority, Shape, TaskId};
+use wire::{
+    AttemptState, Band, Digest, Event, FencingToken, Holding, Inventory, RackStatus, Shape, TaskId,
+};
 use worker::call::Adopted;
 
 use crate::attempt::{Attempt, AttemptPhase};
@@ -214,13 +216,13 @@
             .map(|t| t.id().clone())
             .collect();
         for id in ended {
-            self.end_attempt(&id, Fate::Lost);
+            self.end_attempt(&id, AttemptState::Lost);
         }
     }
 
     /// Accepts a message from the owner of a home rack; `false` if a later message was accepted
     /// before.
-    pub fn accept_message(&mut self, from: &Seniority) -> bool {
+    pub fn accept_message(&mut self, from: &FencingToken) -> bool {
         let latest = self.last_messages.entry(from.home.clone()).or_default();
         let message = (from.epoch, from.serial);
         if message <= *latest {
@@ -253,7 +255,7 @@
             rack: self.name.clone(),
             complete: complete && self.active,
             holdings: of_home.map(holding).collect(),
-            news: events.collect(),
+            unconfirmed: events.collect(),
         }
     }
 
@@ -290,7 +292,7 @@
     pub fn confirm_events(&mut self, home: &str, confirmed: &[Event]) {
         self.events
             .retain(|(h, event)| h != home || !confirmed.contains(event));
-        let ended = confirmed.iter().filter(|event| event.fate.is_over());
+        let ended = confirmed.iter().filter(|event| event.state.is_over());
         for event in ended {
             for host in self.hosts.values_mut() {
                 host.forget.push(event.task.clone());
@@ -385,14 +387,14 @@
     }
 
     /// Removes an attempt that can't run any longer, and records an event for its job's owner.
-    fn end_attempt(&mut self, id: &TaskId, fate: Fate) {
+    fn end_attempt(&mut self, id: &TaskId, fate: AttemptState) {
         if let Some(attempt) = self.tasks.remove(id) {
             self.record_event(attempt.task.home, id.clone(), fate);
         }
     }
 
-    fn record_event(&mut self, home: id::Rack, task: TaskId, fate: Fate) {
-        let event = Event { task, fate };
+    fn record_event(&mut self, home: id::Rack, task: TaskId, fate: AttemptState) {
+        let event = Event { task, state: fate };
         if !self.events.iter().any(|(h, e)| *h == home && *e == event) {
             self.events.push((home, event));
         }
--- a/crates/cell/src/rack/heartbeat.rs
+++ b/crates/cell/src/rack/heartbeat.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use policy::correct;
-use wire::{Fate, Shape, TaskId};
+use wire::{AttemptState, Shape, TaskId};
 use worker::call::{EndedTask, Heartbeat, Report, RunningTask, Throttle};
 
 use super::Rack;
@@ -93,10 +93,10 @@
             match phase {
                 // The worker's clock is past the latest moment at which the task could start.
                 AttemptPhase::Starting { not_after, .. } if report.clock > not_after => {
-                    self.end_attempt(&id, Fate::NotStarted);
+                    self.end_attempt(&id, AttemptState::NotStarted);
                 }
                 AttemptPhase::Running { since } if since < sent => {
-                    self.end_attempt(&id, Fate::Lost);
+                    self.end_attempt(&id, AttemptState::Lost);
                 }
                 AttemptPhase::Stopping { since, preempted } if since < sent => {
                     self.end_attempt(&id, fate_of_stop(preempted, 0));
@@ -114,8 +114,8 @@
             .is_some_and(|h| h.forget.contains(&ended.task));
         if known && let Some(host) = host {
             match ended.fate {
-                Fate::Finished => host.record_outcome(false, now),
-                Fate::Failed => host.record_outcome(true, now),
+                AttemptState::Finished => host.record_outcome(false, now),
+                AttemptState::Failed => host.record_outcome(true, now),
                 _ => {}
             }
         }
@@ -132,7 +132,7 @@
                 id.clone(),
                 Attempt::new(running.task.clone(), worker, phase),
             );
-            self.record_event(running.task.home.clone(), id.clone(), Fate::Running);
+            self.record_event(running.task.home.clone(), id.clone(), AttemptState::Running);
         }
         let (margin, reclaim) = (self.settings.usage_margin, self.settings.reclaim);
         let Some(attempt) = self.tasks.get_mut(id) else {
@@ -141,7 +141,7 @@
         if matches!(attempt.phase, AttemptPhase::Starting { .. }) {
             attempt.phase = AttemptPhase::Running { since: now };
             let home = attempt.task.home.clone();
-            self.record_event(home, id.clone(), Fate::Running);
+            self.record_event(home, id.clone(), AttemptState::Running);
         }
         if let Some(attempt) = self.tasks.get_mut(id) {
             record_usage(attempt, running, margin, reclaim);
@@ -199,7 +199,7 @@
             let on_worker = self.tasks.values().filter(|t| t.worker == worker);
             let ids: Vec<TaskId> = on_worker.map(|t| t.id().clone()).collect();
             for id in ids {
-                self.end_attempt(&id, Fate::Lost);
+                self.end_attempt(&id, AttemptState::Lost);
             }
         }
     }
--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -5,7 +5,7 @@
 use policy::evict::{self, Victim};
 use policy::{Rule, choose};
 use resource::id;
-use wire::{Band, Digest, Gang, Mode, Order, Placed as Reply, Placement, Shape, Task, TaskId};
+use wire::{Band, Digest, Gang, Mode, PlaceReply, PlaceRequest, Placement, Shape, Task, TaskId};
 use worker::call::{Start, Stop};
 
 use super::Rack;
@@ -23,12 +23,12 @@
 
 impl Rack {
     /// Places the tasks of an order. Returns the reply and the commands to be sent to the workers.
-    pub fn place(&mut self, order: &Order, now: Now) -> (Reply, Vec<Command>) {
+    pub fn place(&mut self, order: &PlaceRequest, now: Now) -> (PlaceReply, Vec<Command>) {
         let current_epoch = order.epoch == self.epoch;
         if !current_epoch || !self.may_act(now) || !self.accept_message(&order.from) {
             let placements = vec![Placement::NotOwner; order.tasks.len()];
             return (
-                Reply {
+                PlaceReply {
                     placements,
                     digest: None,
                 },
@@ -41,7 +41,7 @@
         };
         let digest: Digest = self.digest(now);
         (
-            Reply {
+            PlaceReply {
                 placements,
                 digest: Some(digest),
             },
@@ -94,9 +94,9 @@
             Outcome::Done { .. } => {
                 attempt.phase = AttemptPhase::Running { since: now };
                 let home = attempt.task.home.clone();
-                self.record_event(home, id.clone(), wire::Fate::Running);
+                self.record_event(home, id.clone(), wire::AttemptState::Running);
             }
-            Outcome::Refused => self.end_attempt(id, wire::Fate::NotStarted),
+            Outcome::Refused => self.end_attempt(id, wire::AttemptState::NotStarted),
             Outcome::Unknown => {}
         }
     }
@@ -153,7 +153,7 @@
             .map(|t| t.id().clone())
             .collect();
         for id in due {
-            self.end_attempt(&id, wire::Fate::NotStarted);
+            self.end_attempt(&id, wire::AttemptState::NotStarted);
         }
     }
 
@@ -289,7 +289,7 @@
             AttemptPhase::Starting { .. } | AttemptPhase::Running { .. }
         ) {
             if !matches!(attempt.phase, AttemptPhase::Stopping { .. }) {
-                self.end_attempt(id, wire::Fate::NotStarted);
+                self.end_attempt(id, wire::AttemptState::NotStarted);
             }
             return None;
         }
--- a/crates/cell/src/rack/quick_requests.rs
+++ b/crates/cell/src/rack/quick_requests.rs
@@ -43,7 +43,9 @@
         let wait = self.quick.expected_wait(slots);
         let max_wait = expires.saturating_sub(now).mul_f64(MAX_WAIT_SHARE);
         if self.quick.len() >= self.settings.max_queued || wait > max_wait {
-            return Err(Fault::new(Kind::Busy, "the rack is busy").after(retry_after(wait)));
+            return Err(
+                Fault::new(Kind::Busy, "the rack is busy").with_retry_after(retry_after(wait))
+            );
         }
         Ok(self.quick.enqueue(rank, key, expires))
     }
--- a/crates/cell/tests/losses.rs
+++ b/crates/cell/tests/losses.rs
@@ -5,7 +5,7 @@
 use cell::{Digests, Dispatch, JobScheduler};
 use config::Builder;
 use resource::Size;
-use wire::{Digest, Event, Fate, Job, Phase, Shape};
+use wire::{AttemptState, Digest, Event, Job, Phase, Shape};
 
 /// Maximum number of starts of a task that crashes its worker each time: three, plus two as a
 /// tolerance.
@@ -48,7 +48,7 @@
                 starts += 1;
                 scheduler.apply_event(&Event {
                     task: task.id,
-                    fate: Fate::Lost,
+                    state: AttemptState::Lost,
                 });
             }
         }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -129,7 +129,7 @@
         };
         let Some(mut pass) = self.gate.enter(&request.team, team.concurrency, rack) else {
             let fault = Fault::new(Kind::Busy, "too many requests are under way");
-            return fault.after(comeback(service)).into();
+            return fault.with_retry_after(comeback(service)).into();
         };
         let answer = self
             .tries(&request, rack, cell.policy.retry_share, began)
@@ -292,9 +292,9 @@
         let took = self.since.elapsed().saturating_sub(began);
         let kind = match answer {
             Answer::Done(_) => "done",
-            Answer::Fault(fault) => fault.kind.word(),
+            Answer::Fault(fault) => fault.kind.as_str(),
         };
-        let class = answer.class().word();
+        let class = answer.class().as_str();
         metrics::counter!("lentilyoke_answers_total", "class" => class, "kind" => kind)
             .increment(1);
         metrics::histogram!("lentilyoke_answer_seconds", "class" => class)
@@ -306,7 +306,7 @@
             return;
         };
         if let Some(level) = applied.cell.service(service) {
-            let good = matches!(answer, Answer::Done(_)) && took <= level.latency;
+            let good = matches!(answer, Answer::Done(_)) && took <= level.target_latency;
             self.burn.count(service, team, level.objective, good);
         }
     }
@@ -330,7 +330,7 @@
 /// When it makes sense to come back: some of what is under way is done by then.
 fn comeback(service: &Service) -> Duration {
     service
-        .run
+        .max_run
         .min(Duration::from_secs(1))
         .max(Duration::from_millis(100))
 }
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -7,7 +7,7 @@
 use config::Service;
 use policy::RetryBudget;
 use tokio::sync::oneshot;
-use wire::{Answer, Claim, Fault, Kind, Request, Verdict};
+use wire::{Answer, Claim, ClaimOutcome, Fault, Kind, Request};
 use worker::Error;
 use worker::call::{Run, RunResult, Void, Voided};
 
@@ -123,16 +123,16 @@
             .as_ref()
             .is_some_and(|(_, r)| r.epoch == epoch);
         match verdict {
-            Verdict::Held if still => Ok(()),
-            Verdict::Held | Verdict::Fenced => Err(Fault::new(
+            ClaimOutcome::Held if still => Ok(()),
+            ClaimOutcome::Held | ClaimOutcome::Fenced => Err(Fault::new(
                 Kind::NotOwner,
                 "another placer owns the rack now",
             )),
-            Verdict::Taken => {
+            ClaimOutcome::Taken => {
                 let reason = "an earlier owner of the rack has claimed it; it may have run";
                 Err(Fault::new(Kind::ClaimedBefore, reason))
             }
-            Verdict::Unknown => {
+            ClaimOutcome::Unknown => {
                 let reason = "the platform's table did not take the claim, so it was not started";
                 Err(Fault::new(Kind::StoreDown, reason))
             }
@@ -155,7 +155,7 @@
             epoch: go.epoch,
             incarnation: go.incarnation,
             not_after: go.not_after,
-            run_ms: service.run.as_millis() as u64,
+            run_ms: service.max_run.as_millis() as u64,
             id: name.to_owned(),
             attempt: go.attempt,
             service: request.service.clone(),
@@ -170,7 +170,7 @@
         );
         let result = node
             .workers
-            .run(&go.address, run, service.run + TRAVEL)
+            .run(&go.address, run, service.max_run + TRAVEL)
             .await;
         let took = node.now().saturating_sub(began);
         let (over, next) = match result {
@@ -274,7 +274,7 @@
             ),
             Err(_) => (
                 RunOutcome::Unknown {
-                    max_run: service.run,
+                    max_run: service.max_run,
                 },
                 Next::Answer(lost().into()),
             ),
--- a/crates/worker/src/call.rs
+++ b/crates/worker/src/call.rs
@@ -5,7 +5,7 @@
 
 use resource::{Size, id};
 use serde::{Deserialize, Serialize};
-use wire::{Body, Fate, Task, TaskId};
+use wire::{AttemptState, Body, Task, TaskId};
 
 /// Milliseconds since the worker's current incarnation began.
 pub type Moment = u64;
@@ -95,7 +95,7 @@
     /// Home rack of the job; its owner schedules the job.
     pub home: id::Rack,
     /// How it ended.
-    pub fate: Fate,
+    pub fate: AttemptState,
 }
 
 /// A key that a quick request is using.
