--- a/crates/placer/src/node.rs
+++ b/crates/placer/src/node.rs
@@ -1,8 +1,8 @@
-//! One placer: what it knows, and the loops that keep it going.
+//! One placer: its shared state and background tasks.
 
-mod beat;
-mod reach;
-mod spread;
+mod digest_exchange;
+mod rack_calls;
+mod table_sync;
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,55 +18,55 @@
 use tokio::sync::Notify;
 use wire::{Digest, FencingToken, Inventory, Owner, RouteQuery, Routes, Status};
 
-use crate::claims::{self, Ends};
-use crate::view::View;
+use crate::claims::{self, ClaimQueues};
+use crate::table_view::TableView;
 use crate::{Claims, Options, Peers, Shard};
 
-/// A configuration that is applied.
+/// A configuration that has been applied.
 #[derive(Debug)]
-pub(crate) struct Applied {
+pub(crate) struct AppliedConfig {
     pub(crate) version: Version,
     pub(crate) cell: Cell,
 }
 
-/// An entry that asks for routes.
+/// An entry that fetches its routes from this placer.
 #[derive(Debug)]
-struct Attached {
+struct AttachedEntry {
     applied: Version,
-    seen: Now,
+    last_seen: Now,
 }
 
 /// One placer.
 pub struct Node {
-    /// What it was told at its start.
+    /// Start-up options.
     pub options: Options,
     pub(crate) table: Arc<dyn Table>,
     pub(crate) hosts: Arc<dyn Hosts>,
     pub(crate) workers: Arc<dyn worker::WorkerApi>,
     pub(crate) peers: Arc<dyn Peers>,
-    /// Time since its start.
-    pub since: Uptime,
-    /// Its end.
-    pub stop: Shutdown,
-    /// Whether it is ready for work.
+    /// Clock that counts from the start of the placer.
+    pub uptime: Uptime,
+    /// Signals draining and the end of the process.
+    pub shutdown: Shutdown,
+    /// Readiness for work.
     pub health: Health,
     pub(crate) claims: Claims,
     pub(crate) digests: Mutex<Digests>,
-    pub(crate) beat_now: Notify,
-    ends: Mutex<Option<Ends>>,
-    applied: ArcSwapOption<Applied>,
-    view: Mutex<View>,
+    pub(crate) sync_now: Notify,
+    claim_queues: Mutex<Option<ClaimQueues>>,
+    config: ArcSwapOption<AppliedConfig>,
+    view: Mutex<TableView>,
     shards: RwLock<BTreeMap<id::Rack, Arc<Shard>>>,
-    attached: Mutex<BTreeMap<id::Entry, Attached>>,
-    /// Whether the configuration was heard of since the process last was paused.
-    fresh: AtomicBool,
+    attached: Mutex<BTreeMap<id::Entry, AttachedEntry>>,
+    /// Whether the configuration has been confirmed since the process was last paused.
+    config_confirmed: AtomicBool,
 }
 
-/// An entry that has not asked for this long is not there any more.
-const DETACHED: Duration = Duration::from_secs(10);
+/// An entry that has not asked for routes for this long counts as detached.
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Node {
-    /// A placer that does nothing yet.
+    /// Creates a placer; [`Node::spawn`] starts its background tasks.
     #[must_use]
     pub fn new(
         options: Options,
@@ -74,46 +74,47 @@
         hosts: Arc<dyn Hosts>,
         workers: Arc<dyn worker::WorkerApi>,
         peers: Arc<dyn Peers>,
-        stop: Shutdown,
+        shutdown: Shutdown,
     ) -> Arc<Self> {
-        let (claims, ends) = Claims::new();
+        let (claims, claim_queues) = Claims::new();
         Arc::new(Self {
             options,
             table,
             hosts,
             workers,
             peers,
-            since: Uptime::start(),
-            stop,
+            uptime: Uptime::start(),
+            shutdown,
             health: Health::default(),
             claims,
             digests: Mutex::default(),
-            beat_now: Notify::new(),
-            ends: Mutex::new(Some(ends)),
-            applied: ArcSwapOption::empty(),
+            sync_now: Notify::new(),
+            claim_queues: Mutex::new(Some(claim_queues)),
+            config: ArcSwapOption::empty(),
             view: Mutex::default(),
             shards: RwLock::default(),
             attached: Mutex::default(),
-            fresh: AtomicBool::new(false),
+            config_confirmed: AtomicBool::new(false),
         })
     }
 
-    /// Starts all that the placer does; it ends with the [`Shutdown`] that it was given.
+    /// Starts the background tasks, which end with the [`Shutdown`] passed to [`Node::new`].
     pub fn spawn(self: &Arc<Self>) {
-        let ends = lock(&self.ends).take();
-        if let Some(ends) = ends {
-            self.stop.spawn(claims::pass_on(Arc::clone(self), ends));
+        let claim_queues = lock(&self.claim_queues).take();
+        if let Some(claim_queues) = claim_queues {
+            self.shutdown
+                .spawn(claims::forward(Arc::clone(self), claim_queues));
         }
-        self.stop.spawn(beat::run(Arc::clone(self)));
-        self.stop.spawn(spread::run(Arc::clone(self)));
+        self.shutdown.spawn(table_sync::run(Arc::clone(self)));
+        self.shutdown.spawn(digest_exchange::run(Arc::clone(self)));
     }
 
-    /// Stops in good order: takes nothing new, finishes what is in hand, hands over all racks.
+    /// Drains the placer: accepts nothing new, finishes work in progress and hands over all racks.
     pub async fn drain(&self) {
-        self.stop.drain();
+        self.shutdown.drain();
         self.health.set_ready(false);
-        self.beat_now.notify_one();
-        let deadline = tokio::time::Instant::now() + self.options.drain;
+        self.sync_now.notify_one();
+        let deadline = tokio::time::Instant::now() + self.options.drain_timeout;
         for shard in self.shards() {
             shard.handle(&Event::Unassigned);
         }
@@ -126,31 +127,32 @@
         }
     }
 
-    /// Time since the start.
+    /// Time since the start of the placer.
     #[must_use]
     pub fn now(&self) -> Now {
-        self.since.elapsed()
+        self.uptime.elapsed()
     }
 
     /// The configuration to act on, with its version.
     ///
-    /// `None` after a pause, until it was heard of again: others may have counted this process as
-    /// dead meanwhile, and accepted a newer configuration without it.
-    pub(crate) fn applied(&self) -> Option<Arc<Applied>> {
-        self.known().filter(|_| self.fresh.load(Ordering::Acquire))
+    /// `None` after a pause of the process until the configuration is confirmed: meanwhile others
+    /// may have counted this process as crashed and accepted a newer configuration without it.
+    pub(crate) fn active_config(&self) -> Option<Arc<AppliedConfig>> {
+        self.latest_config()
+            .filter(|_| self.config_confirmed.load(Ordering::Acquire))
     }
 
-    /// The configuration that was last applied, even if there may be a newer one.
-    pub(crate) fn known(&self) -> Option<Arc<Applied>> {
-        self.applied.load_full()
+    /// The configuration that was last applied, whether or not it is confirmed.
+    pub(crate) fn latest_config(&self) -> Option<Arc<AppliedConfig>> {
+        self.config.load_full()
     }
 
-    /// Says whether the configuration was heard of since the last pause.
-    pub(crate) fn set_fresh(&self, fresh: bool) {
-        self.fresh.store(fresh, Ordering::Release);
+    /// Sets whether the configuration has been confirmed since the last pause.
+    pub(crate) fn set_config_confirmed(&self, confirmed: bool) {
+        self.config_confirmed.store(confirmed, Ordering::Release);
     }
 
-    pub(crate) fn view(&self) -> MutexGuard<'_, View> {
+    pub(crate) fn view(&self) -> MutexGuard<'_, TableView> {
         lock(&self.view)
     }
 
@@ -169,7 +171,7 @@
             .cloned()
     }
 
-    /// Address of the placer that owns a rack, as far as is known.
+    /// Address of the owner of a rack according to the cached table.
     pub(crate) fn owner(&self, rack: &str) -> Option<String> {
         let view = self.view();
         let (_, record) = view.records.get(rack)?;
@@ -177,42 +179,42 @@
     }
 
     /// Address of the placer that writes the claims of this data centre; `None` if it is this one.
-    pub(crate) fn claimant(&self) -> Option<String> {
+    pub(crate) fn claim_writer(&self) -> Option<String> {
         let view = self.view();
-        let (name, address) = view.claimant(self.now(), &self.options)?;
+        let (name, address) = view.claim_writer(self.now(), &self.options)?;
         (*name != self.options.name).then(|| address.to_owned())
     }
 
-    /// Addresses of the live placers of this region, without this one.
-    pub(crate) fn neighbours(&self) -> Vec<String> {
-        let mut near = self
-            .view()
-            .addresses(Some(&self.options.region), self.now(), &self.options);
-        near.retain(|address| *address != self.options.address);
-        near
+    /// Addresses of the other running placers of this region.
+    pub(crate) fn region_peers(&self) -> Vec<String> {
+        let mut peers =
+            self.view()
+                .addresses(Some(&self.options.region), self.now(), &self.options);
+        peers.retain(|address| *address != self.options.address);
+        peers
     }
 
-    /// Addresses of all live placers.
-    pub(crate) fn everyone(&self) -> Vec<String> {
+    /// Addresses of all running placers, including this one.
+    pub(crate) fn live_addresses(&self) -> Vec<String> {
         self.view().addresses(None, self.now(), &self.options)
     }
 
-    /// What an entry needs to know, apart from what it has; `None` if this placer does not know
-    /// whether its own configuration is in force.
-    pub fn routes(&self, ask: &RouteQuery) -> Option<Routes> {
-        self.applied()?;
-        let seen = self.now();
-        let attached = Attached {
-            applied: ask.applied,
-            seen,
+    /// Routes and configuration that an entry does not have yet; `None` if this placer has not
+    /// confirmed its own configuration.
+    pub fn routes(&self, query: &RouteQuery) -> Option<Routes> {
+        self.active_config()?;
+        let last_seen = self.now();
+        let attached = AttachedEntry {
+            applied: query.applied,
+            last_seen,
         };
-        lock(&self.attached).insert(ask.entry.clone(), attached);
-        let config = self.config_than(ask.applied + 1);
+        lock(&self.attached).insert(query.entry.clone(), attached);
+        let config = self.config_at_least(query.applied + 1);
         let view = self.view();
-        // Generations of different placers, or of different lives, can't be compared; an entry
-        // that changes to another placer asks with generation 0.
+        // Generations of different placers or incarnations can't be compared, so an entry that
+        // switches to another placer asks with generation 0.
         let generation = view.generation;
-        if ask.generation == generation {
+        if query.generation == generation {
             return Some(Routes {
                 generation,
                 config,
@@ -232,7 +234,7 @@
             ))
         };
         let owners = view.records.iter().filter_map(owner).collect();
-        let placers = view.addresses(None, seen, &self.options);
+        let placers = view.addresses(None, last_seen, &self.options);
         Some(Routes {
             generation,
             owners: Some(owners),
@@ -241,14 +243,14 @@
         })
     }
 
-    /// The configuration that is applied, if it is this version or a newer one.
-    pub fn config_than(&self, than: Version) -> Option<(Version, config::raw::Cell)> {
-        let applied = self.applied().filter(|a| a.version >= than)?;
+    /// The confirmed configuration, if it has at least this version.
+    pub fn config_at_least(&self, min_version: Version) -> Option<(Version, config::raw::Cell)> {
+        let applied = self.active_config().filter(|a| a.version >= min_version)?;
         Some((applied.version, applied.cell.to_raw().clone()))
     }
 
-    /// Room in the racks of this placer.
-    pub fn own_digests(&self) -> Vec<Digest> {
+    /// Free capacity of the racks that this placer owns.
+    pub fn local_digests(&self) -> Vec<Digest> {
         let now = self.now();
         self.shards()
             .iter()
@@ -256,7 +258,7 @@
             .collect()
     }
 
-    /// What the racks of this placer hold of the jobs of one home rack.
+    /// The tasks that the racks of this placer hold for the jobs of one home rack.
     pub fn inventory(&self, from: &FencingToken) -> Vec<Inventory> {
         let now = self.now();
         self.shards()
@@ -275,52 +277,52 @@
             .filter(|shard| shard.stage() != Stage::Watching);
         Status {
             placer: self.options.name.clone(),
-            config: self.known().map_or(0, |a| a.version),
-            draining: self.stop.is_draining(),
+            config: self.latest_config().map_or(0, |a| a.version),
+            draining: self.shutdown.is_draining(),
             racks: owned.map(|shard| shard.status(now)).collect(),
         }
     }
 
-    /// Applies a configuration, if it is newer than the present one.
+    /// Applies a configuration if it is newer than the present one.
     pub(crate) fn apply(self: &Arc<Self>, version: Version, raw: config::raw::Cell) {
-        if self.known().is_some_and(|a| a.version >= version) {
+        if self.latest_config().is_some_and(|a| a.version >= version) {
             return;
         }
         let cell = match Cell::try_from(raw) {
             Ok(cell) => cell,
             Err(error) => {
-                log::error!("configuration {version} is not accepted: {error}");
+                log::error!("configuration {version} rejected: {error}");
                 return;
             }
         };
         log::info!(config = version; "configuration applied");
-        let whole = cell.worker;
-        let applied = Arc::new(Applied { version, cell });
-        self.applied.store(Some(Arc::clone(&applied)));
+        let worker_size = cell.worker;
+        let applied = Arc::new(AppliedConfig { version, cell });
+        self.config.store(Some(Arc::clone(&applied)));
         let mut digests = lock(&self.digests);
         if digests.free() == resource::Size::ZERO {
-            *digests = Digests::new(whole);
+            *digests = Digests::new(worker_size);
         }
         drop(digests);
-        self.watch(&applied.cell);
+        self.watch_racks(&applied.cell);
     }
 
-    /// Watches every rack of the configuration.
-    fn watch(self: &Arc<Self>, cell: &Cell) {
+    /// Creates a shard for every new rack and passes the configuration to the existing ones.
+    fn watch_racks(self: &Arc<Self>, cell: &Cell) {
         let mut shards = self.shards.write().unwrap_or_else(PoisonError::into_inner);
         for rack in cell.racks.keys() {
             if let Some(shard) = shards.get(rack) {
                 shard.configure(cell);
                 continue;
             }
-            let shard = Arc::new(Shard::new(rack, self.options.remember));
+            let shard = Arc::new(Shard::new(rack, self.options.request_retention));
             shards.insert(rack.clone(), Arc::clone(&shard));
             shard.spawn(self);
         }
     }
 
-    /// A desk hears of every rack that has a new owner: what it holds is not known.
-    pub(crate) fn doubt(&self, racks: &[id::Rack]) {
+    /// Marks the content of racks with a new owner as unknown in all desks.
+    pub(crate) fn mark_unconfirmed(&self, racks: &[id::Rack]) {
         let now = self.now();
         for shard in self.shards() {
             shard.with_desk(|desk: &mut JobScheduler| {
@@ -330,8 +332,8 @@
     }
 }
 
-/// A poisoned lock means that a thread panicked; the process is about to end, and what the lock
-/// guards is changed in one step everywhere.
+/// Locks a mutex and ignores poisoning: poisoning means that a thread panicked, so the process is
+/// about to end, and the guarded state is always changed in one step.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/placer/src/shard/jobs/orders.rs
+++ b/crates/placer/src/shard/jobs/placement.rs
@@ -1,4 +1,4 @@
-//! What the owners of jobs ask of this rack.
+//! Requests from the owners of jobs to this rack.
 
 use std::sync::Arc;
 
@@ -9,42 +9,42 @@
 use crate::Node;
 
 impl Shard {
-    /// Places the tasks of an order on this rack.
-    pub(crate) fn place(self: &Arc<Self>, node: &Arc<Node>, order: &PlaceRequest) -> PlaceReply {
+    /// Places the tasks of a request on this rack.
+    pub(crate) fn place(self: &Arc<Self>, node: &Arc<Node>, request: &PlaceRequest) -> PlaceReply {
         let now = node.now();
         let mut state = self.state();
         let active = state.ownership.stage() == Stage::Active;
         let Some(rack) = state.rack.as_mut().filter(|_| active) else {
-            let placements = vec![Placement::NotOwner; order.tasks.len()];
+            let placements = vec![Placement::NotOwner; request.tasks.len()];
             return PlaceReply {
                 placements,
                 digest: None,
             };
         };
-        let (placed, commands) = rack.place(order, now);
+        let (placed, commands) = rack.place(request, now);
         drop(state);
-        self.carry_out(node, commands);
+        self.execute_commands(node, commands);
         placed
     }
 
-    /// Starts a gang that is held on this rack.
+    /// Starts a gang for which this rack has reserved capacity.
     pub(crate) fn commit(
         self: &Arc<Self>,
         node: &Arc<Node>,
         from: &FencingToken,
         gang: &Gang,
     ) -> bool {
-        self.obey(node, from, |rack, now| rack.commit(gang, now))
+        self.execute_if_current(node, from, |rack, now| rack.commit(gang, now))
     }
 
-    /// Gives up a gang on this rack.
+    /// Abandons a gang on this rack.
     pub(crate) fn undo(
         self: &Arc<Self>,
         node: &Arc<Node>,
         from: &FencingToken,
         gang: &Gang,
     ) -> bool {
-        self.obey(node, from, |rack, now| Some(rack.abort(gang, now)))
+        self.execute_if_current(node, from, |rack, now| Some(rack.abort(gang, now)))
     }
 
     /// Stops all tasks of a job on this rack.
@@ -55,12 +55,12 @@
         team: &str,
         job: &str,
     ) -> bool {
-        self.obey(node, from, |rack, now| Some(rack.stop_job(team, job, now)))
+        self.execute_if_current(node, from, |rack, now| Some(rack.stop_job(team, job, now)))
     }
 
-    /// Does what the owner of a job asks, unless a later message of it was heard before; `false` if
-    /// nothing was done.
-    fn obey(
+    /// Executes a request of a job's owner, unless a later message of that owner was received
+    /// before; `false` if nothing was done.
+    fn execute_if_current(
         self: &Arc<Self>,
         node: &Arc<Node>,
         from: &FencingToken,
@@ -78,7 +78,7 @@
             return false;
         };
         drop(state);
-        self.carry_out(node, commands);
+        self.execute_commands(node, commands);
         true
     }
 }
