--- a/crates/cell/src/attempt.rs
+++ b/crates/cell/src/attempt.rs
@@ -98,8 +98,8 @@
     }
 }
 
-/// The fate of an attempt that ended after a stop command.
-pub(crate) const fn fate_of_stop(preempted: bool, saved_ms: u64) -> AttemptState {
+/// State of an attempt that has ended after a stop command.
+pub(crate) const fn state_after_stop(preempted: bool, saved_ms: u64) -> AttemptState {
     if preempted {
         AttemptState::Preempted { saved_ms }
     } else {
--- a/crates/cell/src/job_scheduler.rs
+++ b/crates/cell/src/job_scheduler.rs
@@ -25,8 +25,8 @@
 use crate::Now;
 use job::{TaskState, TrackedJob};
 
-/// How often a rack is asked for its inventory while it is unknown what it holds, because an order
-/// was not answered or the rack has a new owner.
+/// How often a rack is asked for its inventory while it is unknown what it holds, because a place
+/// request was not answered or the rack has a new owner.
 const INVENTORY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Team and job.
@@ -139,9 +139,9 @@
         over.flat_map(place).collect()
     }
 
-    /// Applies the reply of a rack's owner to an order.
-    pub fn order_answered(&mut self, order: &wire::PlaceRequest, reply: &PlaceReply) {
-        for (task, placement) in order.tasks.iter().zip(&reply.placements) {
+    /// Applies the reply of a rack's owner to a place request.
+    pub fn place_request_answered(&mut self, request: &wire::PlaceRequest, reply: &PlaceReply) {
+        for (task, placement) in request.tasks.iter().zip(&reply.placements) {
             if *placement == Placement::Placed {
                 continue;
             }
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Marks a rack as unknown, because an order was not answered or the rack has a new owner.
+    /// Marks a rack as unknown, because a place request was not answered or the rack has a new
+    /// owner.
     pub fn mark_unknown(&mut self, rack: &str, now: Now) {
         self.unknown_racks
             .entry(rack.to_owned())
@@ -222,7 +223,7 @@
         match event.state {
             AttemptState::Running => tracked.attempt_running(id.index, id.attempt),
             AttemptState::Finished => tracked.attempt_finished(id.index, id.attempt),
-            fate => tracked.attempt_ended(id.index, id.attempt, fate),
+            state => tracked.attempt_ended(id.index, id.attempt, state),
         }
         if tracked.has_waiting_tasks() {
             self.waiting.insert(name.clone());
--- a/crates/cell/src/job_scheduler/job.rs
+++ b/crates/cell/src/job_scheduler/job.rs
@@ -238,17 +238,17 @@
     }
 
     /// Records that an attempt ended before its work was done, and queues the task again.
-    pub(super) fn attempt_ended(&mut self, index: u32, attempt: u64, fate: AttemptState) {
+    pub(super) fn attempt_ended(&mut self, index: u32, attempt: u64, state: AttemptState) {
         if !self.is_current_attempt(index, attempt) {
             return;
         }
-        let saved_ms = match fate {
+        let saved_ms = match state {
             AttemptState::Preempted { saved_ms } => saved_ms,
             _ => 0,
         };
         self.restarts += 1;
         self.requeue(index, saved_ms);
-        if fate == AttemptState::Failed {
+        if state == AttemptState::Failed {
             self.failures += 1;
             if self.failures >= MAX_FAILURES_PER_TASK * self.job.tasks && !self.phase.is_over() {
                 self.phase = Phase::Failed;
--- a/crates/cell/src/job_scheduler/schedule.rs
+++ b/crates/cell/src/job_scheduler/schedule.rs
@@ -20,7 +20,7 @@
 /// later jobs of its team from being placed before it.
 const MAX_OVERTAKING_JOBS: u64 = 64;
 
-/// Orders that a scheduling pass has decided on.
+/// Place requests that a scheduling pass has decided on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Dispatch {
     /// Start each of these tasks independently.
@@ -30,9 +30,9 @@
     Gang {
         /// The gang.
         gang: Gang,
-        /// One order per rack, sorted by rack name: two gangs that take racks in the same order
+        /// One request per rack, sorted by rack name: two gangs that take racks in the same order
         /// can't deadlock.
-        orders: Vec<PlaceRequest>,
+        requests: Vec<PlaceRequest>,
     },
 }
 
@@ -41,7 +41,7 @@
     /// smallest share of their quota.
     pub fn schedule(&mut self, cell: &Cell, digests: &mut Digests) -> Vec<Dispatch> {
         let mut used = self.usage();
-        let mut orders: BTreeMap<id::Rack, Vec<Task>> = BTreeMap::new();
+        let mut requests: BTreeMap<id::Rack, Vec<Task>> = BTreeMap::new();
         let mut dispatches = Vec::new();
         let mut remaining = MAX_TASKS_PER_PASS;
         let mut skipped_by_team: BTreeMap<id::Team, usize> = BTreeMap::new();
@@ -64,7 +64,7 @@
                 let tasks = self.place_tasks(&name, cell, team_used, digests, remaining);
                 let n = tasks.len();
                 for (rack, task) in tasks {
-                    orders.entry(rack).or_default().push(task);
+                    requests.entry(rack).or_default().push(task);
                 }
                 n
             };
@@ -76,7 +76,7 @@
                 }
             }
         }
-        for (rack, tasks) in orders {
+        for (rack, tasks) in requests {
             let from = self.next_serial();
             dispatches.push(Dispatch::Start(PlaceRequest {
                 epoch: digests.epoch(&rack),
@@ -216,7 +216,7 @@
             job: name.1.clone(),
             attempt,
         };
-        let order = |(rack, tasks): (id::Rack, Vec<Task>)| {
+        let request = |(rack, tasks): (id::Rack, Vec<Task>)| {
             let from = self.next_serial();
             PlaceRequest {
                 epoch: digests.epoch(&rack),
@@ -226,8 +226,8 @@
                 tasks,
             }
         };
-        let orders = by_rack.into_iter().map(order).collect();
-        Some(Dispatch::Gang { gang, orders })
+        let requests = by_rack.into_iter().map(request).collect();
+        Some(Dispatch::Gang { gang, requests })
     }
 
     /// Band of one more task of a job; `None` if the task must wait.
--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -387,14 +387,14 @@
     }
 
     /// Removes an attempt that can't run any longer, and records an event for its job's owner.
-    fn end_attempt(&mut self, id: &TaskId, fate: AttemptState) {
+    fn end_attempt(&mut self, id: &TaskId, state: AttemptState) {
         if let Some(attempt) = self.tasks.remove(id) {
-            self.record_event(attempt.task.home, id.clone(), fate);
+            self.record_event(attempt.task.home, id.clone(), state);
         }
     }
 
-    fn record_event(&mut self, home: id::Rack, task: TaskId, fate: AttemptState) {
-        let event = Event { task, state: fate };
+    fn record_event(&mut self, home: id::Rack, task: TaskId, state: AttemptState) {
+        let event = Event { task, state };
         if !self.events.iter().any(|(h, e)| *h == home && *e == event) {
             self.events.push((home, event));
         }
--- a/crates/cell/src/rack/heartbeat.rs
+++ b/crates/cell/src/rack/heartbeat.rs
@@ -8,7 +8,7 @@
 
 use super::Rack;
 use super::place::TASK_LEASE;
-use crate::attempt::{Attempt, AttemptPhase, Command, fate_of_stop};
+use crate::attempt::{Attempt, AttemptPhase, Command, state_after_stop};
 use crate::{Clock, Now};
 
 /// A worker that has not answered for this long gets heartbeats that renew nothing, so that its
@@ -99,7 +99,7 @@
                     self.end_attempt(&id, AttemptState::Lost);
                 }
                 AttemptPhase::Stopping { since, preempted } if since < sent => {
-                    self.end_attempt(&id, fate_of_stop(preempted, 0));
+                    self.end_attempt(&id, state_after_stop(preempted, 0));
                 }
                 _ => {}
             }
@@ -113,14 +113,14 @@
             .as_ref()
             .is_some_and(|h| h.forget.contains(&ended.task));
         if known && let Some(host) = host {
-            match ended.fate {
+            match ended.state {
                 AttemptState::Finished => host.record_outcome(false, now),
                 AttemptState::Failed => host.record_outcome(true, now),
                 _ => {}
             }
         }
         if known || !recorded {
-            self.record_event(ended.home.clone(), ended.task.clone(), ended.fate);
+            self.record_event(ended.home.clone(), ended.task.clone(), ended.state);
         }
     }
 
--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -10,7 +10,7 @@
 
 use super::Rack;
 use crate::Now;
-use crate::attempt::{Attempt, AttemptPhase, Command, Outcome, fate_of_stop};
+use crate::attempt::{Attempt, AttemptPhase, Command, Outcome, state_after_stop};
 
 /// How long a task may run without a heartbeat.
 pub const TASK_LEASE: Duration = Duration::from_secs(10);
@@ -22,11 +22,11 @@
 const EVICTION_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Rack {
-    /// Places the tasks of an order. Returns the reply and the commands to be sent to the workers.
-    pub fn place(&mut self, order: &PlaceRequest, now: Now) -> (PlaceReply, Vec<Command>) {
-        let current_epoch = order.epoch == self.epoch;
-        if !current_epoch || !self.may_act(now) || !self.accept_message(&order.from) {
-            let placements = vec![Placement::NotOwner; order.tasks.len()];
+    /// Places the tasks of a request. Returns the reply and the commands to be sent to the workers.
+    pub fn place(&mut self, request: &PlaceRequest, now: Now) -> (PlaceReply, Vec<Command>) {
+        let current_epoch = request.epoch == self.epoch;
+        if !current_epoch || !self.may_act(now) || !self.accept_message(&request.from) {
+            let placements = vec![Placement::NotOwner; request.tasks.len()];
             return (
                 PlaceReply {
                     placements,
@@ -35,9 +35,9 @@
                 Vec::new(),
             );
         }
-        let (placements, commands) = match order.mode {
-            Mode::Start => self.start_tasks(&order.tasks, now),
-            Mode::Hold => (self.hold_tasks(&order.tasks, now), Vec::new()),
+        let (placements, commands) = match request.mode {
+            Mode::Start => self.start_tasks(&request.tasks, now),
+            Mode::Hold => (self.hold_tasks(&request.tasks, now), Vec::new()),
         };
         let digest: Digest = self.digest(now);
         (
@@ -110,7 +110,7 @@
         if let (AttemptPhase::Stopping { preempted, .. }, Outcome::Done { saved_ms }) =
             (phase, outcome)
         {
-            self.end_attempt(id, fate_of_stop(preempted, saved_ms));
+            self.end_attempt(id, state_after_stop(preempted, saved_ms));
         }
         self.launch_awaiting(&host, now)
     }
--- a/crates/cell/tests/losses.rs
+++ b/crates/cell/tests/losses.rs
@@ -41,10 +41,10 @@
             yielding: vec![Size::ZERO],
         });
         for plan in scheduler.schedule(&cell, &mut digests) {
-            let Dispatch::Start(order) = plan else {
+            let Dispatch::Start(request) = plan else {
                 continue;
             };
-            for task in order.tasks {
+            for task in request.tasks {
                 starts += 1;
                 scheduler.apply_event(&Event {
                     task: task.id,
--- a/crates/cell/tests/rack.rs
+++ b/crates/cell/tests/rack.rs
@@ -1,4 +1,4 @@
-//! One rack owner: which orders it accepts, what it holds, when it may act.
+//! One rack owner: which place requests it accepts, what it holds, when it may act.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -49,7 +49,7 @@
     }
 }
 
-fn order(epoch: u64, serial: u64, tasks: Vec<Task>) -> PlaceRequest {
+fn request(epoch: u64, serial: u64, tasks: Vec<Task>) -> PlaceRequest {
     let from = FencingToken {
         home: "home".to_owned(),
         epoch: 3,
@@ -64,25 +64,26 @@
     }
 }
 
-fn place(rack: &mut Rack, order: &PlaceRequest) -> Vec<Placement> {
-    rack.place(order, NOW).0.placements
+fn place(rack: &mut Rack, request: &PlaceRequest) -> Vec<Placement> {
+    rack.place(request, NOW).0.placements
 }
 
-/// An order is late and was meant for an earlier owner of the rack. The owner of the job gave up on
-/// it, so the task may run elsewhere; the answer is "not owner", and the job is scheduled again.
+/// A place request is late and was meant for an earlier owner of the rack. The owner of the job
+/// gave up on it, so the task may run elsewhere; the answer is "not owner", and the job is
+/// scheduled again.
 #[test]
-fn an_order_that_was_meant_for_an_earlier_owner_is_rejected() {
+fn a_request_that_was_meant_for_an_earlier_owner_is_rejected() {
     let mut rack = rack();
-    let late = order(EPOCH - 1, 5, vec![task(0, 1, Band::Normal)]);
+    let late = request(EPOCH - 1, 5, vec![task(0, 1, Band::Normal)]);
     assert_eq!(place(&mut rack, &late), [Placement::NotOwner]);
-    let current = order(EPOCH, 6, vec![task(0, 1, Band::Normal)]);
+    let current = request(EPOCH, 6, vec![task(0, 1, Band::Normal)]);
     assert_eq!(place(&mut rack, &current), [Placement::Placed]);
 }
 
-/// The owner of the job gave up on an order and asked what the rack holds; the order arrives after
-/// that and must have no effect. The answer is "not owner".
+/// The owner of the job gave up on a request and asked what the rack holds; the request arrives
+/// after that and must have no effect. The answer is "not owner".
 #[test]
-fn an_order_that_is_older_than_the_last_message_is_rejected() {
+fn a_request_that_is_older_than_the_last_message_is_rejected() {
     let mut rack = rack();
     let asked = FencingToken {
         home: "home".to_owned(),
@@ -90,26 +91,26 @@
         serial: 6,
     };
     assert!(rack.accept_message(&asked));
-    let late = order(EPOCH, 5, vec![task(0, 1, Band::Normal)]);
+    let late = request(EPOCH, 5, vec![task(0, 1, Band::Normal)]);
     assert_eq!(place(&mut rack, &late), [Placement::NotOwner]);
 }
 
-/// The job's earlier owner sends an order. The rack's new owner has received no message from the
-/// job's new owner yet, but has read its epoch; the answer is "not owner".
+/// The job's earlier owner sends a place request. The rack's new owner has received no message from
+/// the job's new owner yet, but has read its epoch; the answer is "not owner".
 #[test]
-fn an_order_from_an_owner_that_the_table_has_replaced_is_rejected() {
+fn a_request_from_an_owner_that_the_table_has_replaced_is_rejected() {
     let mut rack = rack();
     rack.reject_older_owners("home", 4);
-    let old = order(EPOCH, 5, vec![task(0, 1, Band::Normal)]);
+    let old = request(EPOCH, 5, vec![task(0, 1, Band::Normal)]);
     assert_eq!(place(&mut rack, &old), [Placement::NotOwner]);
 }
 
-/// An order of more tasks than fit must not overcommit a worker.
+/// A request with more tasks than fit must not overcommit a worker.
 #[test]
 fn no_worker_is_overcommitted() {
     let mut rack = rack();
     let tasks: Vec<Task> = (0..20).map(|n| task(n, 5, Band::Normal)).collect();
-    let placed = place(&mut rack, &order(EPOCH, 1, tasks));
+    let placed = place(&mut rack, &request(EPOCH, 1, tasks));
     assert_eq!(
         placed.iter().filter(|p| **p == Placement::Placed).count(),
         6
@@ -124,14 +125,14 @@
 fn urgent_work_starts_after_the_preempted_tasks_have_ended() {
     let mut rack = rack();
     let tasks: Vec<Task> = (0..4).map(|n| task(n, 8, Band::Normal)).collect();
-    let (_, starts) = rack.place(&order(EPOCH, 1, tasks), NOW);
+    let (_, starts) = rack.place(&request(EPOCH, 1, tasks), NOW);
     for command in starts {
         let Command::Start { start, .. } = command else {
             panic!("{command:?}")
         };
         rack.start_outcome(&start.task.id, Outcome::Done { saved_ms: 0 }, NOW);
     }
-    let (reply, stops) = rack.place(&order(EPOCH, 2, vec![task(9, 8, Band::Urgent)]), NOW);
+    let (reply, stops) = rack.place(&request(EPOCH, 2, vec![task(9, 8, Band::Urgent)]), NOW);
     assert_eq!(reply.placements, [Placement::Placed]);
     let [Command::Stop { stop, .. }] = stops.as_slice() else {
         panic!("{stops:?}")
@@ -157,7 +158,7 @@
     let mut rack = rack();
     let later = NOW + cell::fence::AUTHORITY_VALIDITY;
     assert!(rack.enqueue(0, "k", later + NOW, later).is_err());
-    let placed = rack.place(&order(EPOCH, 1, vec![task(0, 1, Band::Normal)]), later);
+    let placed = rack.place(&request(EPOCH, 1, vec![task(0, 1, Band::Normal)]), later);
     assert_eq!(placed.0.placements, [Placement::NotOwner]);
 }
 
--- a/crates/cell/tests/scheduling.rs
+++ b/crates/cell/tests/scheduling.rs
@@ -51,8 +51,8 @@
 
 fn placed(dispatches: &[Dispatch]) -> Vec<Task> {
     let tasks = dispatches.iter().flat_map(|dispatch| match dispatch {
-        Dispatch::Start(order) => order.tasks.clone(),
-        Dispatch::Gang { orders, .. } => orders.iter().flat_map(|o| o.tasks.clone()).collect(),
+        Dispatch::Start(request) => request.tasks.clone(),
+        Dispatch::Gang { requests, .. } => requests.iter().flat_map(|o| o.tasks.clone()).collect(),
     });
     tasks.collect()
 }
--- a/crates/placer/src/shard/jobs.rs
+++ b/crates/placer/src/shard/jobs.rs
@@ -74,8 +74,8 @@
         });
         join_all(started).await;
         for plan in gangs {
-            if let Dispatch::Gang { gang, orders } = plan {
-                self.start_gang(node, &gang, orders).await;
+            if let Dispatch::Gang { gang, requests } = plan {
+                self.start_gang(node, &gang, requests).await;
             }
         }
     }
@@ -97,7 +97,7 @@
                 .filter(|p| **p == Placement::Placed)
                 .count() as u64,
         );
-        self.with_desk(|desk| desk.order_answered(&request, &placed));
+        self.with_desk(|desk| desk.place_request_answered(&request, &placed));
         placed.placements.iter().all(|p| *p == Placement::Placed)
     }
 }
--- a/crates/placer/src/shard/jobs/gang.rs
+++ b/crates/placer/src/shard/jobs/gang.rs
@@ -44,7 +44,7 @@
                 placements,
                 digest: None,
             };
-            self.with_desk(|desk| desk.order_answered(request, &full));
+            self.with_desk(|desk| desk.place_request_answered(request, &full));
         }
     }
 
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -305,12 +305,12 @@
             .iter()
             .filter_map(|(id, h)| Some((id.clone(), over(h)?)))
             .collect();
-        for (task, fate) in done {
+        for (task, state) in done {
             if let Some(held) = self.tasks.remove(&task) {
                 self.ended.push(EndedTask {
                     task,
                     home: held.task.home,
-                    fate,
+                    state,
                 });
             }
         }
--- a/crates/worker/src/call.rs
+++ b/crates/worker/src/call.rs
@@ -95,7 +95,8 @@
     /// Home rack of the job; its owner schedules the job.
     pub home: id::Rack,
     /// How it ended.
-    pub fate: AttemptState,
+    #[serde(rename = "fate")]
+    pub state: AttemptState,
 }
 
 /// A key that a quick request is using.
