--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -1,10 +1,10 @@
-//! One rack as its owner knows it: workers, quick requests, tasks.
+//! One rack as seen by its owner: workers, quick requests, tasks.
 
+mod heartbeat;
 mod place;
-mod report;
-mod run;
+mod quick_requests;
 
-pub use place::LEASE;
+pub use place::TASK_LEASE;
 
 use std::collections::BTreeMap;
 
@@ -15,22 +15,22 @@
 };
 use worker::call::Adopted;
 
+use crate::attempt::{Attempt, AttemptPhase};
 use crate::fence::{Authority, Roster};
-use crate::host::Host;
-use crate::quick::Quick;
-use crate::task::{Placed, Stage};
+use crate::quick_queue::QuickQueue;
+use crate::worker_state::WorkerState;
 use crate::{Clock, Now};
 
-/// What the owner of a rack takes from the configuration.
+/// Settings of a rack owner, from the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Rule that puts batch tasks on workers.
+    /// Placement rule for batch tasks.
     pub batch: Rule,
-    /// Quick requests that wait, at most.
-    pub queue: usize,
-    /// Share kept above measured usage.
-    pub margin: f64,
-    /// Whether idle declared resources of batch work are given to others.
+    /// Maximum number of waiting quick requests.
+    pub max_queued: usize,
+    /// Share of measured usage that is reserved in addition to it.
+    pub usage_margin: f64,
+    /// Whether resources that batch tasks declare but don't use are given to other work.
     pub reclaim: bool,
 }
 
@@ -38,8 +38,8 @@
     fn default() -> Self {
         Self {
             batch: Rule::BestFit,
-            queue: 256,
-            margin: 0.25,
+            max_queued: 256,
+            usage_margin: 0.25,
             reclaim: false,
         }
     }
@@ -49,31 +49,31 @@
     fn from(policy: &config::Policy) -> Self {
         Self {
             batch: policy.batch.into(),
-            queue: policy.queue,
-            margin: policy.margin,
+            max_queued: policy.queue,
+            usage_margin: policy.margin,
             reclaim: policy.reclaim,
         }
     }
 }
 
-/// One rack, under one owner.
+/// One rack under one owner.
 #[derive(Debug)]
 pub struct Rack {
     name: id::Rack,
-    /// The epoch under which this knowledge began.
-    since: id::Epoch,
+    /// The epoch under which the state in this struct was first built up.
+    known_since: id::Epoch,
     epoch: id::Epoch,
     settings: Settings,
     authority: Authority,
     active: bool,
-    hosts: BTreeMap<id::Worker, Host>,
-    quick: Quick,
+    hosts: BTreeMap<id::Worker, WorkerState>,
+    quick: QuickQueue,
     attempts: u64,
-    /// Slots whose runs may still be going on, until then.
-    lapses: Vec<(Now, id::Worker, id::Incarnation)>,
-    tasks: BTreeMap<TaskId, Placed>,
-    /// The last message heard from the owner of each home rack: its epoch and serial.
-    seniors: BTreeMap<id::Rack, (id::Epoch, u64)>,
+    /// Slots whose runs may still be going on: each is counted as free at this time.
+    unresolved_runs: Vec<(Now, id::Worker, id::Incarnation)>,
+    tasks: BTreeMap<TaskId, Attempt>,
+    /// Epoch and serial number of the last message accepted from the owner of each home rack.
+    last_messages: BTreeMap<id::Rack, (id::Epoch, u64)>,
     events: Vec<(id::Rack, Event)>,
 }
 
@@ -83,39 +83,39 @@
     pub fn new(name: &str, epoch: id::Epoch, roster: Roster, settings: Settings) -> Self {
         Self {
             name: name.to_owned(),
-            since: epoch,
+            known_since: epoch,
             epoch,
             settings,
             authority: Authority::new(roster),
             active: false,
             hosts: BTreeMap::new(),
-            quick: Quick::default(),
+            quick: QuickQueue::default(),
             attempts: 0,
-            lapses: Vec::new(),
+            unresolved_runs: Vec::new(),
             tasks: BTreeMap::new(),
-            seniors: BTreeMap::new(),
+            last_messages: BTreeMap::new(),
             events: Vec::new(),
         }
     }
 
-    /// Takes the same rack again, under a new epoch and roster, keeping what is known.
-    pub fn retake(&mut self, epoch: id::Epoch, roster: Roster) {
+    /// Takes the same rack again under a new epoch and roster, keeping the known state.
+    pub fn reacquire(&mut self, epoch: id::Epoch, roster: Roster) {
         self.epoch = epoch;
         self.authority = Authority::new(roster);
         self.active = false;
     }
 
-    /// Follows a change of configuration.
+    /// Applies a change of the configuration.
     pub fn configure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// No earlier owner can act any more; from now on this one does.
+    /// No earlier owner can act any longer: this owner may act from now on.
     pub fn activate(&mut self) {
         self.active = true;
     }
 
-    /// Nothing new is started from now on.
+    /// Starts nothing new from now on.
     pub fn deactivate(&mut self) {
         self.active = false;
     }
@@ -132,43 +132,43 @@
         self.epoch
     }
 
-    /// Whether the owner may start something now.
+    /// Whether the owner may start something at `now`.
     #[must_use]
-    pub fn acts(&self, now: Now) -> bool {
-        self.active && self.authority.holds(now)
+    pub fn may_act(&self, now: Now) -> bool {
+        self.active && self.authority.is_valid(now)
     }
 
-    /// Whether a majority of the workers has acknowledged the owner of late.
+    /// Whether a majority of the workers has acknowledged the owner recently enough.
     #[must_use]
-    pub fn proved(&self, now: Now) -> bool {
-        self.authority.holds(now)
+    pub fn has_authority(&self, now: Now) -> bool {
+        self.authority.is_valid(now)
     }
 
-    /// The workers that prove ownership.
+    /// The workers whose acknowledgements prove ownership.
     #[must_use]
     pub const fn roster(&self) -> &Roster {
         self.authority.roster()
     }
 
-    /// An adopted worker.
+    /// State of an adopted worker.
     #[must_use]
-    pub fn host(&self, worker: &str) -> Option<&Host> {
+    pub fn host(&self, worker: &str) -> Option<&WorkerState> {
         self.hosts.get(worker)
     }
 
     /// All adopted workers.
-    pub fn hosts(&self) -> impl Iterator<Item = (&id::Worker, &Host)> {
+    pub fn hosts(&self) -> impl Iterator<Item = (&id::Worker, &WorkerState)> {
         self.hosts.iter()
     }
 
-    /// Marks a worker as the platform lists it.
-    pub fn list(&mut self, worker: &str, leaving: bool) {
+    /// Records whether the platform lists a worker as leaving.
+    pub fn set_listed_leaving(&mut self, worker: &str, leaving: bool) {
         if let Some(host) = self.hosts.get_mut(worker) {
             host.listed_leaving = leaving;
         }
     }
 
-    /// A worker was adopted under the present epoch, by a call made at `sent`.
+    /// A worker was adopted under the current epoch, by a call made at `sent`.
     pub fn adopt(
         &mut self,
         worker: &str,
@@ -185,15 +185,16 @@
             .filter(|h| h.incarnation == incarnation);
         if let Some(host) = known {
             host.clock = clock;
-            host.answered = sent;
+            host.last_answer = sent;
         } else {
-            self.bury(worker);
-            let mut host = Host::new(address, incarnation, adopted, sent, received);
+            self.remove_worker(worker);
+            let mut host = WorkerState::new(address, incarnation, adopted, sent, received);
             for run in &adopted.report.runs {
-                let until = clock.after(run.until);
-                self.quick.block(&run.key, until);
-                self.lapses.push((until, worker.to_owned(), incarnation));
-                host.runs += 1;
+                let until = clock.latest_time(run.until);
+                self.quick.block_key(&run.key, until);
+                self.unresolved_runs
+                    .push((until, worker.to_owned(), incarnation));
+                host.running += 1;
             }
             self.hosts.insert(worker.to_owned(), host);
         }
@@ -201,27 +202,28 @@
         self.reconcile(worker, &adopted.report, sent, received);
     }
 
-    /// The worker's present life has ended: nothing that it ran runs any more.
-    pub fn bury(&mut self, worker: &str) {
+    /// A worker's current incarnation has ended, and with it everything that ran on it.
+    pub fn remove_worker(&mut self, worker: &str) {
         self.authority.revoke(worker);
         if self.hosts.remove(worker).is_none() {
             return;
         }
-        self.lapses.retain(|(_, name, _)| name != worker);
-        let gone: Vec<TaskId> = self
+        self.unresolved_runs.retain(|(_, name, _)| name != worker);
+        let ended: Vec<TaskId> = self
             .tasks
             .values()
-            .filter(|t| t.host == worker)
+            .filter(|t| t.worker == worker)
             .map(|t| t.id().clone())
             .collect();
-        for id in gone {
-            self.end(&id, AttemptState::Lost);
+        for id in ended {
+            self.end_attempt(&id, AttemptState::Lost);
         }
     }
 
-    /// Listens to the owner of a home rack; `false` if a later message was heard before.
-    pub fn hear(&mut self, from: &FencingToken) -> bool {
-        let latest = self.seniors.entry(from.home.clone()).or_default();
+    /// Accepts a message from the owner of a home rack; `false` if a later message was accepted
+    /// before.
+    pub fn accept_message(&mut self, from: &FencingToken) -> bool {
+        let latest = self.last_messages.entry(from.home.clone()).or_default();
         let message = (from.epoch, from.serial);
         if message <= *latest {
             return false;
@@ -230,21 +232,21 @@
         true
     }
 
-    /// Owners of home racks before this epoch are not listened to any more.
-    pub fn outrank(&mut self, home: &str, epoch: id::Epoch) {
-        let latest = self.seniors.entry(home.to_owned()).or_default();
+    /// From now on rejects messages from owners of a home rack with an epoch lower than this one.
+    pub fn reject_older_owners(&mut self, home: &str, epoch: id::Epoch) {
+        let latest = self.last_messages.entry(home.to_owned()).or_default();
         *latest = (*latest).max((epoch, 0));
     }
 
-    /// What the rack holds of the jobs of one home rack.
+    /// The attempts of the jobs of one home rack that this rack holds.
     #[must_use]
     pub fn inventory(&self, home: &str, complete: bool) -> Inventory {
         let of_home = self.tasks.values().filter(|t| t.task.home == home);
-        let holding = |t: &Placed| Holding {
+        let holding = |t: &Attempt| Holding {
             task: t.id().clone(),
             size: t.task.size,
         };
-        let news = self
+        let events = self
             .events
             .iter()
             .filter(|(h, _)| h == home)
@@ -253,42 +255,44 @@
             rack: self.name.clone(),
             complete: complete && self.active,
             holdings: of_home.map(holding).collect(),
-            unconfirmed: news.collect(),
+            unconfirmed: events.collect(),
         }
     }
 
-    /// Room in the rack.
+    /// Free and preemptible capacity of the rack.
     #[must_use]
     pub fn digest(&self, now: Now) -> Digest {
-        let open = || {
+        let accepting = || {
             self.hosts
                 .iter()
-                .filter(|(_, h)| self.active && h.open(now))
+                .filter(|(_, h)| self.active && h.accepts_work(now))
         };
         Digest {
             rack: self.name.clone(),
             epoch: self.epoch,
-            free: open().map(|(name, host)| self.free(name, host)).collect(),
-            yielding: open()
-                .map(|(name, _)| self.yielding(name, Band::Urgent))
+            free: accepting()
+                .map(|(name, host)| self.free_capacity(name, host))
                 .collect(),
-            lent: open()
-                .map(|(name, _)| self.yielding(name, Band::Normal))
+            yielding: accepting()
+                .map(|(name, _)| self.preemptible_size(name, Band::Urgent))
+                .collect(),
+            lent: accepting()
+                .map(|(name, _)| self.preemptible_size(name, Band::Normal))
                 .collect(),
         }
     }
 
-    /// News for the owners of home racks that they have not confirmed yet.
+    /// Events that the owners of home racks have not confirmed yet.
     #[must_use]
-    pub fn news(&self) -> &[(id::Rack, Event)] {
+    pub fn unconfirmed_events(&self) -> &[(id::Rack, Event)] {
         &self.events
     }
 
-    /// The owner of this home rack has taken note of these events.
-    pub fn confirmed(&mut self, home: &str, seen: &[Event]) {
+    /// The owner of this home rack has recorded these events.
+    pub fn confirm_events(&mut self, home: &str, confirmed: &[Event]) {
         self.events
-            .retain(|(h, event)| h != home || !seen.contains(event));
-        let ended = seen.iter().filter(|event| event.state.is_over());
+            .retain(|(h, event)| h != home || !confirmed.contains(event));
+        let ended = confirmed.iter().filter(|event| event.state.is_over());
         for event in ended {
             for host in self.hosts.values_mut() {
                 host.forget.push(event.task.clone());
@@ -299,19 +303,19 @@
     /// State of the rack for operators.
     #[must_use]
     pub fn status(&self, stage: &str, now: Now) -> RackStatus {
-        let host = |(name, host): (&id::Worker, &Host)| {
-            let free = self.free(name, host);
+        let worker_status = |(name, host): (&id::Worker, &WorkerState)| {
+            let free = self.free_capacity(name, host);
             (
                 name.clone(),
                 host.size.saturating_minus(free),
-                host.open(now),
+                host.accepts_work(now),
             )
         };
         RackStatus {
             rack: self.name.clone(),
             epoch: self.epoch,
             stage: stage.to_owned(),
-            workers: self.hosts.iter().map(host).collect(),
+            workers: self.hosts.iter().map(worker_status).collect(),
             tasks: self.tasks.len() as u32,
             waiting: self.quick.len() as u32,
             teams: Vec::new(),
@@ -320,47 +324,52 @@
 
     /// Whether any quick request waits or runs, as far as this owner knows.
     #[must_use]
-    pub fn quick_in_hand(&self) -> bool {
-        self.quick.len() > 0 || self.hosts.values().any(|h| h.runs > 0)
+    pub fn has_quick_requests(&self) -> bool {
+        self.quick.len() > 0 || self.hosts.values().any(|h| h.running > 0)
     }
 
-    /// What is free for new tasks on a worker: neither taken nor promised.
-    fn free(&self, worker: &str, host: &Host) -> Size {
-        let taken = self
+    /// Capacity of a worker that is neither used nor reserved.
+    fn free_capacity(&self, worker: &str, host: &WorkerState) -> Size {
+        let reserved = self
             .tasks
             .values()
-            .filter(|t| t.host == worker)
-            .map(|t| t.reserve)
+            .filter(|t| t.worker == worker)
+            .map(|t| t.reserved)
             .sum();
-        host.size.saturating_minus(taken)
+        host.size.saturating_minus(reserved)
     }
 
-    /// What tasks may take on a worker at this very moment.
-    fn room_now(&self, worker: &str, host: &Host) -> Size {
+    /// Capacity of a worker that is not occupied at this moment: attempts that still wait for
+    /// capacity are not counted.
+    fn unoccupied_capacity(&self, worker: &str, host: &WorkerState) -> Size {
         let occupied = self
             .tasks
             .values()
-            .filter(|t| t.host == worker && t.occupies());
+            .filter(|t| t.worker == worker && t.occupies());
         host.size
-            .saturating_minus(occupied.map(|t| t.reserve).sum())
+            .saturating_minus(occupied.map(|t| t.reserved).sum())
     }
 
-    /// What batch work on a worker takes that would make room for work of this band.
-    fn yielding(&self, worker: &str, band: Band) -> Size {
-        let batch = |t: &&Placed| {
-            t.host == worker
+    /// Capacity of a worker that batch tasks use and that work of this band may preempt.
+    fn preemptible_size(&self, worker: &str, band: Band) -> Size {
+        let preemptible = |t: &&Attempt| {
+            t.worker == worker
                 && t.task.shape == Shape::Batch
-                && place::yields(t.task.band, band)
-                && matches!(t.stage, Stage::Running { .. })
+                && place::yields_to(t.task.band, band)
+                && matches!(t.phase, AttemptPhase::Running { .. })
         };
-        self.tasks.values().filter(batch).map(|t| t.reserve).sum()
+        self.tasks
+            .values()
+            .filter(preemptible)
+            .map(|t| t.reserved)
+            .sum()
     }
 
-    fn rooms(&self, now: Now, siblings_of: &TaskId) -> (Vec<id::Worker>, Vec<Capacity>) {
-        let open = self.hosts.iter().filter(|(_, host)| host.open(now));
-        let room = |(name, host): (&id::Worker, &Host)| {
-            let sibling = |t: &&Placed| {
-                t.host == *name
+    fn candidates(&self, now: Now, siblings_of: &TaskId) -> (Vec<id::Worker>, Vec<Capacity>) {
+        let accepting = self.hosts.iter().filter(|(_, host)| host.accepts_work(now));
+        let candidate = |(name, host): (&id::Worker, &WorkerState)| {
+            let sibling = |t: &&Attempt| {
+                t.worker == *name
                     && t.task.id.job == siblings_of.job
                     && t.task.id.team == siblings_of.team
             };
@@ -368,24 +377,24 @@
             (
                 name.clone(),
                 Capacity {
-                    free: self.free(name, host),
+                    free: self.free_capacity(name, host),
                     total: host.size,
                     siblings,
                 },
             )
         };
-        open.map(room).unzip()
+        accepting.map(candidate).unzip()
     }
 
-    /// The attempt can't run any more; its job's owner is told.
-    fn end(&mut self, id: &TaskId, fate: AttemptState) {
-        if let Some(placed) = self.tasks.remove(id) {
-            self.tell(placed.task.home, id.clone(), fate);
+    /// Removes an attempt that can't run any longer, and records an event for its job's owner.
+    fn end_attempt(&mut self, id: &TaskId, state: AttemptState) {
+        if let Some(attempt) = self.tasks.remove(id) {
+            self.record_event(attempt.task.home, id.clone(), state);
         }
     }
 
-    fn tell(&mut self, home: id::Rack, task: TaskId, fate: AttemptState) {
-        let event = Event { task, state: fate };
+    fn record_event(&mut self, home: id::Rack, task: TaskId, state: AttemptState) {
+        let event = Event { task, state };
         if !self.events.iter().any(|(h, e)| *h == home && *e == event) {
             self.events.push((home, event));
         }
--- a/crates/placer/src/node/digest_exchange.rs
+++ b/crates/placer/src/node/digest_exchange.rs
@@ -46,7 +46,7 @@
 
 fn store_digests(node: &Node, digests: &[wire::Digest]) {
     let mut known = lock(&node.digests);
-    digests.iter().for_each(|digest| known.learn(digest));
+    digests.iter().for_each(|digest| known.update(digest));
 }
 
 fn update_gauges(node: &Node) {
--- a/crates/placer/src/node/table_sync.rs
+++ b/crates/placer/src/node/table_sync.rs
@@ -185,12 +185,12 @@
                     && (owner_down || owned)
                     && !node.shutdown.is_draining() =>
             {
-                shard.handle(&Event::Wanted);
+                shard.handle(&Event::Assigned);
             }
             Stage::Fencing | Stage::Active
                 if !desired_here && reachable && desired_owner.is_some() =>
             {
-                shard.handle(&Event::Unwanted);
+                shard.handle(&Event::Unassigned);
             }
             _ => {}
         }
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use cell::fence::Takeover;
-use cell::{Desk, Event, Go, Next, Now, Ownership, Rack, Record, Stage, Ticket};
+use cell::{Event, JobScheduler, Next, Now, Ownership, QuickRun, Rack, Record, Stage, Ticket};
 use config::Cell;
 use policy::RetryBudget;
 use resource::{Size, id};
@@ -55,9 +55,9 @@
     record: Option<(u64, Record)>,
     rack: Option<Rack>,
     takeover: Takeover,
-    desk: Option<Desk>,
+    desk: Option<JobScheduler>,
     requests: RequestCache,
-    pending_starts: HashMap<Ticket, oneshot::Sender<Go>>,
+    pending_starts: HashMap<Ticket, oneshot::Sender<QuickRun>>,
     retry_budgets: BTreeMap<id::Team, RetryBudget>,
     listed: BTreeMap<id::Worker, ListedWorker>,
     listed_at: Now,
@@ -188,9 +188,9 @@
     /// The tasks that the rack holds for the jobs of one home rack, if this placer owns it.
     pub(crate) fn inventory(&self, from: &FencingToken, now: Now) -> Option<Inventory> {
         let mut state = self.state();
-        let complete = state.takeover.complete(now);
+        let complete = state.takeover.knows_all_tasks(now);
         let rack = state.rack.as_mut()?;
-        rack.hear(from)
+        rack.accept_message(from)
             .then(|| rack.inventory(&from.home, complete))
     }
 
@@ -205,7 +205,11 @@
             .unwrap_or_default();
         status.rack.clone_from(&self.name);
         status.stage = stage;
-        let usage = state.desk.as_ref().map(Desk::usage).unwrap_or_default();
+        let usage = state
+            .desk
+            .as_ref()
+            .map(JobScheduler::usage)
+            .unwrap_or_default();
         let team = |(team, (used, waiting)): (String, (Size, u32))| (team, used, waiting);
         status.teams = usage.into_iter().map(team).collect();
         status
@@ -213,7 +217,7 @@
 
     /// Calls a function with the desk, which manages the jobs whose home is this rack; `None` if it
     /// is not open.
-    pub(crate) fn with_desk<T>(&self, change: impl FnOnce(&mut Desk) -> T) -> Option<T> {
+    pub(crate) fn with_desk<T>(&self, change: impl FnOnce(&mut JobScheduler) -> T) -> Option<T> {
         self.state().desk.as_mut().map(change)
     }
 
@@ -232,11 +236,11 @@
         else {
             return;
         };
-        while let Next::Start(go) = rack.next(now) {
+        while let Next::Start(go) = rack.start_next(now) {
             let start = pending_starts.remove(&go.ticket);
             let sent = start.is_some_and(|start| start.send(go.clone()).is_ok());
             if !sent {
-                rack.finish(&go, cell::Over::Refused, Duration::ZERO, now);
+                rack.finish(&go, cell::RunOutcome::Refused, Duration::ZERO, now);
             }
         }
     }
--- a/crates/placer/src/shard/jobs.rs
+++ b/crates/placer/src/shard/jobs.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cell::Plan;
+use cell::Dispatch;
 use futures::future::join_all;
 use wire::{PlaceRequest, Placement};
 
@@ -56,26 +56,26 @@
             return;
         };
         for digest in node.local_digests() {
-            lock(&node.digests).learn(&digest);
+            lock(&node.digests).update(&digest);
         }
         let plans = {
             let mut state = self.state();
             let Some(desk) = &mut state.desk else {
                 return;
             };
-            desk.plan(&applied.cell, &mut lock(&node.digests))
+            desk.schedule(&applied.cell, &mut lock(&node.digests))
         };
-        let (gangs, single): (Vec<Plan>, Vec<Plan>) = plans
+        let (gangs, single): (Vec<Dispatch>, Vec<Dispatch>) = plans
             .into_iter()
-            .partition(|plan| matches!(plan, Plan::Gang { .. }));
+            .partition(|plan| matches!(plan, Dispatch::Gang { .. }));
         let started = single.into_iter().filter_map(|plan| match plan {
-            Plan::Start(request) => Some(self.send_place_request(node, request)),
-            Plan::Gang { .. } => None,
+            Dispatch::Start(request) => Some(self.send_place_request(node, request)),
+            Dispatch::Gang { .. } => None,
         });
         join_all(started).await;
         for plan in gangs {
-            if let Plan::Gang { gang, orders } = plan {
-                self.start_gang(node, &gang, orders).await;
+            if let Dispatch::Gang { gang, requests } = plan {
+                self.start_gang(node, &gang, requests).await;
             }
         }
     }
@@ -83,12 +83,12 @@
     /// Sends a place request to the owner of its rack; `true` if all its tasks were placed.
     async fn send_place_request(self: &Arc<Self>, node: &Arc<Node>, request: PlaceRequest) -> bool {
         let Some(placed) = node.place_at(&request).await else {
-            self.with_desk(|desk| desk.doubt(&request.rack, node.now()));
+            self.with_desk(|desk| desk.mark_unknown(&request.rack, node.now()));
             return false;
         };
         match &placed.digest {
-            Some(digest) => lock(&node.digests).learn(digest),
-            None => lock(&node.digests).forget(&request.rack),
+            Some(digest) => lock(&node.digests).update(digest),
+            None => lock(&node.digests).remove(&request.rack),
         }
         metrics::counter!("lentilyoke_placements_total").increment(
             placed
@@ -97,7 +97,7 @@
                 .filter(|p| **p == Placement::Placed)
                 .count() as u64,
         );
-        self.with_desk(|desk| desk.placed(&request, &placed));
+        self.with_desk(|desk| desk.place_request_answered(&request, &placed));
         placed.placements.iter().all(|p| *p == Placement::Placed)
     }
 }
--- a/crates/placer/src/shard/jobs/placement.rs
+++ b/crates/placer/src/shard/jobs/placement.rs
@@ -44,7 +44,7 @@
         from: &FencingToken,
         gang: &Gang,
     ) -> bool {
-        self.execute_if_current(node, from, |rack, now| Some(rack.undo(gang, now)))
+        self.execute_if_current(node, from, |rack, now| Some(rack.abort(gang, now)))
     }
 
     /// Stops all tasks of a job on this rack.
@@ -55,7 +55,7 @@
         team: &str,
         job: &str,
     ) -> bool {
-        self.execute_if_current(node, from, |rack, now| Some(rack.stop(team, job, now)))
+        self.execute_if_current(node, from, |rack, now| Some(rack.stop_job(team, job, now)))
     }
 
     /// Executes a request of a job's owner, unless a later message of that owner was received
@@ -71,7 +71,7 @@
         let Some(rack) = &mut state.rack else {
             return false;
         };
-        if !rack.hear(from) {
+        if !rack.accept_message(from) {
             return false;
         }
         let Some(commands) = act(rack, now) else {
--- a/crates/placer/src/shard/ownership.rs
+++ b/crates/placer/src/shard/ownership.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cell::fence::{Roster, Takeover};
-use cell::{Desk, Event, Rack, Record, Saved, Stage};
+use cell::{Event, JobScheduler, Rack, Record, SavedJob, Stage};
 use platform::{Error, Transaction};
 
 use super::Shard;
@@ -54,7 +54,7 @@
             .cloned()
             .unwrap_or_default();
         let roster: Roster = self.state().listed.keys().cloned().collect();
-        let next = record.taken(&node.options.name, &node.options.address, roster);
+        let next = record.acquired_by(&node.options.name, &node.options.address, roster);
         let written = self.write_record(node, &key, version, &next).await;
         let Some(version) = written else {
             self.handle(&Event::Refused);
@@ -73,7 +73,7 @@
         let same = before.owner.as_ref() == Some(&node.options.name);
         let settings = state.settings.clone();
         match &mut state.rack {
-            Some(rack) if same && rack.epoch() == before.epoch => rack.retake(epoch, roster),
+            Some(rack) if same && rack.epoch() == before.epoch => rack.reacquire(epoch, roster),
             _ => state.rack = Some(Rack::new(&self.name, epoch, roster, settings)),
         }
         // A place request from a former owner of a home rack may still be in transit to this rack.
@@ -82,7 +82,7 @@
         let records = node.view().records.clone();
         if let Some(rack) = &mut state.rack {
             for (home, (_, record)) in records {
-                rack.outrank(&home, record.epoch);
+                rack.reject_older_owners(&home, record.epoch);
             }
         }
         state.takeover = Takeover::new(before.rosters.clone());
@@ -157,7 +157,7 @@
         state.requests.evict_expired(now);
         if state.roster_change_due(now) && node.view().is_reachable() {
             state.roster_mismatch_since = None;
-            state.ownership.handle(&Event::Wanted);
+            state.ownership.handle(&Event::Assigned);
         }
     }
 
@@ -167,7 +167,7 @@
         let Some((version, record)) = record.filter(|(_, r)| r.rosters.len() > 1) else {
             return;
         };
-        let next = record.settled();
+        let next = record.without_earlier_rosters();
         if let Some(version) = self
             .write_record(node, &Record::key(&self.name), version, &next)
             .await
@@ -187,7 +187,7 @@
         let cell = &applied.cell;
         let here = |(name, team): (&String, &config::Team)| {
             let home = config::home::team(cell, name, team)?;
-            (home == self.name).then(|| Saved::key(name, ""))
+            (home == self.name).then(|| SavedJob::key(name, ""))
         };
         let prefixes: Vec<String> = cell.teams.iter().filter_map(here).collect();
         let prefixes: Vec<&str> = prefixes.iter().map(String::as_str).collect();
@@ -203,14 +203,14 @@
             }
         };
         let saved = saved.into_iter().filter_map(|row| row.value);
-        let saved: Vec<Saved> = saved
+        let saved: Vec<SavedJob> = saved
             .filter_map(|v| serde_json::from_str(&v).ok())
             .collect();
         let mut state = self.state();
         if state.desk.is_some() || state.ownership.stage() != Stage::Active {
             return;
         }
-        let mut desk = Desk::new(self.name.clone(), state.ownership.epoch());
+        let mut desk = JobScheduler::new(self.name.clone(), state.ownership.epoch());
         if !saved.is_empty() {
             desk.recover(saved, cell, node.now());
         }
@@ -221,7 +221,7 @@
     async fn release(&self, node: &Node) {
         let (busy, record) = {
             let mut state = self.state();
-            let busy = state.rack.as_ref().is_some_and(Rack::quick_in_hand);
+            let busy = state.rack.as_ref().is_some_and(Rack::has_quick_requests);
             state.desk = None;
             (busy, state.record.clone())
         };
@@ -254,7 +254,11 @@
     fn try_activate(&mut self, now: cell::Now) -> bool {
         self.fence_removed_workers(now);
         let ready = self.takeover.ready(now) && self.ownership.stage() == Stage::Fencing;
-        let Some(rack) = self.rack.as_mut().filter(|rack| ready && rack.proved(now)) else {
+        let Some(rack) = self
+            .rack
+            .as_mut()
+            .filter(|rack| ready && rack.has_authority(now))
+        else {
             return false;
         };
         rack.activate();
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cell::{Go, Now, Over, Stage, Ticket};
+use cell::{Now, QuickRun, RunOutcome, Stage, Ticket};
 use config::Service;
 use policy::RetryBudget;
 use tokio::sync::oneshot;
 use wire::{Answer, Claim, ClaimOutcome, Fault, Kind, Request};
 use worker::Error;
-use worker::call::{Ran, Run, Void, Voided};
+use worker::call::{Run, RunResult, Void, Voided};
 
 use super::Shard;
 use crate::Node;
@@ -154,7 +154,7 @@
         };
         let run = Run {
             epoch: go.epoch,
-            life: go.incarnation,
+            incarnation: go.incarnation,
             not_after: go.not_after,
             run_ms: service.max_run.as_millis() as u64,
             id: name.to_owned(),
@@ -178,7 +178,7 @@
             Ok(ran) => run_result(ran),
             Err(error) if error.had_no_effect() => {
                 let fault = Fault::new(Kind::NoWorker, format!("{}: {error}", go.worker));
-                (Over::Refused, AttemptResult::Retry(fault))
+                (RunOutcome::Refused, AttemptResult::Retry(fault))
             }
             Err(error) => {
                 self.resolve_attempt(node, name, request, service, &go, &error)
@@ -200,7 +200,7 @@
         request: &Request,
         service: &Service,
         expires: Now,
-    ) -> Result<Go, Fault> {
+    ) -> Result<QuickRun, Fault> {
         let (ticket, mut start) = self.enqueue(node, request, service, expires)?;
         self.dispatch(node.now());
         let deadline = node.uptime.instant_at(expires);
@@ -232,12 +232,12 @@
         request: &Request,
         service: &Service,
         expires: Now,
-    ) -> Result<(Ticket, oneshot::Receiver<Go>), Fault> {
+    ) -> Result<(Ticket, oneshot::Receiver<QuickRun>), Fault> {
         let key = format!("{}/{}", request.service, request.key);
         let mut state = self.state();
         let active = state.ownership.stage() == Stage::Active;
         let rack = state.rack.as_mut().filter(|_| active).ok_or_else(deposed)?;
-        let ticket = rack.enter(service.rank, &key, expires, node.now())?;
+        let ticket = rack.enqueue(service.rank, &key, expires, node.now())?;
         let (sender, start) = oneshot::channel();
         state.pending_starts.insert(ticket, sender);
         Ok((ticket, start))
@@ -251,9 +251,9 @@
         name: &str,
         request: &Request,
         service: &Service,
-        go: &Go,
+        go: &QuickRun,
         error: &Error,
-    ) -> (Over, AttemptResult) {
+    ) -> (RunOutcome, AttemptResult) {
         log::warn!(request = name, worker = go.worker.as_str(); "worker did not answer: {error}");
         let void = Void {
             epoch: go.epoch,
@@ -265,18 +265,19 @@
             Ok(Voided::Ended(ran)) => run_result(ran),
             Ok(Voided::Never) => {
                 let fault = Fault::new(Kind::NoWorker, format!("{} did not start it", go.worker));
-                (Over::Refused, AttemptResult::Retry(fault))
-            }
-            Ok(Voided::Stopped) if request.idempotent => {
-                (Over::Known { failed: true }, AttemptResult::Retry(lost()))
+                (RunOutcome::Refused, AttemptResult::Retry(fault))
             }
+            Ok(Voided::Stopped) if request.idempotent => (
+                RunOutcome::Known { failed: true },
+                AttemptResult::Retry(lost()),
+            ),
             Ok(Voided::Stopped) => (
-                Over::Known { failed: true },
+                RunOutcome::Known { failed: true },
                 AttemptResult::Answer(lost().into()),
             ),
             Err(_) => (
-                Over::Unknown {
-                    run: service.max_run,
+                RunOutcome::Unknown {
+                    max_run: service.max_run,
                 },
                 AttemptResult::Answer(lost().into()),
             ),
@@ -304,14 +305,14 @@
 }
 
 /// Result of a run whose outcome the worker reported.
-fn run_result(ran: Ran) -> (Over, AttemptResult) {
+fn run_result(ran: RunResult) -> (RunOutcome, AttemptResult) {
     match ran.result {
         Ok(body) => (
-            Over::Known { failed: false },
+            RunOutcome::Known { failed: false },
             AttemptResult::Answer(Answer::Done(body)),
         ),
         Err(reason) => (
-            Over::Known { failed: true },
+            RunOutcome::Known { failed: true },
             AttemptResult::Answer(Answer::fault(Kind::Failed, reason)),
         ),
     }
--- a/crates/placer/tests/cluster/fault_injection.rs
+++ b/crates/placer/tests/cluster/fault_injection.rs
@@ -16,9 +16,10 @@
     Claim, ClaimOutcome, Digest, Event, FencingToken, Gang, Inventory, PlaceReply, PlaceRequest,
 };
 use worker::call::{
-    Adopt, Adopted, Hello, Pulse, Ran, Report, Run, Start, Stop, Stopped, Throttle, Void, Voided,
+    Adopt, Adopted, Heartbeat, Hello, Report, Run, RunResult, Start, Stop, Stopped, Throttle, Void,
+    Voided,
 };
-use worker::{Error, Host};
+use worker::{Error, WorkerApi};
 
 use super::Net;
 
@@ -122,7 +123,7 @@
     async fn worker(&self, address: &str) -> Result<(), Error> {
         self.wait_while_paused().await;
         if self.unreachable_workers.lock().unwrap().contains(address) {
-            tokio::time::sleep(worker::TIMEOUT).await;
+            tokio::time::sleep(worker::CALL_TIMEOUT).await;
             return Err(Error::NotSent {
                 reason: "cut off".to_owned(),
             });
@@ -179,7 +180,7 @@
 }
 
 #[async_trait]
-impl Host for FaultyConnections {
+impl WorkerApi for FaultyConnections {
     async fn hello(&self, address: &str) -> Result<Hello, Error> {
         self.faults.worker(address).await?;
         self.racks.hello(address).await
@@ -190,12 +191,12 @@
         self.racks.adopt(address, adopt).await
     }
 
-    async fn pulse(&self, address: &str, pulse: Pulse) -> Result<Report, Error> {
+    async fn heartbeat(&self, address: &str, pulse: Heartbeat) -> Result<Report, Error> {
         self.faults.worker(address).await?;
-        self.racks.pulse(address, pulse).await
+        self.racks.heartbeat(address, pulse).await
     }
 
-    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<Ran, Error> {
+    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<RunResult, Error> {
         self.faults.worker(address).await?;
         if *self.faults.break_runs.borrow() {
             let (racks, address) = (self.racks.clone(), address.to_owned());
--- a/crates/placer/tests/jobs.rs
+++ b/crates/placer/tests/jobs.rs
@@ -85,7 +85,7 @@
     cluster
         .wait_for_job("watch", secs(40), |s| s.restarts >= 1 && s.running == 6)
         .await;
-    assert!(started_at.elapsed() >= cell::LEASE);
+    assert!(started_at.elapsed() >= cell::TASK_LEASE);
     cluster.check_invariants();
     cluster.end().await;
 }
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 use wire::{AttemptState, Body, Shape, Task, TaskId};
 use worker::call::{
-    Adopt, Adopted, Ended, Hello, Moment, Occupied, Pulse, Ran, Report, Run, Running, Start, Stop,
-    Stopped, Throttle, Void, Voided,
+    Adopt, Adopted, EndedTask, Heartbeat, Hello, Moment, OccupiedKey, Report, Run, RunResult,
+    RunningTask, Start, Stop, Stopped, Throttle, Void, Voided,
 };
-use worker::{Refusal, Slot};
+use worker::{EpochFence, Refusal};
 
 use crate::journal::{Journal, Span};
 
@@ -44,13 +44,13 @@
 pub struct Machine {
     size: Size,
     slots: u32,
-    slot: Slot,
+    slot: EpochFence,
     faults: WorkerFaults,
     tasks: BTreeMap<TaskId, RunningTask>,
-    ended: Vec<Ended>,
+    ended: Vec<EndedTask>,
     known_attempts: BTreeSet<TaskId>,
     runs: BTreeMap<(String, u64), ActiveRun>,
-    completed: VecDeque<((String, u64), Option<Ran>)>,
+    completed: VecDeque<((String, u64), Option<RunResult>)>,
     journal: Journal,
 }
 
@@ -75,7 +75,7 @@
         Self {
             size,
             slots,
-            slot: Slot::new(incarnation),
+            slot: EpochFence::new(incarnation),
             faults: WorkerFaults::default(),
             tasks: BTreeMap::new(),
             ended: Vec::new(),
@@ -130,7 +130,7 @@
     /// Accepts a new owner.
     ///
     /// # Errors
-    /// As [`Slot::adopt`].
+    /// As [`EpochFence::adopt`].
     pub fn adopt(&mut self, adopt: &Adopt, now: Moment) -> Result<Adopted, Refusal> {
         self.slot.adopt(adopt.epoch, adopt.incarnation)?;
         Ok(Adopted {
@@ -144,8 +144,8 @@
     ///
     /// # Errors
     /// [`Refusal::Fenced`] for another epoch.
-    pub fn pulse(&mut self, pulse: &Pulse, now: Moment) -> Result<Report, Refusal> {
-        self.slot.admit(pulse.epoch, pulse.life, 0, 0)?;
+    pub fn pulse(&mut self, pulse: &Heartbeat, now: Moment) -> Result<Report, Refusal> {
+        self.slot.admit(pulse.epoch, pulse.incarnation, 0, 0)?;
         self.tick(now);
         if pulse.lease_ms > 0 && now <= pulse.not_after {
             for running_task in self.tasks.values_mut() {
@@ -162,7 +162,7 @@
     /// # Errors
     /// A [`Refusal`]: this attempt will never run.
     pub fn begin_run(&mut self, run: &Run, now: Moment, recorded_at: u64) -> Result<(), Refusal> {
-        self.slot.admit(run.epoch, run.life, now, run.not_after)?;
+        self.slot.admit(run.epoch, run.incarnation, now, run.not_after)?;
         if self.faults.leaving {
             return Err(Refusal::Leaving);
         }
@@ -190,7 +190,7 @@
     }
 
     /// Completes a quick request and returns its answer; `None` if the run was voided meanwhile.
-    pub fn end_run(&mut self, run: &Run, recorded_at: u64) -> Option<Ran> {
+    pub fn end_run(&mut self, run: &Run, recorded_at: u64) -> Option<RunResult> {
         let name = (run.id.clone(), run.attempt);
         self.close_run(&name, recorded_at)?;
         let result = if self.faults.fails {
@@ -198,7 +198,7 @@
         } else {
             Ok(answer(run))
         };
-        let ran = Ran {
+        let ran = RunResult {
             id: run.id.clone(),
             attempt: run.attempt,
             result,
@@ -235,7 +235,7 @@
     /// A [`Refusal`]: this attempt will never start.
     pub fn start(&mut self, start: &Start, now: Moment) -> Result<(), Refusal> {
         self.slot
-            .admit(start.epoch, start.life, now, start.not_after)?;
+            .admit(start.epoch, start.incarnation, now, start.not_after)?;
         if self.faults.leaving {
             return Err(Refusal::Leaving);
         }
@@ -310,12 +310,12 @@
             .iter()
             .filter_map(|(id, h)| Some((id.clone(), end_state(h)?)))
             .collect();
-        for (task, fate) in done {
+        for (task, state) in done {
             if let Some(running_task) = self.tasks.remove(&task) {
-                self.ended.push(Ended {
+                self.ended.push(EndedTask {
                     task,
                     home: running_task.task.home,
-                    fate,
+                    state,
                 });
             }
         }
@@ -347,12 +347,12 @@
                 size.memory_mib * percent / 100,
                 size.accelerators,
             );
-            Running {
+            RunningTask {
                 task: running_task.task.clone(),
                 usage,
             }
         };
-        let occupied = |a: &ActiveRun| Occupied {
+        let occupied = |a: &ActiveRun| OccupiedKey {
             key: a.key.clone(),
             until: a.until,
         };
@@ -373,7 +373,7 @@
         Some(())
     }
 
-    fn record_completed(&mut self, name: (String, u64), ran: Option<Ran>) {
+    fn record_completed(&mut self, name: (String, u64), ran: Option<RunResult>) {
         self.completed.push_back((name, ran));
         if self.completed.len() > MAX_COMPLETED_RUNS {
             self.completed.pop_front();
--- a/crates/standin/src/serve/machine.rs
+++ b/crates/standin/src/serve/machine.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use telemetry::{Shutdown, Uptime};
 use worker::Refusal;
-use worker::call::{Adopt, Moment, Pulse, Run, Start, Stop, Throttle, Void};
+use worker::call::{Adopt, Heartbeat, Moment, Run, Start, Stop, Throttle, Void};
 
 use crate::{Machine, WorkerFaults};
 
@@ -92,7 +92,7 @@
     served.call(|m, now| m.adopt(&adopt, now)).await
 }
 
-async fn pulse(State(served): State<ServedMachine>, Json(pulse): Json<Pulse>) -> Response {
+async fn pulse(State(served): State<ServedMachine>, Json(pulse): Json<Heartbeat>) -> Response {
     served.call(|m, now| m.pulse(&pulse, now)).await
 }
 
--- a/crates/worker/src/client.rs
+++ b/crates/worker/src/client.rs
@@ -1,4 +1,4 @@
-//! The worker's calls over HTTP.
+//! HTTP client for the calls of a worker.
 
 use std::time::Duration;
 
@@ -9,14 +9,15 @@
 use serde::de::DeserializeOwned;
 
 use crate::call::{
-    Adopt, Adopted, Hello, Pulse, Ran, Report, Run, Start, Stop, Stopped, Throttle, Void, Voided,
+    Adopt, Adopted, Heartbeat, Hello, Report, Run, RunResult, Start, Stop, Stopped, Throttle, Void,
+    Voided,
 };
-use crate::{Error, Host};
+use crate::{Error, WorkerApi};
 
-/// Time limit of every call but [`Host::run`].
-pub const TIMEOUT: Duration = Duration::from_millis(500);
+/// Time limit of every call except [`WorkerApi::run`].
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Speaks to workers over HTTP.
+/// Makes the calls of [`WorkerApi`] over HTTP.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: http::Client,
@@ -53,44 +54,45 @@
 }
 
 #[async_trait]
-impl Host for Client {
+impl WorkerApi for Client {
     async fn hello(&self, address: &str) -> Result<Hello, Error> {
-        self.call(address, "hello", &(), TIMEOUT).await
+        self.call(address, "hello", &(), CALL_TIMEOUT).await
     }
 
     async fn adopt(&self, address: &str, adopt: Adopt) -> Result<Adopted, Error> {
-        self.call(address, "adopt", &adopt, TIMEOUT).await
+        self.call(address, "adopt", &adopt, CALL_TIMEOUT).await
     }
 
-    async fn pulse(&self, address: &str, pulse: Pulse) -> Result<Report, Error> {
-        self.call(address, "pulse", &pulse, TIMEOUT).await
+    async fn heartbeat(&self, address: &str, heartbeat: Heartbeat) -> Result<Report, Error> {
+        self.call(address, "pulse", &heartbeat, CALL_TIMEOUT).await
     }
 
-    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<Ran, Error> {
-        let ran: Ran = self.call(address, "run", &run, limit).await?;
-        // A connection that is reused after a fault can bring the answer to another request; the
-        // caller would get somebody else's result. The id and the attempt tell them apart.
-        if ran.id != run.id || ran.attempt != run.attempt {
+    async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<RunResult, Error> {
+        let result: RunResult = self.call(address, "run", &run, limit).await?;
+        // After a fault, a reused connection can deliver the response to another request, and the
+        // caller would get someone else's result. The id and the attempt identify the response.
+        if result.id != run.id || result.attempt != run.attempt {
             return Err(Error::NoAnswer {
-                reason: format!("a foreign answer, {}", ran.id),
+                reason: format!("response belongs to another request, {}", result.id),
             });
         }
-        Ok(ran)
+        Ok(result)
     }
 
     async fn void(&self, address: &str, void: Void) -> Result<Voided, Error> {
-        self.call(address, "void", &void, TIMEOUT).await
+        self.call(address, "void", &void, CALL_TIMEOUT).await
     }
 
     async fn start(&self, address: &str, start: Start) -> Result<(), Error> {
-        self.call(address, "start", &start, TIMEOUT).await
+        self.call(address, "start", &start, CALL_TIMEOUT).await
     }
 
     async fn stop(&self, address: &str, stop: Stop) -> Result<Option<Stopped>, Error> {
-        self.call(address, "stop", &stop, TIMEOUT).await
+        self.call(address, "stop", &stop, CALL_TIMEOUT).await
     }
 
     async fn throttle(&self, address: &str, throttle: Throttle) -> Result<(), Error> {
-        self.call(address, "throttle", &throttle, TIMEOUT).await
+        self.call(address, "throttle", &throttle, CALL_TIMEOUT)
+            .await
     }
 }
--- a/crates/worker/src/lib.rs
+++ b/crates/worker/src/lib.rs
@@ -1,17 +1,18 @@
-//! The contract with a worker and the executor on it.
+//! The interface of a worker and its executor.
 //!
-//! * [`Slot`]: the fencing rule; pure, and shared with the specification and the stand-in.
-//! * [`Host`]: what can be asked of a worker.
-//! * [`Client`]: the same over HTTP.
+//! * [`EpochFence`]: the fencing rule. It does no I/O, and the specification and the stand-in use
+//!   it too.
+//! * [`WorkerApi`]: the calls of a worker.
+//! * [`Client`]: the same calls over HTTP.
 //! * [`call`]: the messages.
 
 pub mod call;
 mod client;
+mod epoch_fence;
 mod error;
-mod host;
-mod slot;
+mod worker_api;
 
-pub use client::{Client, TIMEOUT};
+pub use client::{CALL_TIMEOUT, Client};
+pub use epoch_fence::{EpochFence, Refusal};
 pub use error::Error;
-pub use host::Host;
-pub use slot::{Refusal, Slot};
+pub use worker_api::WorkerApi;
