--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -46,7 +46,7 @@
     slots: u32,
     slot: EpochFence,
     faults: WorkerFaults,
-    tasks: BTreeMap<TaskId, RunningTask>,
+    tasks: BTreeMap<TaskId, ActiveTask>,
     ended: Vec<EndedTask>,
     known_attempts: BTreeSet<TaskId>,
     runs: BTreeMap<(String, u64), ActiveRun>,
@@ -55,7 +55,7 @@
 }
 
 #[derive(Debug)]
-struct RunningTask {
+struct ActiveTask {
     task: Task,
     since: Moment,
     expires: Moment,
@@ -162,7 +162,8 @@
     /// # Errors
     /// A [`Refusal`]: this attempt will never run.
     pub fn begin_run(&mut self, run: &Run, now: Moment, recorded_at: u64) -> Result<(), Refusal> {
-        self.slot.admit(run.epoch, run.incarnation, now, run.not_after)?;
+        self.slot
+            .admit(run.epoch, run.incarnation, now, run.not_after)?;
         if self.faults.leaving {
             return Err(Refusal::Leaving);
         }
@@ -246,7 +247,7 @@
         let name = format!("{}/{}/{}/{}", id.team, id.job, id.index, id.attempt);
         self.journal.starts.push(name);
         let expires = now + start.lease_ms;
-        let running_task = RunningTask {
+        let running_task = ActiveTask {
             task: start.task.clone(),
             since: now,
             expires,
@@ -292,7 +293,7 @@
     /// Advances the time: ends tasks that have finished or failed, or whose lease has expired.
     pub fn tick(&mut self, now: Moment) {
         let fails = self.faults.fails;
-        let end_state = |running_task: &RunningTask| {
+        let end_state = |running_task: &ActiveTask| {
             let worked_ms = running_task.task.saved_ms + (now - running_task.since);
             let has_end = running_task.task.shape != Shape::Service;
             if now >= running_task.expires {
@@ -338,7 +339,7 @@
             0 => DEFAULT_USAGE_PERCENT,
             p => u64::from(p),
         };
-        let running = |running_task: &RunningTask| {
+        let running = |running_task: &ActiveTask| {
             let size = running_task.task.size;
             let measured = now.saturating_sub(running_task.since) >= USAGE_LAG;
             let percent = if measured { percent } else { 0 };
