--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -1,47 +1,47 @@
-//! Tasks: which worker they go to, who makes room for them.
+//! Placement of tasks on workers, and preemption.
 
 use std::time::Duration;
 
 use policy::evict::{self, Victim};
 use policy::{Rule, choose};
 use resource::id;
-use wire::{Band, Digest, Gang, Mode, Order, Placed as Reply, Placement, Shape, Task, TaskId};
+use wire::{Band, Digest, Gang, Mode, PlaceReply, PlaceRequest, Placement, Shape, Task, TaskId};
 use worker::call::{Start, Stop};
 
 use super::Rack;
 use crate::Now;
-use crate::task::{Command, Outcome, Placed, Stage, stopped};
+use crate::attempt::{Attempt, AttemptPhase, Command, Outcome, state_after_stop};
 
-/// How long a task may run on without a heartbeat.
-pub const LEASE: Duration = Duration::from_secs(10);
-/// How long room is kept for a gang that is not complete.
-const HOLD: Duration = Duration::from_secs(3);
-/// How long a start may stay on its way to the worker.
-const DELIVERY: Duration = Duration::from_millis(1_000);
-/// How long urgent work waits for others to make room before its owner looks elsewhere.
-const EVICTION: Duration = Duration::from_secs(3);
+/// How long a task may run without a heartbeat.
+pub const TASK_LEASE: Duration = Duration::from_secs(10);
+/// How long capacity is held for a gang that is not complete.
+const GANG_HOLD_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a start command may take to reach the worker.
+const START_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long a task waits for preempted tasks to end before its owner tries elsewhere.
+const EVICTION_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Rack {
-    /// Places the tasks of an order and tells what to say to the workers.
-    pub fn place(&mut self, order: &Order, now: Now) -> (Reply, Vec<Command>) {
-        let meant = order.epoch == self.epoch;
-        if !meant || !self.acts(now) || !self.hear(&order.from) {
-            let placements = vec![Placement::NotOwner; order.tasks.len()];
+    /// Places the tasks of a request. Returns the reply and the commands to be sent to the workers.
+    pub fn place(&mut self, request: &PlaceRequest, now: Now) -> (PlaceReply, Vec<Command>) {
+        let current_epoch = request.epoch == self.epoch;
+        if !current_epoch || !self.may_act(now) || !self.accept_message(&request.from) {
+            let placements = vec![Placement::NotOwner; request.tasks.len()];
             return (
-                Reply {
+                PlaceReply {
                     placements,
                     digest: None,
                 },
                 Vec::new(),
             );
         }
-        let (placements, commands) = match order.mode {
-            Mode::Start => self.start_each(&order.tasks, now),
-            Mode::Hold => (self.hold_all(&order.tasks, now), Vec::new()),
+        let (placements, commands) = match request.mode {
+            Mode::Start => self.start_tasks(&request.tasks, now),
+            Mode::Hold => (self.hold_tasks(&request.tasks, now), Vec::new()),
         };
         let digest: Digest = self.digest(now);
         (
-            Reply {
+            PlaceReply {
                 placements,
                 digest: Some(digest),
             },
@@ -49,11 +49,11 @@
         )
     }
 
-    /// Starts a gang that is held here; `false` if the hold has lapsed.
+    /// Starts a gang that is held here; `None` if the hold has expired.
     pub fn commit(&mut self, gang: &Gang, now: Now) -> Option<Vec<Command>> {
-        let members = self.members(gang);
-        let held = |id: &TaskId| matches!(self.tasks[id].stage, Stage::Held { .. });
-        if !self.acts(now) || members.is_empty() || !members.iter().all(held) {
+        let members = self.gang_attempts(gang);
+        let held = |id: &TaskId| matches!(self.tasks[id].phase, AttemptPhase::Held { .. });
+        if !self.may_act(now) || members.is_empty() || !members.iter().all(held) {
             return None;
         }
         Some(
@@ -64,62 +64,65 @@
         )
     }
 
-    /// Gives up a gang: lets go of what is held, stops what was started.
-    pub fn undo(&mut self, gang: &Gang, now: Now) -> Vec<Command> {
-        let members = self.members(gang);
+    /// Aborts a gang: releases what is held and stops what was started.
+    pub fn abort(&mut self, gang: &Gang, now: Now) -> Vec<Command> {
+        let members = self.gang_attempts(gang);
         members
             .iter()
-            .filter_map(|id| self.give_up(id, false, false, now))
+            .filter_map(|id| self.stop_attempt(id, false, false, now))
             .collect()
     }
 
     /// Stops every task of a job.
-    pub fn stop(&mut self, team: &str, job: &str, now: Now) -> Vec<Command> {
+    pub fn stop_job(&mut self, team: &str, job: &str, now: Now) -> Vec<Command> {
         let of_job = |id: &&TaskId| id.team == team && id.job == job;
         let ids: Vec<TaskId> = self.tasks.keys().filter(of_job).cloned().collect();
         ids.iter()
-            .filter_map(|id| self.give_up(id, false, false, now))
+            .filter_map(|id| self.stop_attempt(id, false, false, now))
             .collect()
     }
 
-    /// What came of a start.
+    /// Applies the outcome of a start command.
     pub fn start_outcome(&mut self, id: &TaskId, outcome: Outcome, now: Now) {
-        let Some(placed) = self.tasks.get_mut(id) else {
+        let Some(attempt) = self.tasks.get_mut(id) else {
             return;
         };
-        if !matches!(placed.stage, Stage::Starting { .. }) {
+        if !matches!(attempt.phase, AttemptPhase::Starting { .. }) {
             return;
         }
         match outcome {
-            Outcome::Did { .. } => {
-                placed.stage = Stage::Running { since: now };
-                let home = placed.task.home.clone();
-                self.tell(home, id.clone(), wire::Fate::Running);
+            Outcome::Done { .. } => {
+                attempt.phase = AttemptPhase::Running { since: now };
+                let home = attempt.task.home.clone();
+                self.record_event(home, id.clone(), wire::AttemptState::Running);
             }
-            Outcome::Refused => self.end(id, wire::Fate::NotStarted),
+            Outcome::Refused => self.end_attempt(id, wire::AttemptState::NotStarted),
             Outcome::Unknown => {}
         }
     }
 
-    /// What came of a stop; urgent work that waited for the room is started.
+    /// Applies the outcome of a stop command, and starts tasks that waited for the capacity.
     pub fn stop_outcome(&mut self, id: &TaskId, outcome: Outcome, now: Now) -> Vec<Command> {
-        let Some(placed) = self.tasks.get(id) else {
+        let Some(attempt) = self.tasks.get(id) else {
             return Vec::new();
         };
-        let (host, stage) = (placed.host.clone(), placed.stage);
-        if let (Stage::Stopping { preempted, .. }, Outcome::Did { saved_ms }) = (stage, outcome) {
-            self.end(id, stopped(preempted, saved_ms));
+        let (host, phase) = (attempt.worker.clone(), attempt.phase);
+        if let (AttemptPhase::Stopping { preempted, .. }, Outcome::Done { saved_ms }) =
+            (phase, outcome)
+        {
+            self.end_attempt(id, state_after_stop(preempted, saved_ms));
         }
         self.launch_awaiting(&host, now)
     }
 
-    /// Starts urgent work on a worker for which room has been made.
+    /// Starts waiting tasks on a worker for which enough capacity has become free.
     pub(super) fn launch_awaiting(&mut self, worker: &str, now: Now) -> Vec<Command> {
         let Some(host) = self.hosts.get(worker) else {
             return Vec::new();
         };
-        let mut room = self.room_now(worker, host);
-        let waits = |t: &&Placed| t.host == worker && matches!(t.stage, Stage::Awaiting { .. });
+        let mut available = self.unoccupied_capacity(worker, host);
+        let waits =
+            |t: &&Attempt| t.worker == worker && matches!(t.phase, AttemptPhase::Awaiting { .. });
         let waiting: Vec<TaskId> = self
             .tasks
             .values()
@@ -128,19 +131,19 @@
             .collect();
         let mut commands = Vec::new();
         for id in waiting {
-            let Some(rest) = room.minus(self.tasks[&id].reserve) else {
+            let Some(remaining) = available.minus(self.tasks[&id].reserved) else {
                 continue;
             };
-            room = rest;
+            available = remaining;
             commands.extend(self.launch(&id, now));
         }
         commands
     }
 
-    /// Lets go of what was held or awaited for too long.
-    pub(super) fn lapse_holds(&mut self, now: Now) {
-        let due = |t: &&Placed| match t.stage {
-            Stage::Held { until } | Stage::Awaiting { until } => until <= now,
+    /// Releases capacity that was held or awaited for too long.
+    pub(super) fn expire_holds(&mut self, now: Now) {
+        let due = |t: &&Attempt| match t.phase {
+            AttemptPhase::Held { until } | AttemptPhase::Awaiting { until } => until <= now,
             _ => false,
         };
         let due: Vec<TaskId> = self
@@ -150,24 +153,24 @@
             .map(|t| t.id().clone())
             .collect();
         for id in due {
-            self.end(&id, wire::Fate::NotStarted);
+            self.end_attempt(&id, wire::AttemptState::NotStarted);
         }
     }
 
-    fn start_each(&mut self, tasks: &[Task], now: Now) -> (Vec<Placement>, Vec<Command>) {
+    fn start_tasks(&mut self, tasks: &[Task], now: Now) -> (Vec<Placement>, Vec<Command>) {
         let mut commands = Vec::new();
         let mut place = |task: &Task| {
             if self.tasks.contains_key(&task.id) {
                 return Placement::Placed;
             }
-            if let Some(worker) = self.choose(task, now) {
-                let stage = Stage::Awaiting { until: now };
+            if let Some(worker) = self.choose_worker(task, now) {
+                let phase = AttemptPhase::Awaiting { until: now };
                 self.tasks
-                    .insert(task.id.clone(), Placed::new(task.clone(), &worker, stage));
+                    .insert(task.id.clone(), Attempt::new(task.clone(), &worker, phase));
                 commands.extend(self.launch(&task.id, now));
                 return Placement::Placed;
             }
-            match self.make_room(task, now) {
+            match self.evict_for(task, now) {
                 Some(stops) => {
                     commands.extend(stops);
                     Placement::Placed
@@ -178,90 +181,93 @@
         (tasks.iter().map(&mut place).collect(), commands)
     }
 
-    fn hold_all(&mut self, tasks: &[Task], now: Now) -> Vec<Placement> {
+    fn hold_tasks(&mut self, tasks: &[Task], now: Now) -> Vec<Placement> {
         for task in tasks {
             if self.tasks.contains_key(&task.id) {
                 continue;
             }
-            let Some(worker) = self.choose(task, now) else {
+            let Some(worker) = self.choose_worker(task, now) else {
                 for task in tasks {
                     self.tasks.remove(&task.id);
                 }
                 return vec![Placement::Full; tasks.len()];
             };
-            let stage = Stage::Held { until: now + HOLD };
+            let phase = AttemptPhase::Held {
+                until: now + GANG_HOLD_TIMEOUT,
+            };
             self.tasks
-                .insert(task.id.clone(), Placed::new(task.clone(), &worker, stage));
+                .insert(task.id.clone(), Attempt::new(task.clone(), &worker, phase));
         }
         vec![Placement::Placed; tasks.len()]
     }
 
-    fn choose(&self, task: &Task, now: Now) -> Option<id::Worker> {
+    fn choose_worker(&self, task: &Task, now: Now) -> Option<id::Worker> {
         let rule = match task.shape {
             Shape::Service => Rule::Spread,
             Shape::Batch => self.settings.batch,
             Shape::Gang => Rule::BestFit,
         };
-        let (names, rooms) = self.rooms(now, &task.id);
-        choose::place(rule, &rooms, task.size).map(|at| names[at].clone())
+        let (names, candidates) = self.candidates(now, &task.id);
+        choose::place(rule, &candidates, task.size).map(|at| names[at].clone())
     }
 
     /// Stops batch tasks of lower bands on one worker so that `task` fits there.
-    fn make_room(&mut self, task: &Task, now: Now) -> Option<Vec<Command>> {
+    fn evict_for(&mut self, task: &Task, now: Now) -> Option<Vec<Command>> {
         if task.band == Band::Borrowed {
             return None;
         }
-        let open = self.hosts.iter().filter(|(_, host)| host.open(now));
-        let plan = |worker: &id::Worker, free| {
+        let accepting = self.hosts.iter().filter(|(_, host)| host.accepts_work(now));
+        let eviction = |worker: &id::Worker, free| {
             let lower = self.tasks.values().filter(|t| {
-                t.host == *worker
+                t.worker == *worker
                     && t.task.shape == Shape::Batch
-                    && yields(t.task.band, task.band)
-                    && matches!(t.stage, Stage::Running { .. })
+                    && yields_to(t.task.band, task.band)
+                    && matches!(t.phase, AttemptPhase::Running { .. })
             });
-            let lower: Vec<&Placed> = lower.collect();
-            let cost = |t: &&Placed| Victim {
-                size: t.reserve,
-                lost_work_ms: lost(t, now),
+            let lower: Vec<&Attempt> = lower.collect();
+            let victim = |t: &&Attempt| Victim {
+                size: t.reserved,
+                lost_work_ms: unsaved_work_ms(t, now),
             };
-            let costs: Vec<Victim> = lower.iter().map(cost).collect();
-            let chosen = evict::victims(free, task.size, &costs)?;
-            let loss: u64 = chosen.iter().map(|&at| costs[at].lost_work_ms).sum();
+            let victims: Vec<Victim> = lower.iter().map(victim).collect();
+            let chosen = evict::victims(free, task.size, &victims)?;
+            let loss: u64 = chosen.iter().map(|&at| victims[at].lost_work_ms).sum();
             let ids: Vec<TaskId> = chosen.iter().map(|&at| lower[at].id().clone()).collect();
             Some((ids.len(), loss, worker.clone(), ids))
         };
-        let plans = open.filter_map(|(name, host)| plan(name, self.free(name, host)));
-        let (_, _, worker, ids) = plans.min_by_key(|(n, loss, ..)| (*n, *loss))?;
-        let stage = Stage::Awaiting {
-            until: now + EVICTION,
+        let evictions =
+            accepting.filter_map(|(name, host)| eviction(name, self.free_capacity(name, host)));
+        let (_, _, worker, ids) = evictions.min_by_key(|(n, loss, ..)| (*n, *loss))?;
+        let phase = AttemptPhase::Awaiting {
+            until: now + EVICTION_TIMEOUT,
         };
         self.tasks
-            .insert(task.id.clone(), Placed::new(task.clone(), &worker, stage));
+            .insert(task.id.clone(), Attempt::new(task.clone(), &worker, phase));
         Some(
             ids.iter()
-                .filter_map(|id| self.give_up(id, true, true, now))
+                .filter_map(|id| self.stop_attempt(id, true, true, now))
                 .collect(),
         )
     }
 
-    /// Tells the worker to start a task that has room there.
+    /// Builds the command to start a task for which there is capacity on its worker.
     fn launch(&mut self, id: &TaskId, now: Now) -> Option<Command> {
-        let until = self.authority.until()?.min(now + DELIVERY);
-        let placed = self.tasks.get_mut(id)?;
-        let host = self.hosts.get_mut(&placed.host)?;
-        host.sent();
-        host.renewed = host.renewed.max(until);
-        let not_after = host.before(until);
-        placed.stage = Stage::Starting {
+        let until = self.authority.valid_until()?.min(now + START_TIMEOUT);
+        let attempt = self.tasks.get_mut(id)?;
+        let host = self.hosts.get_mut(&attempt.worker)?;
+        host.work_sent();
+        host.leases_renewed = host.leases_renewed.max(until);
+        let not_after = host.earliest_moment(until);
+        attempt.phase = AttemptPhase::Starting {
             not_after,
             sent: now,
         };
         let start = Start {
             epoch: self.epoch,
-            life: host.incarnation,
+            incarnation: host.incarnation,
             not_after,
-            lease_ms: LEASE.as_millis() as u64,
-            task: placed.task.clone(),
+            lease_ms: TASK_LEASE.as_millis() as u64,
+            task: attempt.task.clone(),
         };
         Some(Command::Start {
             address: host.address.clone(),
@@ -269,26 +275,29 @@
         })
     }
 
-    /// Stops an attempt, or forgets it if it was not started.
-    pub(super) fn give_up(
+    /// Stops an attempt, or removes it if it was not started.
+    pub(super) fn stop_attempt(
         &mut self,
         id: &TaskId,
         preempted: bool,
         checkpoint: bool,
         now: Now,
     ) -> Option<Command> {
-        let placed = self.tasks.get_mut(id)?;
-        if !matches!(placed.stage, Stage::Starting { .. } | Stage::Running { .. }) {
-            if !matches!(placed.stage, Stage::Stopping { .. }) {
-                self.end(id, wire::Fate::NotStarted);
+        let attempt = self.tasks.get_mut(id)?;
+        if !matches!(
+            attempt.phase,
+            AttemptPhase::Starting { .. } | AttemptPhase::Running { .. }
+        ) {
+            if !matches!(attempt.phase, AttemptPhase::Stopping { .. }) {
+                self.end_attempt(id, wire::AttemptState::NotStarted);
             }
             return None;
         }
-        placed.stage = Stage::Stopping {
+        attempt.phase = AttemptPhase::Stopping {
             since: now,
             preempted,
         };
-        let address = self.hosts.get(&placed.host)?.address.clone();
+        let address = self.hosts.get(&attempt.worker)?.address.clone();
         let stop = Stop {
             epoch: self.epoch,
             task: id.clone(),
@@ -297,18 +306,18 @@
         Some(Command::Stop { address, stop })
     }
 
-    fn members(&self, gang: &Gang) -> Vec<TaskId> {
+    fn gang_attempts(&self, gang: &Gang) -> Vec<TaskId> {
         let of_gang =
             |id: &&TaskId| id.team == gang.team && id.job == gang.job && id.attempt == gang.attempt;
         self.tasks.keys().filter(of_gang).cloned().collect()
     }
 }
 
-/// Whether work of one band makes room for work of another.
+/// Whether work of one band may be preempted for work of another.
 ///
-/// Borrowed room is taken back by anyone within a quota; within quotas only urgent work goes
-/// before the rest.
-pub(super) const fn yields(lower: Band, higher: Band) -> bool {
+/// Borrowed capacity is reclaimed by any work within its quota. Among work within quotas only
+/// urgent work preempts the rest.
+pub(super) const fn yields_to(lower: Band, higher: Band) -> bool {
     match higher {
         Band::Urgent => !matches!(lower, Band::Urgent),
         Band::Normal | Band::Standing => matches!(lower, Band::Borrowed),
@@ -316,10 +325,10 @@
     }
 }
 
-/// Work that a task would lose if its checkpoint fails, in milliseconds.
-fn lost(placed: &Placed, now: Now) -> u64 {
-    match placed.stage {
-        Stage::Running { since } => now.saturating_sub(since).as_millis() as u64,
+/// Work that a task loses if its checkpoint fails, in milliseconds.
+fn unsaved_work_ms(attempt: &Attempt, now: Now) -> u64 {
+    match attempt.phase {
+        AttemptPhase::Running { since } => now.saturating_sub(since).as_millis() as u64,
         _ => 0,
     }
 }
--- a/crates/cell/tests/losses.rs
+++ b/crates/cell/tests/losses.rs
@@ -1,16 +1,18 @@
-//! What becomes of tasks whose attempts are lost.
+//! Tasks whose attempts are lost.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
-use cell::{Desk, Digests, Plan};
+use cell::{Digests, Dispatch, JobScheduler};
 use config::Builder;
 use resource::Size;
-use wire::{Digest, Event, Fate, Job, Phase, Shape};
+use wire::{AttemptState, Digest, Event, Job, Phase, Shape};
 
-/// Starts that a task may take if each of them crashes its worker: three, and two more.
+/// Maximum number of starts of a task that crashes its worker each time: three, plus two as a
+/// tolerance.
 const STARTS_MOST: usize = 5;
 
-/// Guards against a task that crashes its workers being started without end: a lost attempt doesn't count as one that failed.
+/// Guards against endless restarts of a task that crashes its workers, which come about because a
+/// lost attempt doesn't count as a failed one.
 #[test]
 fn a_batch_task_whose_workers_crash_is_given_up() {
     let cell = Builder::new("test")
@@ -18,8 +20,8 @@
         .team("planners", "north", 64.0, 1_000_000)
         .build()
         .unwrap();
-    let mut desk = Desk::new("r1".to_owned(), 1);
-    desk.submit(Job {
+    let mut scheduler = JobScheduler::new("r1".to_owned(), 1);
+    scheduler.submit(Job {
         id: "crasher".to_owned(),
         team: "planners".to_owned(),
         shape: Shape::Batch,
@@ -31,25 +33,27 @@
     let mut starts = 0;
     for _ in 0..20 {
         let mut digests = Digests::new(Size::new(16_000, 65_536, 0));
-        digests.learn(&Digest {
+        digests.update(&Digest {
             rack: "r1".to_owned(),
             epoch: 1,
             free: vec![Size::new(16_000, 65_536, 0)],
             lent: vec![Size::ZERO],
             yielding: vec![Size::ZERO],
         });
-        for plan in desk.plan(&cell, &mut digests) {
-            let Plan::Start(order) = plan else { continue };
-            for task in order.tasks {
+        for plan in scheduler.schedule(&cell, &mut digests) {
+            let Dispatch::Start(request) = plan else {
+                continue;
+            };
+            for task in request.tasks {
                 starts += 1;
-                desk.event(&Event {
+                scheduler.apply_event(&Event {
                     task: task.id,
-                    fate: Fate::Lost,
+                    state: AttemptState::Lost,
                 });
             }
         }
     }
-    let state = desk.state("planners", "crasher").unwrap();
+    let state = scheduler.state("planners", "crasher").unwrap();
     assert_eq!(state.phase, Phase::Failed, "after {starts} starts");
     assert!(starts <= STARTS_MOST, "{starts} starts");
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,25 +1,25 @@
-//! The process that callers talk to.
+//! The HTTP front end of the scheduler: the process that callers connect to.
 //!
-//! * [`Entry`]: one entry; [`Entry::spawn`] starts what it does beside serving.
+//! * [`Entry`]: one front end; [`Entry::spawn`] starts the background refresh of its routes.
 //! * [`serve::router`]: its HTTP interface, described in `docs/API.md`.
-//! * [`Ledger`]: what may be said after several tries at one request.
+//! * [`AttemptHistory`]: decides which answer may be returned after several attempts at a request.
 //! * [`Settings`]: flags and environment variables.
 
-mod burn;
+mod admission;
+mod attempts;
 mod entry;
-mod gate;
-mod ledger;
 mod parse;
 mod respond;
-mod routes;
+mod route_table;
 pub mod serve;
 mod settings;
+mod slo_counts;
 mod upstream;
 
-pub use burn::{Burn, Minute};
+pub use admission::Admission;
+pub use attempts::AttemptHistory;
 pub use entry::Entry;
-pub use gate::Gate;
-pub use ledger::Ledger;
-pub use routes::Table;
+pub use route_table::RouteTable;
 pub use settings::Settings;
-pub use upstream::{Missed, Upstream};
+pub use slo_counts::{SloCounts, SloMinute};
+pub use upstream::{CallFailure, Upstream};
--- a/crates/model/src/ownership.rs
+++ b/crates/model/src/ownership.rs
@@ -18,10 +18,10 @@
 //! * The first placer to take over the rack is placer 0: the placers differ in nothing but number.
 //!
 //! Times are stored as remaining ticks, so the search needs no last tick and covers histories of
-//! any length. The workers' rule is the production code ([`worker::Slot`]). The owner's rules are
+//! any length. The workers' rule is the production code ([`worker::EpochFence`]). The owner's rules are
 //! restated here; `tests/conformance.rs` compares them with `cell::fence` on random histories.
 
-use worker::Slot;
+use worker::EpochFence;
 
 use crate::{Spec, Successors};
 
@@ -112,11 +112,11 @@
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Worker {
-    slot: Slot,
+    slot: EpochFence,
     /// Remaining ticks of its run of the key; 0 if it does not run it.
     run_ticks_left: u8,
     /// Attempts that it has started, as a bit mask.
-    seen: u8,
+    started: u8,
 }
 
 /// A start command in flight. It can be delivered at any time, and more than once.
@@ -191,8 +191,8 @@
         let placer = &state.placers[p];
         let epoch = placer.epoch;
         for w in 0..WORKERS {
-            let obeys = state.workers[w].slot.epoch() == u64::from(epoch);
-            if obeys && placer.acks[w].is_some() {
+            let enforces_epoch = state.workers[w].slot.epoch() == u64::from(epoch);
+            if enforces_epoch && placer.acks[w].is_some() {
                 if placer.acks[w] != Some(self.authority) {
                     let mut next = state.clone();
                     next.placers[p].acks[w] = Some(self.authority);
@@ -259,7 +259,7 @@
             if self.guards.fence || u64::from(incarnation) != slot.incarnation() {
                 return;
             }
-            *slot = Slot::new(incarnation.into());
+            *slot = EpochFence::new(incarnation.into());
             _ = slot.adopt(epoch.into(), incarnation.into());
         }
         let changes = next.workers[w] != state.workers[w];
@@ -320,11 +320,11 @@
             Err(worker::Refusal::Fenced { .. }) => !self.guards.fence,
             Err(_) => false,
         };
-        if !admitted || worker.seen & (1 << attempt) != 0 {
+        if !admitted || worker.started & (1 << attempt) != 0 {
             return;
         }
         let mut next = state.clone();
-        next.workers[w].seen |= 1 << attempt;
+        next.workers[w].started |= 1 << attempt;
         next.workers[w].run_ticks_left = RUN_TICKS;
         successors.push(|| format!("w{w} starts the key for epoch {epoch}"), next);
     }
@@ -334,12 +334,12 @@
             let slot = &state.workers[w].slot;
             if state.restarts < self.restarts && slot.epoch() > 0 {
                 let mut next = state.clone();
-                let slot = Slot::new(slot.incarnation() + 1);
+                let slot = EpochFence::new(slot.incarnation() + 1);
                 next.restarts += 1;
                 next.workers[w] = Worker {
                     slot,
                     run_ticks_left: 0,
-                    seen: 0,
+                    started: 0,
                 };
                 successors.push(|| format!("w{w} restarts"), next);
             }
@@ -374,9 +374,9 @@
 
     fn initial(&self) -> State {
         let worker = Worker {
-            slot: Slot::new(1),
+            slot: EpochFence::new(1),
             run_ticks_left: 0,
-            seen: 0,
+            started: 0,
         };
         State {
             epoch: 0,
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -1,10 +1,10 @@
-//! One rack as a placer sees it: whether it owns the rack, and if so, all of the rack's state.
-//! Each rack has its own lock.
+//! A placer's state of one rack: the stage of its ownership and, if the placer owns the rack, the
+//! rack's scheduling state. Each rack has its own lock.
 
 mod adopt;
+mod heartbeat;
 mod jobs;
-mod own;
-mod pulse;
+mod ownership;
 mod run;
 
 use std::collections::{BTreeMap, HashMap};
@@ -13,111 +13,111 @@
 use std::time::Duration;
 
 use cell::fence::Takeover;
-use cell::{Desk, Event, Go, Next, Now, Ownership, Rack, Record, Stage, Ticket};
+use cell::{Event, JobScheduler, Next, Now, Ownership, QuickRun, Rack, Record, Stage, Ticket};
 use config::Cell;
 use policy::RetryBudget;
 use resource::{Size, id};
 use tokio::sync::{Notify, oneshot};
-use wire::{Digest, Inventory, RackStatus, Seniority};
+use wire::{Digest, FencingToken, Inventory, RackStatus};
 
 use crate::Node;
-use crate::memory::Memory;
 use crate::node::lock;
+use crate::request_cache::RequestCache;
 
-/// One rack, owned or watched.
+/// One rack, owned or only watched.
 pub struct Shard {
     pub(crate) name: id::Rack,
     state: Mutex<State>,
-    /// The stage has changed.
-    stage_now: Notify,
-    /// There is news or waiting work.
-    jobs_now: Notify,
-    /// The rack is not only watched any more.
-    wanted: Notify,
+    /// Signals a change of the ownership stage.
+    stage_changed: Notify,
+    /// Signals new task events or jobs to place.
+    jobs_changed: Notify,
+    /// Signals that the rack is no longer only watched.
+    left_watching: Notify,
 }
 
-/// A worker as the platform lists it.
+/// A worker as listed by the platform.
 #[derive(Clone, Debug)]
-struct Listed {
+struct ListedWorker {
     address: String,
     leaving: bool,
 }
 
-/// A worker's life that was seen before ownership was confirmed.
+/// The incarnation of a worker as seen before ownership of the rack was confirmed.
 #[derive(Clone, Copy, Debug)]
-struct Greeted {
+struct GreetedWorker {
     incarnation: id::Incarnation,
 }
 
 pub(crate) struct State {
     ownership: Ownership,
-    /// The rack's row as this placer wrote it.
+    /// The ownership record as this placer wrote it, with its row version.
     record: Option<(u64, Record)>,
     rack: Option<Rack>,
     takeover: Takeover,
-    desk: Option<Desk>,
-    memory: Memory,
-    starts: HashMap<Ticket, oneshot::Sender<Go>>,
-    budgets: BTreeMap<id::Team, RetryBudget>,
-    listed: BTreeMap<id::Worker, Listed>,
+    desk: Option<JobScheduler>,
+    requests: RequestCache,
+    pending_starts: HashMap<Ticket, oneshot::Sender<QuickRun>>,
+    retry_budgets: BTreeMap<id::Team, RetryBudget>,
+    listed: BTreeMap<id::Worker, ListedWorker>,
     listed_at: Now,
-    /// Since when the list differs from the roster.
-    drift: Option<Now>,
-    /// Workers of earlier rosters that the list does not show, and since when.
-    missing: BTreeMap<id::Worker, Now>,
-    greeted: BTreeMap<id::Worker, Greeted>,
+    /// Since when the platform's host list differs from the roster.
+    roster_mismatch_since: Option<Now>,
+    /// Workers of recorded rosters that the host list lacks, and since when.
+    unlisted_since: BTreeMap<id::Worker, Now>,
+    greeted: BTreeMap<id::Worker, GreetedWorker>,
     settings: cell::Settings,
 }
 
 impl Shard {
-    /// A rack that is watched.
+    /// Creates the shard of a rack that is only watched.
     #[must_use]
-    pub fn new(name: &str, remember: Duration) -> Self {
+    pub fn new(name: &str, request_retention: Duration) -> Self {
         let state = State {
             ownership: Ownership::new(),
             record: None,
             rack: None,
             takeover: Takeover::default(),
             desk: None,
-            memory: Memory::new(remember),
-            starts: HashMap::new(),
-            budgets: BTreeMap::new(),
+            requests: RequestCache::new(request_retention),
+            pending_starts: HashMap::new(),
+            retry_budgets: BTreeMap::new(),
             listed: BTreeMap::new(),
             listed_at: Now::ZERO,
-            drift: None,
-            missing: BTreeMap::new(),
+            roster_mismatch_since: None,
+            unlisted_since: BTreeMap::new(),
             greeted: BTreeMap::new(),
             settings: cell::Settings::default(),
         };
         Self {
             name: name.to_owned(),
             state: Mutex::new(state),
-            stage_now: Notify::new(),
-            jobs_now: Notify::new(),
-            wanted: Notify::new(),
+            stage_changed: Notify::new(),
+            jobs_changed: Notify::new(),
+            left_watching: Notify::new(),
         }
     }
 
-    /// Starts the loops of this rack.
+    /// Starts the background tasks of this rack.
     pub(crate) fn spawn(self: &Arc<Self>, node: &Arc<Node>) {
-        if let Some(applied) = node.applied() {
+        if let Some(applied) = node.active_config() {
             self.configure(&applied.cell);
         }
-        node.stop
-            .spawn(own::run(Arc::clone(node), Arc::clone(self)));
-        node.stop
-            .spawn(pulse::run(Arc::clone(node), Arc::clone(self)));
-        node.stop
+        node.shutdown
+            .spawn(ownership::run(Arc::clone(node), Arc::clone(self)));
+        node.shutdown
+            .spawn(heartbeat::run(Arc::clone(node), Arc::clone(self)));
+        node.shutdown
             .spawn(jobs::run(Arc::clone(node), Arc::clone(self)));
     }
 
-    /// Follows a change of configuration.
+    /// Applies the settings of a new configuration.
     pub(crate) fn configure(&self, cell: &Cell) {
         let settings = cell::Settings::from(&cell.policy);
         let mut state = self.state();
         state.settings = settings.clone();
         state
-            .budgets
+            .retry_budgets
             .values_mut()
             .for_each(|b| b.set_share(cell.policy.retry_share));
         if let Some(rack) = &mut state.rack {
@@ -125,24 +125,24 @@
         }
     }
 
-    /// The stage of ownership.
+    /// The stage of this placer's ownership of the rack.
     #[must_use]
     pub fn stage(&self) -> Stage {
         self.state().ownership.stage()
     }
 
     /// Waits while the rack is only watched; `false` if the placer ends meanwhile. Most racks are
-    /// watched all the time, so their loops must cost nothing.
-    async fn until_wanted(&self, node: &Node) -> bool {
+    /// only watched, so their background tasks must not wake up.
+    async fn wait_while_watching(&self, node: &Node) -> bool {
         loop {
-            let mut wanted = pin!(self.wanted.notified());
-            wanted.as_mut().enable();
+            let mut left = pin!(self.left_watching.notified());
+            left.as_mut().enable();
             if self.stage() != Stage::Watching {
                 return true;
             }
             tokio::select! {
-                () = wanted => {}
-                () = node.stop.ended() => return false,
+                () = left => {}
+                () = node.shutdown.ended() => return false,
             }
         }
     }
@@ -152,26 +152,31 @@
         self.state().ownership.epoch()
     }
 
-    /// Takes note of an event of ownership.
+    /// Applies an ownership event and wakes the background tasks.
     pub(crate) fn handle(&self, event: &Event) {
         self.state().ownership.handle(event);
-        self.stage_now.notify_one();
-        self.wanted.notify_waiters();
+        self.stage_changed.notify_one();
+        self.left_watching.notify_waiters();
     }
 
-    /// Another owner has the rack under this epoch. What waits is told so; what runs at workers is
-    /// answered by them, or is not known.
+    /// Gives up the rack to another owner, which holds it under this epoch.
+    ///
+    /// Queued requests fail with "not owner". Requests that already run end with their workers'
+    /// answers, or with an unknown outcome.
     pub(crate) fn depose(&self, node: &Node, epoch: id::Epoch) {
-        log::warn!(rack = self.name.as_str(), epoch = epoch; "deposed");
+        log::warn!(
+            rack = self.name.as_str(), epoch = epoch;
+            "rack ownership lost to another placer"
+        );
         metrics::counter!("lentilyoke_deposed_total").increment(1);
         let mut state = self.state();
         state.ownership.handle(&Event::Deposed);
         state.drop_rack();
         drop(state);
-        node.beat_now.notify_one();
+        node.sync_now.notify_one();
     }
 
-    /// Room in the rack, if this placer owns it.
+    /// Free capacity of the rack, if this placer is its active owner.
     pub(crate) fn digest(&self, now: Now) -> Option<Digest> {
         let state = self.state();
         if state.ownership.stage() != Stage::Active {
@@ -180,12 +185,12 @@
         state.rack.as_ref().map(|rack| rack.digest(now))
     }
 
-    /// What the rack holds of the jobs of one home rack, if this placer owns it.
-    pub(crate) fn inventory(&self, from: &Seniority, now: Now) -> Option<Inventory> {
+    /// The tasks that the rack holds for the jobs of one home rack, if this placer owns it.
+    pub(crate) fn inventory(&self, from: &FencingToken, now: Now) -> Option<Inventory> {
         let mut state = self.state();
-        let complete = state.takeover.complete(now);
+        let complete = state.takeover.knows_all_tasks(now);
         let rack = state.rack.as_mut()?;
-        rack.hear(from)
+        rack.accept_message(from)
             .then(|| rack.inventory(&from.home, complete))
     }
 
@@ -200,14 +205,19 @@
             .unwrap_or_default();
         status.rack.clone_from(&self.name);
         status.stage = stage;
-        let usage = state.desk.as_ref().map(Desk::usage).unwrap_or_default();
+        let usage = state
+            .desk
+            .as_ref()
+            .map(JobScheduler::usage)
+            .unwrap_or_default();
         let team = |(team, (used, waiting)): (String, (Size, u32))| (team, used, waiting);
         status.teams = usage.into_iter().map(team).collect();
         status
     }
 
-    /// Does something with the jobs at home here, if this placer looks after them.
-    pub(crate) fn with_desk<T>(&self, change: impl FnOnce(&mut Desk) -> T) -> Option<T> {
+    /// Calls a function with the desk, which manages the jobs whose home is this rack; `None` if it
+    /// is not open.
+    pub(crate) fn with_desk<T>(&self, change: impl FnOnce(&mut JobScheduler) -> T) -> Option<T> {
         self.state().desk.as_mut().map(change)
     }
 
@@ -215,36 +225,36 @@
         lock(&self.state)
     }
 
-    /// Starts as many waiting requests as can be.
+    /// Starts queued requests until none can start.
     fn dispatch(&self, now: Now) {
         let mut state = self.state();
         let State {
             rack: Some(rack),
-            starts,
+            pending_starts,
             ..
         } = &mut *state
         else {
             return;
         };
-        while let Next::Start(go) = rack.next(now) {
-            let start = starts.remove(&go.ticket);
+        while let Next::Start(go) = rack.start_next(now) {
+            let start = pending_starts.remove(&go.ticket);
             let sent = start.is_some_and(|start| start.send(go.clone()).is_ok());
             if !sent {
-                rack.finish(&go, cell::Over::Refused, Duration::ZERO, now);
+                rack.finish(&go, cell::RunOutcome::Refused, Duration::ZERO, now);
             }
         }
     }
 }
 
 impl State {
-    /// Lets go of all that belongs to an owner.
+    /// Drops all state that only an owner of the rack has.
     fn drop_rack(&mut self) {
         self.rack = None;
         self.desk = None;
         self.record = None;
         self.takeover = Takeover::default();
         self.greeted.clear();
-        // The waiting requests see their channels close, and answer that they did not run.
-        self.starts.clear();
+        // Queued requests see their channels close, and answer that they did not run.
+        self.pending_starts.clear();
     }
 }
--- a/crates/placer/src/shard/jobs/gang.rs
+++ b/crates/placer/src/shard/jobs/gang.rs
@@ -1,54 +1,55 @@
-//! Starts gangs whole, or not at all.
+//! Starts gangs all-or-nothing.
 
 use std::sync::Arc;
 
-use cell::Desk;
+use cell::JobScheduler;
 use resource::id;
-use wire::{Gang, Order, Placed, Placement};
+use wire::{Gang, PlaceReply, PlaceRequest, Placement};
 
 use super::Shard;
 use crate::Node;
 
 impl Shard {
-    /// Holds room on all racks of a gang, then starts it; or lets go of everything.
+    /// Reserves capacity on all racks of a gang, then starts the gang. If a rack refuses or does not
+    /// answer, abandons the gang on all racks asked so far.
     pub(super) async fn start_gang(
         self: &Arc<Self>,
         node: &Arc<Node>,
         gang: &Gang,
-        orders: Vec<Order>,
+        requests: Vec<PlaceRequest>,
     ) {
         let mut held = Vec::new();
-        for order in &orders {
-            held.push(order.rack.clone());
-            if !self.order(node, order.clone()).await {
+        for request in &requests {
+            held.push(request.rack.clone());
+            if !self.send_place_request(node, request.clone()).await {
                 self.undo_gang(node, gang, &held).await;
-                self.return_gang(&orders);
+                self.requeue_gang(&requests);
                 return;
             }
         }
         for rack in &held {
             if !self.commit_on(node, rack, gang).await {
                 self.undo_gang(node, gang, &held).await;
-                self.with_desk(|desk| held.iter().for_each(|r| desk.doubt(r, node.now())));
+                self.with_desk(|desk| held.iter().for_each(|r| desk.mark_unknown(r, node.now())));
                 return;
             }
         }
     }
 
-    /// Members on racks that were not asked any more wait again.
-    fn return_gang(&self, orders: &[Order]) {
-        for order in orders {
-            let placements = vec![Placement::Full; order.tasks.len()];
-            let full = Placed {
+    /// Puts the members of a gang that was not placed back into the queue.
+    fn requeue_gang(&self, requests: &[PlaceRequest]) {
+        for request in requests {
+            let placements = vec![Placement::Full; request.tasks.len()];
+            let full = PlaceReply {
                 placements,
                 digest: None,
             };
-            self.with_desk(|desk| desk.placed(order, &full));
+            self.with_desk(|desk| desk.place_request_answered(request, &full));
         }
     }
 
     async fn commit_on(self: &Arc<Self>, node: &Arc<Node>, rack: &str, gang: &Gang) -> bool {
-        let Some(from) = self.with_desk(Desk::next_serial) else {
+        let Some(from) = self.with_desk(JobScheduler::next_serial) else {
             return false;
         };
         node.commit_at(rack, from, gang).await
@@ -61,7 +62,7 @@
         racks: &[id::Rack],
     ) {
         for rack in racks {
-            let Some(from) = self.with_desk(Desk::next_serial) else {
+            let Some(from) = self.with_desk(JobScheduler::next_serial) else {
                 return;
             };
             node.undo_at(rack, from, gang).await;
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -3,91 +3,92 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cell::{Go, Now, Over, Stage, Ticket};
+use cell::{Now, QuickRun, RunOutcome, Stage, Ticket};
 use config::Service;
 use policy::RetryBudget;
 use tokio::sync::oneshot;
-use wire::{Answer, Claim, Fault, Kind, Request, Verdict};
+use wire::{Answer, Claim, ClaimOutcome, Fault, Kind, Request};
 use worker::Error;
-use worker::call::{Ran, Run, Void, Voided};
+use worker::call::{Run, RunResult, Void, Voided};
 
 use super::Shard;
 use crate::Node;
-use crate::memory::Entry;
+use crate::request_cache::Lookup;
 
-/// Time for a message to a worker and back, beside the run.
-const TRAVEL: Duration = Duration::from_millis(200);
-/// Retries that a team may save up.
-const SAVED_RETRIES: f64 = 16.0;
-/// Attempts at one request, at most.
-const ATTEMPTS: u32 = 3;
+/// Time allowed for a message to a worker and its answer, in addition to the run.
+const ROUND_TRIP_ALLOWANCE: Duration = Duration::from_millis(200);
+/// Upper bound on the retries that a team may accumulate.
+const MAX_SAVED_RETRIES: f64 = 16.0;
+/// Upper bound on the attempts at one request.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// How an attempt ended, if the request goes on.
-enum Next {
-    /// The caller gets this.
+/// Result of one attempt at a request.
+enum AttemptResult {
+    /// The answer for the caller.
     Answer(Answer),
-    /// It certainly did not run; it may be tried again, or this is the answer.
-    Again(Fault),
+    /// The request did not run or is idempotent, so it may be tried again; this is the answer if
+    /// it is not.
+    Retry(Fault),
 }
 
 impl Shard {
-    /// Runs a request and tells the one answer to it. The work goes on if the caller goes away.
+    /// Runs a request and returns its answer. The work continues if the caller disconnects.
     pub(crate) async fn run(self: Arc<Self>, node: Arc<Node>, request: Request) -> Answer {
         let name = format!("{}/{}", request.team, request.id);
         if self.stage() != Stage::Active {
             return Answer::fault(Kind::NotOwner, "this placer does not own the rack");
         }
-        let entry = self.state().memory.begin(&name, &request);
+        let entry = self.state().requests.begin(&name, &request);
         match entry {
-            Entry::Conflict => {
+            Lookup::Conflict => {
                 Answer::fault(Kind::Conflict, "this id was used for another request")
             }
-            Entry::Ended(answer) => answer,
-            Entry::Running(mut answer) => {
+            Lookup::Ended(answer) => answer,
+            Lookup::Running(mut answer) => {
                 let ended = answer.wait_for(Option::is_some);
                 match tokio::time::timeout(request.budget(), ended).await {
-                    Ok(Ok(answer)) => answer.clone().unwrap_or_else(unknown),
-                    _ => unknown(),
+                    Ok(Ok(answer)) => answer.clone().unwrap_or_else(outcome_unknown),
+                    _ => outcome_unknown(),
                 }
             }
-            Entry::New => {
+            Lookup::New => {
                 let (done, answer) = oneshot::channel();
-                let stop = node.stop.clone();
-                // A task of its own: if the connection to the entry breaks, this future is
-                // dropped, and with it the knowledge of what was started.
+                let stop = node.shutdown.clone();
+                // Runs in a task of its own: if the connection to the entry breaks, this future is
+                // dropped, and the record of what was started would be lost with it.
                 stop.spawn(async move {
                     let result = self.attempts(&node, &name, &request).await;
                     let now = node.now();
-                    self.state().memory.end(&name, &result, now);
+                    self.state().requests.end(&name, &result, now);
                     drop(done.send(result));
                 });
-                answer.await.unwrap_or_else(|_| unknown())
+                answer.await.unwrap_or_else(|_| outcome_unknown())
             }
         }
     }
 
     async fn attempts(self: &Arc<Self>, node: &Arc<Node>, name: &str, request: &Request) -> Answer {
         let expires = node.now() + request.budget();
-        let Some(applied) = node.applied() else {
+        let Some(applied) = node.active_config() else {
             return Answer::fault(Kind::NoOwner, "no configuration yet");
         };
         let Some(service) = applied.cell.service(&request.service) else {
             return Answer::fault(Kind::UnknownService, "there is no such service");
         };
-        self.pay(&request.team, applied.cell.policy.retry_share);
+        self.deposit_retry(&request.team, applied.cell.policy.retry_share);
         if !request.idempotent
             && let Err(fault) = self.claim(node, name).await
         {
             return fault.into();
         }
         let mut last = Fault::new(Kind::Deadline, "the deadline passed before it started");
-        for attempt in 0..ATTEMPTS {
+        for attempt in 0..MAX_ATTEMPTS {
             if attempt > 0 && !self.may_retry(&request.team) {
                 break;
             }
             match self.attempt(node, name, request, service, expires).await {
-                Next::Answer(answer) => return answer,
-                Next::Again(fault) => last = fault,
+                AttemptResult::Answer(answer) => return answer,
+                AttemptResult::Retry(fault) => last = fault,
             }
             if node.now() >= expires {
                 break;
@@ -96,7 +97,7 @@
         last.into()
     }
 
-    /// Claims a request before it is started, so that a later owner knows that it may have run.
+    /// Writes a claim before a request starts, so that a later owner knows that it may have run.
     async fn claim(&self, node: &Node, name: &str) -> Result<(), Fault> {
         let claim = {
             let state = self.state();
@@ -114,25 +115,25 @@
             }
         };
         let epoch = claim.epoch;
-        let verdict = node.claims.hold(claim).await;
-        // A claim under an earlier epoch of this very placer does not allow a start under the
-        // present one: an owner in between may have run it.
-        let still = self
+        let outcome = node.claims.claim(claim).await;
+        // A claim under an earlier epoch of this same placer does not permit a start under the
+        // present one: an owner in between may have run the request.
+        let epoch_current = self
             .state()
             .record
             .as_ref()
             .is_some_and(|(_, r)| r.epoch == epoch);
-        match verdict {
-            Verdict::Held if still => Ok(()),
-            Verdict::Held | Verdict::Fenced => Err(Fault::new(
+        match outcome {
+            ClaimOutcome::Held if epoch_current => Ok(()),
+            ClaimOutcome::Held | ClaimOutcome::Fenced => Err(Fault::new(
                 Kind::NotOwner,
                 "another placer owns the rack now",
             )),
-            Verdict::Taken => {
+            ClaimOutcome::Taken => {
                 let reason = "an earlier owner of the rack has claimed it; it may have run";
                 Err(Fault::new(Kind::ClaimedBefore, reason))
             }
-            Verdict::Unknown => {
+            ClaimOutcome::Unknown => {
                 let reason = "the platform's table did not take the claim, so it was not started";
                 Err(Fault::new(Kind::StoreDown, reason))
             }
@@ -146,14 +147,14 @@
         request: &Request,
         service: &Service,
         expires: Now,
-    ) -> Next {
-        let go = match self.wait(node, request, service, expires).await {
+    ) -> AttemptResult {
+        let go = match self.wait_for_start(node, request, service, expires).await {
             Ok(go) => go,
-            Err(fault) => return Next::Answer(fault.into()),
+            Err(fault) => return AttemptResult::Answer(fault.into()),
         };
         let run = Run {
             epoch: go.epoch,
-            life: go.incarnation,
+            incarnation: go.incarnation,
             not_after: go.not_after,
             run_ms: service.max_run.as_millis() as u64,
             id: name.to_owned(),
@@ -170,17 +171,17 @@
         );
         let result = node
             .workers
-            .run(&go.address, run, service.max_run + TRAVEL)
+            .run(&go.address, run, service.max_run + ROUND_TRIP_ALLOWANCE)
             .await;
         let took = node.now().saturating_sub(began);
         let (over, next) = match result {
-            Ok(ran) => ended(ran),
+            Ok(ran) => run_result(ran),
             Err(error) if error.had_no_effect() => {
                 let fault = Fault::new(Kind::NoWorker, format!("{}: {error}", go.worker));
-                (Over::Refused, Next::Again(fault))
+                (RunOutcome::Refused, AttemptResult::Retry(fault))
             }
             Err(error) => {
-                self.resolve(node, name, request, service, &go, &error)
+                self.resolve_attempt(node, name, request, service, &go, &error)
                     .await
             }
         };
@@ -192,24 +193,24 @@
         next
     }
 
-    /// Waits for a worker and for the key.
-    async fn wait(
+    /// Waits until a worker and the request's key are free.
+    async fn wait_for_start(
         &self,
         node: &Node,
         request: &Request,
         service: &Service,
         expires: Now,
-    ) -> Result<Go, Fault> {
-        let (ticket, mut start) = self.queue(node, request, service, expires)?;
+    ) -> Result<QuickRun, Fault> {
+        let (ticket, mut start) = self.enqueue(node, request, service, expires)?;
         self.dispatch(node.now());
-        let deadline = node.since.instant_at(expires);
+        let deadline = node.uptime.instant_at(expires);
         match tokio::time::timeout_at(deadline, &mut start).await {
             Ok(Ok(go)) => return Ok(go),
             Ok(Err(_)) => return Err(deposed()),
             Err(_) => {}
         }
         let mut state = self.state();
-        state.starts.remove(&ticket);
+        state.pending_starts.remove(&ticket);
         let withdrawn = state
             .rack
             .as_mut()
@@ -224,35 +225,36 @@
         ))
     }
 
-    /// Lets a request wait; the start comes over the channel.
-    fn queue(
+    /// Queues a request; the channel delivers its start.
+    fn enqueue(
         &self,
         node: &Node,
         request: &Request,
         service: &Service,
         expires: Now,
-    ) -> Result<(Ticket, oneshot::Receiver<Go>), Fault> {
+    ) -> Result<(Ticket, oneshot::Receiver<QuickRun>), Fault> {
         let key = format!("{}/{}", request.service, request.key);
         let mut state = self.state();
         let active = state.ownership.stage() == Stage::Active;
         let rack = state.rack.as_mut().filter(|_| active).ok_or_else(deposed)?;
-        let ticket = rack.enter(service.rank, &key, expires, node.now())?;
+        let ticket = rack.enqueue(service.rank, &key, expires, node.now())?;
         let (sender, start) = oneshot::channel();
-        state.starts.insert(ticket, sender);
+        state.pending_starts.insert(ticket, sender);
         Ok((ticket, start))
     }
 
-    /// No answer came from the worker: makes sure that the attempt is over, if that can be.
-    async fn resolve(
+    /// Voids an attempt whose worker did not answer, to find out how it ended or to prevent its
+    /// start.
+    async fn resolve_attempt(
         &self,
         node: &Node,
         name: &str,
         request: &Request,
         service: &Service,
-        go: &Go,
+        go: &QuickRun,
         error: &Error,
-    ) -> (Over, Next) {
-        log::warn!(request = name, worker = go.worker.as_str(); "no answer: {error}");
+    ) -> (RunOutcome, AttemptResult) {
+        log::warn!(request = name, worker = go.worker.as_str(); "worker did not answer: {error}");
         let void = Void {
             epoch: go.epoch,
             id: name.to_owned(),
@@ -260,35 +262,39 @@
         };
         let lost = || Fault::new(Kind::Lost, format!("no answer from {}", go.worker));
         match node.workers.void(&go.address, void).await {
-            Ok(Voided::Ended(ran)) => ended(ran),
+            Ok(Voided::Ended(ran)) => run_result(ran),
             Ok(Voided::Never) => {
                 let fault = Fault::new(Kind::NoWorker, format!("{} did not start it", go.worker));
-                (Over::Refused, Next::Again(fault))
+                (RunOutcome::Refused, AttemptResult::Retry(fault))
             }
-            Ok(Voided::Stopped) if request.idempotent => {
-                (Over::Known { failed: true }, Next::Again(lost()))
-            }
-            Ok(Voided::Stopped) => (Over::Known { failed: true }, Next::Answer(lost().into())),
+            Ok(Voided::Stopped) if request.idempotent => (
+                RunOutcome::Known { failed: true },
+                AttemptResult::Retry(lost()),
+            ),
+            Ok(Voided::Stopped) => (
+                RunOutcome::Known { failed: true },
+                AttemptResult::Answer(lost().into()),
+            ),
             Err(_) => (
-                Over::Unknown {
-                    run: service.max_run,
+                RunOutcome::Unknown {
+                    max_run: service.max_run,
                 },
-                Next::Answer(lost().into()),
+                AttemptResult::Answer(lost().into()),
             ),
         }
     }
 
-    fn pay(&self, team: &str, share: f64) {
+    fn deposit_retry(&self, team: &str, share: f64) {
         let mut state = self.state();
-        let budget = state.budgets.entry(team.to_owned());
+        let budget = state.retry_budgets.entry(team.to_owned());
         budget
-            .or_insert_with(|| RetryBudget::new(share, SAVED_RETRIES))
+            .or_insert_with(|| RetryBudget::new(share, MAX_SAVED_RETRIES))
             .deposit();
     }
 
     fn may_retry(&self, team: &str) -> bool {
         self.state()
-            .budgets
+            .retry_budgets
             .get_mut(team)
             .is_some_and(RetryBudget::try_withdraw)
     }
@@ -298,20 +304,20 @@
     Fault::new(Kind::NotOwner, "another placer owns the rack now")
 }
 
-/// A whole answer came, or the worker says that it failed.
-fn ended(ran: Ran) -> (Over, Next) {
+/// Result of a run whose outcome the worker reported.
+fn run_result(ran: RunResult) -> (RunOutcome, AttemptResult) {
     match ran.result {
         Ok(body) => (
-            Over::Known { failed: false },
-            Next::Answer(Answer::Done(body)),
+            RunOutcome::Known { failed: false },
+            AttemptResult::Answer(Answer::Done(body)),
         ),
         Err(reason) => (
-            Over::Known { failed: true },
-            Next::Answer(Answer::fault(Kind::Failed, reason)),
+            RunOutcome::Known { failed: true },
+            AttemptResult::Answer(Answer::fault(Kind::Failed, reason)),
         ),
     }
 }
 
-fn unknown() -> Answer {
+fn outcome_unknown() -> Answer {
     Answer::fault(Kind::Lost, "it is under way; its outcome is not known yet")
 }
