--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -31,7 +31,8 @@
     Released,
 }
 
-/// Stage of the life cycle in which a process is for one rack.
+/// Stage of the life cycle in which a process is for one rack. Its name in lower case is the stage
+/// in the rack's status.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stage {
     /// It is not the owner.
--- a/crates/cell/src/rack/heartbeat.rs
+++ b/crates/cell/src/rack/heartbeat.rs
@@ -188,14 +188,16 @@
         commands
     }
 
-    /// Ends the tasks of workers that have not answered until their leases expired.
+    /// Ends, as lost, all attempts on the workers that have not answered until their task leases
+    /// expired, also held and awaiting ones that never started.
     fn end_expired_attempts(&mut self, now: Now) {
         let expired = |renewed: Now| now > renewed + TASK_LEASE + TASK_LEASE / 50;
         let hosts = self.hosts.iter().filter(|(_, h)| expired(h.leases_renewed));
         let silent: Vec<String> = hosts.map(|(name, _)| name.clone()).collect();
         for worker in silent {
-            // All of these were started before the last renewal, since an unresponsive worker is
-            // given nothing new.
+            // None of these tasks can run any longer. An unresponsive worker is chosen for nothing
+            // new, and `leases_renewed` covers the latest time at which a start command that was
+            // sent to it may have taken effect.
             let on_worker = self.tasks.values().filter(|t| t.worker == worker);
             let ids: Vec<TaskId> = on_worker.map(|t| t.id().clone()).collect();
             for id in ids {
--- a/crates/cell/tests/scheduling.rs
+++ b/crates/cell/tests/scheduling.rs
@@ -120,7 +120,7 @@
 
 /// No member of a gang starts before there is capacity for the whole gang.
 #[test]
-fn a_gang_without_room_for_the_whole_waits() {
+fn a_gang_waits_for_capacity_for_all_its_members() {
     let mut scheduler = JobScheduler::new("r1".to_owned(), 1);
     scheduler.submit(job("model", Shape::Gang, 3, 8));
     assert_eq!(scheduler.schedule(&cell(64.0), &mut capacity(&[16, 7])), []);
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
 //! Small specifications of the core protocol and the search that checks them.
 //!
 //! * [`Spec`]: a specification: an initial state, a successor function and an invariant.
-//! * [`search`]: returns a shortest trace to a violation, or the number of states if there is none.
+//! * [`search()`]: returns a shortest trace to a violation, or the number of states if there is none.
 //! * [`ownership`]: a key never runs in two places, even while the ownership of its rack changes.
 //! * [`claims`]: a non-idempotent request runs at most once, and the answer "not run" is true.
 //! * [`tasks`]: two attempts at one task never run at once, even while the owner of the job changes.
--- a/crates/placer/src/node.rs
+++ b/crates/placer/src/node.rs
@@ -321,12 +321,14 @@
         }
     }
 
-    /// Marks the content of racks with a new owner as unknown in all desks.
+    /// Marks the content of racks with a new owner as unknown in all job schedulers.
     pub(crate) fn mark_unconfirmed(&self, racks: &[id::Rack]) {
         let now = self.now();
         for shard in self.shards() {
-            shard.with_desk(|desk: &mut JobScheduler| {
-                racks.iter().for_each(|rack| desk.mark_unknown(rack, now));
+            shard.with_scheduler(|scheduler: &mut JobScheduler| {
+                racks
+                    .iter()
+                    .for_each(|rack| scheduler.mark_unknown(rack, now));
             });
         }
     }
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -55,7 +55,8 @@
     record: Option<(u64, Record)>,
     rack: Option<Rack>,
     takeover: Takeover,
-    desk: Option<JobScheduler>,
+    /// Manages the jobs whose home is this rack.
+    scheduler: Option<JobScheduler>,
     requests: RequestCache,
     pending_starts: HashMap<Ticket, oneshot::Sender<QuickRun>>,
     retry_budgets: BTreeMap<id::Team, RetryBudget>,
@@ -78,7 +79,7 @@
             record: None,
             rack: None,
             takeover: Takeover::default(),
-            desk: None,
+            scheduler: None,
             requests: RequestCache::new(request_retention),
             pending_starts: HashMap::new(),
             retry_budgets: BTreeMap::new(),
@@ -206,7 +207,7 @@
         status.rack.clone_from(&self.name);
         status.stage = stage;
         let usage = state
-            .desk
+            .scheduler
             .as_ref()
             .map(JobScheduler::usage)
             .unwrap_or_default();
@@ -215,10 +216,13 @@
         status
     }
 
-    /// Calls a function with the desk, which manages the jobs whose home is this rack; `None` if it
-    /// is not open.
-    pub(crate) fn with_desk<T>(&self, change: impl FnOnce(&mut JobScheduler) -> T) -> Option<T> {
-        self.state().desk.as_mut().map(change)
+    /// Calls a function with the scheduler of the jobs whose home is this rack; `None` if it has not
+    /// been started.
+    pub(crate) fn with_scheduler<T>(
+        &self,
+        change: impl FnOnce(&mut JobScheduler) -> T,
+    ) -> Option<T> {
+        self.state().scheduler.as_mut().map(change)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -250,7 +254,7 @@
     /// Drops all state that only an owner of the rack has.
     fn drop_rack(&mut self) {
         self.rack = None;
-        self.desk = None;
+        self.scheduler = None;
         self.record = None;
         self.takeover = Takeover::default();
         self.greeted.clear();
--- a/crates/placer/src/shard/jobs.rs
+++ b/crates/placer/src/shard/jobs.rs
@@ -34,7 +34,7 @@
             () = node.shutdown.ended() => return,
         }
         shard.report_events(&node).await;
-        if shard.state().desk.is_none() {
+        if shard.state().scheduler.is_none() {
             tokio::time::sleep(MIN_ROUND_INTERVAL).await;
             continue;
         }
@@ -60,10 +60,10 @@
         }
         let plans = {
             let mut state = self.state();
-            let Some(desk) = &mut state.desk else {
+            let Some(scheduler) = &mut state.scheduler else {
                 return;
             };
-            desk.schedule(&applied.cell, &mut lock(&node.digests))
+            scheduler.schedule(&applied.cell, &mut lock(&node.digests))
         };
         let (gangs, single): (Vec<Dispatch>, Vec<Dispatch>) = plans
             .into_iter()
@@ -83,7 +83,7 @@
     /// Sends a place request to the owner of its rack; `true` if all its tasks were placed.
     async fn send_place_request(self: &Arc<Self>, node: &Arc<Node>, request: PlaceRequest) -> bool {
         let Some(placed) = node.place_at(&request).await else {
-            self.with_desk(|desk| desk.mark_unknown(&request.rack, node.now()));
+            self.with_scheduler(|scheduler| scheduler.mark_unknown(&request.rack, node.now()));
             return false;
         };
         match &placed.digest {
@@ -97,7 +97,7 @@
                 .filter(|p| **p == Placement::Placed)
                 .count() as u64,
         );
-        self.with_desk(|desk| desk.place_request_answered(&request, &placed));
+        self.with_scheduler(|scheduler| scheduler.place_request_answered(&request, &placed));
         placed.placements.iter().all(|p| *p == Placement::Placed)
     }
 }
--- a/crates/placer/src/shard/jobs/events.rs
+++ b/crates/placer/src/shard/jobs/events.rs
@@ -16,8 +16,9 @@
     /// Applies events of tasks of the jobs managed here; `false` if this placer does not manage
     /// them.
     pub(crate) fn receive_events(&self, events: &[Event]) -> bool {
-        let accepted =
-            self.with_desk(|desk| events.iter().for_each(|event| desk.apply_event(event)));
+        let accepted = self.with_scheduler(|scheduler| {
+            events.iter().for_each(|event| scheduler.apply_event(event));
+        });
         if accepted.is_some() {
             self.jobs_changed.notify_one();
         }
@@ -46,14 +47,14 @@
     /// Asks all placers for the inventories of their racks if the content of some rack is unknown.
     pub(super) async fn reconcile_inventory(self: &Arc<Self>, node: &Arc<Node>) {
         let now = node.now();
-        if self.with_desk(|desk| desk.inventory_due(now)) != Some(true) {
+        if self.with_scheduler(|scheduler| scheduler.inventory_due(now)) != Some(true) {
             return;
         }
-        let Some(from) = self.with_desk(JobScheduler::next_serial) else {
+        let Some(from) = self.with_scheduler(JobScheduler::next_serial) else {
             return;
         };
         for inventory in node.collect_inventories(&from).await {
-            self.with_desk(|desk| desk.apply_inventory(&inventory));
+            self.with_scheduler(|scheduler| scheduler.apply_inventory(&inventory));
         }
         self.jobs_changed.notify_one();
     }
@@ -61,18 +62,18 @@
     /// Stops the tasks of finished jobs and the remaining members of broken gangs.
     pub(super) async fn stop_leftovers(self: &Arc<Self>, node: &Arc<Node>) {
         let broken = self
-            .with_desk(JobScheduler::gangs_to_restart)
+            .with_scheduler(JobScheduler::gangs_to_restart)
             .unwrap_or_default();
         for (gang, racks) in broken {
             self.undo_gang(node, &gang, &racks).await;
         }
         let leftovers: BTreeSet<_> = self
-            .with_desk(|desk| desk.running_tasks_of_ended_jobs())
+            .with_scheduler(|scheduler| scheduler.running_tasks_of_ended_jobs())
             .unwrap_or_default()
             .into_iter()
             .collect();
         for (rack, team, job) in leftovers {
-            let Some(from) = self.with_desk(JobScheduler::next_serial) else {
+            let Some(from) = self.with_scheduler(JobScheduler::next_serial) else {
                 return;
             };
             node.stop_at(&rack, from, (team, job)).await;
--- a/crates/placer/src/shard/jobs/gang.rs
+++ b/crates/placer/src/shard/jobs/gang.rs
@@ -30,7 +30,10 @@
         for rack in &held {
             if !self.commit_on(node, rack, gang).await {
                 self.undo_gang(node, gang, &held).await;
-                self.with_desk(|desk| held.iter().for_each(|r| desk.mark_unknown(r, node.now())));
+                self.with_scheduler(|scheduler| {
+                    held.iter()
+                        .for_each(|r| scheduler.mark_unknown(r, node.now()));
+                });
                 return;
             }
         }
@@ -44,12 +47,12 @@
                 placements,
                 digest: None,
             };
-            self.with_desk(|desk| desk.place_request_answered(request, &full));
+            self.with_scheduler(|scheduler| scheduler.place_request_answered(request, &full));
         }
     }
 
     async fn commit_on(self: &Arc<Self>, node: &Arc<Node>, rack: &str, gang: &Gang) -> bool {
-        let Some(from) = self.with_desk(JobScheduler::next_serial) else {
+        let Some(from) = self.with_scheduler(JobScheduler::next_serial) else {
             return false;
         };
         node.commit_at(rack, from, gang).await
@@ -62,7 +65,7 @@
         racks: &[id::Rack],
     ) {
         for rack in racks {
-            let Some(from) = self.with_desk(JobScheduler::next_serial) else {
+            let Some(from) = self.with_scheduler(JobScheduler::next_serial) else {
                 return;
             };
             node.undo_at(rack, from, gang).await;
--- a/crates/placer/src/shard/jobs/persistence.rs
+++ b/crates/placer/src/shard/jobs/persistence.rs
@@ -15,7 +15,7 @@
     /// Writes the rows of changed jobs; `true` if nothing is left to write.
     pub(super) async fn save(&self, node: &Node) -> bool {
         loop {
-            let Some(mut rows) = self.with_desk(JobScheduler::take_unsaved) else {
+            let Some(mut rows) = self.with_scheduler(JobScheduler::take_unsaved) else {
                 return false;
             };
             if rows.is_empty() {
@@ -23,9 +23,13 @@
                 return true;
             }
             let later = rows.split_off(rows.len().min(MAX_ROWS));
-            self.with_desk(|desk| later.iter().for_each(|row| desk.save_failed(row)));
+            self.with_scheduler(|scheduler| {
+                later.iter().for_each(|row| scheduler.save_failed(row));
+            });
             if !self.save_rows(node, &rows).await {
-                self.with_desk(|desk| rows.iter().for_each(|row| desk.save_failed(row)));
+                self.with_scheduler(|scheduler| {
+                    rows.iter().for_each(|row| scheduler.save_failed(row));
+                });
                 return false;
             }
         }
@@ -49,7 +53,7 @@
     /// Deletes the rows of finished jobs beyond [`MAX_FINISHED_JOBS`].
     async fn delete_old_jobs(&self, node: &Node) {
         let deleted = self
-            .with_desk(|desk| desk.remove_ended(MAX_FINISHED_JOBS))
+            .with_scheduler(|scheduler| scheduler.remove_ended(MAX_FINISHED_JOBS))
             .unwrap_or_default();
         if deleted.is_empty() {
             return;
--- a/crates/placer/src/shard/jobs/submission.rs
+++ b/crates/placer/src/shard/jobs/submission.rs
@@ -20,7 +20,7 @@
             return Err(Fault::new(Kind::NoOwner, "no configuration yet"));
         };
         JobScheduler::admit(&job, &applied.cell)?;
-        let known = self.with_desk(|desk| desk.find(&job));
+        let known = self.with_scheduler(|scheduler| scheduler.find(&job));
         match known {
             None => return Err(not_home_owner()),
             Some(Ok(Some(state))) => return Ok(state),
@@ -29,7 +29,7 @@
         }
         self.write_job_row(node, &job).await?;
         let state = self
-            .with_desk(|desk| desk.submit(job))
+            .with_scheduler(|scheduler| scheduler.submit(job))
             .ok_or_else(not_home_owner)?;
         self.jobs_changed.notify_one();
         Ok(state)
@@ -93,10 +93,10 @@
     }
 
     async fn confirm_row_later(&self, node: &Node, job: Job, key: &str) {
-        while node.shutdown.sleep(SAVE_INTERVAL).await && self.state().desk.is_some() {
+        while node.shutdown.sleep(SAVE_INTERVAL).await && self.state().scheduler.is_some() {
             match read_row(node, key).await {
                 Ok(Some(_)) => {
-                    self.with_desk(|desk| desk.submit(job));
+                    self.with_scheduler(|scheduler| scheduler.submit(job));
                     self.jobs_changed.notify_one();
                     return;
                 }
@@ -109,7 +109,7 @@
     /// The state of a job.
     pub(crate) fn watch(&self, team: &str, job: &str) -> Result<State, Fault> {
         let state = self
-            .with_desk(|desk| desk.state(team, job))
+            .with_scheduler(|scheduler| scheduler.state(team, job))
             .ok_or_else(not_home_owner)?;
         state.ok_or_else(|| Fault::new(Kind::UnknownJob, "there is no such job"))
     }
@@ -123,7 +123,7 @@
         job: &str,
     ) -> Result<State, Fault> {
         let cancelled = self
-            .with_desk(|desk| desk.cancel(team, job))
+            .with_scheduler(|scheduler| scheduler.cancel(team, job))
             .ok_or_else(not_home_owner)?;
         let Some((state, _)) = cancelled else {
             return Err(Fault::new(Kind::UnknownJob, "there is no such job"));
--- a/crates/placer/src/shard/ownership.rs
+++ b/crates/placer/src/shard/ownership.rs
@@ -140,7 +140,7 @@
             return;
         }
         log::info!(rack = self.name.as_str(), epoch = self.epoch(); "active");
-        self.open_desk(node).await;
+        self.start_scheduler(node).await;
         self.dispatch(node.now());
     }
 
@@ -148,8 +148,8 @@
     async fn maintain(self: &Arc<Self>, node: &Arc<Node>) {
         self.refresh_list(node).await;
         self.adopt_all(node).await;
-        if self.state().desk.is_none() {
-            self.open_desk(node).await;
+        if self.state().scheduler.is_none() {
+            self.start_scheduler(node).await;
         }
         self.write_settled_record(node).await;
         let now = node.now();
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Reads the jobs whose home is this rack and opens the desk that manages them.
-    async fn open_desk(&self, node: &Node) {
+    /// Reads the jobs whose home is this rack and starts the scheduler that manages them.
+    async fn start_scheduler(&self, node: &Node) {
         let Some(applied) = node.active_config() else {
             return;
         };
@@ -207,14 +207,14 @@
             .filter_map(|v| serde_json::from_str(&v).ok())
             .collect();
         let mut state = self.state();
-        if state.desk.is_some() || state.ownership.stage() != Stage::Active {
+        if state.scheduler.is_some() || state.ownership.stage() != Stage::Active {
             return;
         }
-        let mut desk = JobScheduler::new(self.name.clone(), state.ownership.epoch());
+        let mut scheduler = JobScheduler::new(self.name.clone(), state.ownership.epoch());
         if !saved.is_empty() {
-            desk.recover(saved, cell, node.now());
+            scheduler.recover(saved, cell, node.now());
         }
-        state.desk = Some(desk);
+        state.scheduler = Some(scheduler);
     }
 
     /// Releases the rack once no quick request is in progress.
@@ -222,7 +222,7 @@
         let (busy, record) = {
             let mut state = self.state();
             let busy = state.rack.as_ref().is_some_and(Rack::has_quick_requests);
-            state.desk = None;
+            state.scheduler = None;
             (busy, state.record.clone())
         };
         if busy {
--- a/crates/placer/tests/outages.rs
+++ b/crates/placer/tests/outages.rs
@@ -165,11 +165,11 @@
         .await;
     let freeze = |frozen| {
         for n in 0..3 {
-            let mischief = standin::WorkerFaults {
+            let faults = standin::WorkerFaults {
                 frozen,
                 ..standin::WorkerFaults::default()
             };
-            cluster.racks.set(&format!("z1-{n}"), mischief);
+            cluster.racks.set(&format!("z1-{n}"), faults);
         }
     };
     freeze(true);
--- a/crates/placer/tests/requests.rs
+++ b/crates/placer/tests/requests.rs
@@ -23,9 +23,9 @@
     }
 }
 
-fn set_all(cluster: &Cluster, mischief: WorkerFaults) {
+fn set_all(cluster: &Cluster, faults: WorkerFaults) {
     for n in 0..3 {
-        cluster.racks.set(&format!("r1-{n}"), mischief);
+        cluster.racks.set(&format!("r1-{n}"), faults);
     }
 }
 
--- a/crates/placer/tests/schedules.rs
+++ b/crates/placer/tests/schedules.rs
@@ -115,10 +115,10 @@
                     .with(&name_of(worker), standin::Machine::restart);
             }
             Step::Freeze { worker, frozen } => {
-                self.mischief(worker, |mischief| mischief.frozen = frozen);
+                self.worker_faults(worker, |faults| faults.frozen = frozen);
             }
             Step::Leave { worker, leaving } => {
-                self.mischief(worker, |mischief| mischief.leaving = leaving);
+                self.worker_faults(worker, |faults| faults.leaving = leaving);
             }
         }
     }
@@ -137,11 +137,11 @@
         self.cluster.platform.set(faults);
     }
 
-    fn mischief(&self, worker: u32, change: impl FnOnce(&mut WorkerFaults)) {
+    fn worker_faults(&self, worker: u32, change: impl FnOnce(&mut WorkerFaults)) {
         self.cluster.racks.with(&name_of(worker), |machine| {
-            let mut mischief = machine.faults();
-            change(&mut mischief);
-            machine.set(mischief);
+            let mut faults = machine.faults();
+            change(&mut faults);
+            machine.set(faults);
         });
     }
 
@@ -181,7 +181,7 @@
             placer.faults.cut_peers(false);
         }
         for worker in 0..WORKERS * 2 {
-            self.mischief(worker, |mischief| *mischief = WorkerFaults::default());
+            self.worker_faults(worker, |faults| *faults = WorkerFaults::default());
         }
         tokio::time::sleep(secs(30)).await;
         for answers in &mut self.answers {
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -44,7 +44,7 @@
 pub struct Machine {
     size: Size,
     slots: u32,
-    slot: EpochFence,
+    fence: EpochFence,
     faults: WorkerFaults,
     tasks: BTreeMap<TaskId, ActiveTask>,
     ended: Vec<EndedTask>,
@@ -75,7 +75,7 @@
         Self {
             size,
             slots,
-            slot: EpochFence::new(incarnation),
+            fence: EpochFence::new(incarnation),
             faults: WorkerFaults::default(),
             tasks: BTreeMap::new(),
             ended: Vec::new(),
@@ -91,7 +91,7 @@
     pub fn restart(&mut self) {
         let journal = std::mem::take(&mut self.journal);
         let faults = self.faults;
-        *self = Self::new(self.size, self.slots, self.slot.incarnation() + 1);
+        *self = Self::new(self.size, self.slots, self.fence.incarnation() + 1);
         self.journal = journal;
         self.faults = faults;
     }
@@ -122,8 +122,8 @@
     #[must_use]
     pub const fn hello(&self) -> Hello {
         Hello {
-            incarnation: self.slot.incarnation(),
-            epoch: self.slot.epoch(),
+            incarnation: self.fence.incarnation(),
+            epoch: self.fence.epoch(),
         }
     }
 
@@ -132,7 +132,7 @@
     /// # Errors
     /// As [`EpochFence::adopt`].
     pub fn adopt(&mut self, adopt: &Adopt, now: Moment) -> Result<Adopted, Refusal> {
-        self.slot.adopt(adopt.epoch, adopt.incarnation)?;
+        self.fence.adopt(adopt.epoch, adopt.incarnation)?;
         Ok(Adopted {
             size: self.size,
             slots: self.slots,
@@ -145,7 +145,7 @@
     /// # Errors
     /// [`Refusal::Fenced`] for another epoch.
     pub fn pulse(&mut self, pulse: &Heartbeat, now: Moment) -> Result<Report, Refusal> {
-        self.slot.admit(pulse.epoch, pulse.incarnation, 0, 0)?;
+        self.fence.admit(pulse.epoch, pulse.incarnation, 0, 0)?;
         self.tick(now);
         if pulse.lease_ms > 0 && now <= pulse.not_after {
             for running_task in self.tasks.values_mut() {
@@ -162,7 +162,7 @@
     /// # Errors
     /// A [`Refusal`]: this attempt will never run.
     pub fn begin_run(&mut self, run: &Run, now: Moment, recorded_at: u64) -> Result<(), Refusal> {
-        self.slot
+        self.fence
             .admit(run.epoch, run.incarnation, now, run.not_after)?;
         if self.faults.leaving {
             return Err(Refusal::Leaving);
@@ -214,7 +214,8 @@
     /// # Errors
     /// [`Refusal::Fenced`] for another epoch.
     pub fn void(&mut self, void: &Void, recorded_at: u64) -> Result<Voided, Refusal> {
-        self.slot.admit(void.epoch, self.slot.incarnation(), 0, 0)?;
+        self.fence
+            .admit(void.epoch, self.fence.incarnation(), 0, 0)?;
         let name = (void.id.clone(), void.attempt);
         if self.close_run(&name, recorded_at).is_some() {
             self.record_completed(name, None);
@@ -235,7 +236,7 @@
     /// # Errors
     /// A [`Refusal`]: this attempt will never start.
     pub fn start(&mut self, start: &Start, now: Moment) -> Result<(), Refusal> {
-        self.slot
+        self.fence
             .admit(start.epoch, start.incarnation, now, start.not_after)?;
         if self.faults.leaving {
             return Err(Refusal::Leaving);
@@ -268,7 +269,8 @@
     /// # Errors
     /// [`Refusal::Fenced`] for another epoch.
     pub fn stop(&mut self, stop: &Stop, now: Moment) -> Result<Option<Stopped>, Refusal> {
-        self.slot.admit(stop.epoch, self.slot.incarnation(), 0, 0)?;
+        self.fence
+            .admit(stop.epoch, self.fence.incarnation(), 0, 0)?;
         self.known_attempts.insert(stop.task.clone());
         let Some(running_task) = self.tasks.remove(&stop.task) else {
             return Ok(None);
@@ -284,8 +286,8 @@
     /// # Errors
     /// [`Refusal::Fenced`] for another epoch.
     pub fn throttle(&mut self, throttle: &Throttle) -> Result<(), Refusal> {
-        self.slot
-            .admit(throttle.epoch, self.slot.incarnation(), 0, 0)?;
+        self.fence
+            .admit(throttle.epoch, self.fence.incarnation(), 0, 0)?;
         self.faults.usage_percent = self.faults.usage_percent.min(100);
         Ok(())
     }
