--- a/crates/cell/src/fence.rs
+++ b/crates/cell/src/fence.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Whether a worker is known to obey the new epoch, or to be gone.
+    /// Whether a worker is known to obey the new epoch, or to exist no longer.
     #[must_use]
     pub fn has_fenced(&self, worker: &str) -> bool {
         self.fenced.contains(worker)
--- a/crates/cell/src/job_scheduler.rs
+++ b/crates/cell/src/job_scheduler.rs
@@ -25,7 +25,7 @@
 use crate::Now;
 use job::{TaskState, TrackedJob};
 
-/// How often a rack is asked for its inventory while it is unknown what it holds, because a place
+/// Interval at which a rack is asked for its inventory while that is unknown, because a place
 /// request was not answered or the rack has a new owner.
 const INVENTORY_INTERVAL: Duration = Duration::from_secs(2);
 
@@ -41,7 +41,7 @@
     arrivals: u64,
     attempts: u64,
     serial: u64,
-    /// Racks of which it is unknown what they hold, and when each was last asked.
+    /// Racks whose inventory is unknown, and when each was last asked for it.
     unknown_racks: BTreeMap<id::Rack, Now>,
     dirty: BTreeSet<JobKey>,
     /// Jobs with waiting tasks; jobs without any are removed by the next scheduling pass.
@@ -129,10 +129,11 @@
     /// Racks on which tasks of ended jobs still run, with team and job.
     #[must_use]
     pub fn running_tasks_of_ended_jobs(&self) -> Vec<(id::Rack, id::Team, id::Job)> {
-        let over = self.jobs.values().filter(|w| w.phase.is_over());
-        let place = |w: &TrackedJob| {
-            let (team, job) = (w.job.team.clone(), w.job.id.clone());
-            w.racks()
+        let over = self.jobs.values().filter(|tracked| tracked.phase.is_over());
+        let place = |tracked: &TrackedJob| {
+            let (team, job) = (tracked.job.team.clone(), tracked.job.id.clone());
+            tracked
+                .racks()
                 .into_iter()
                 .map(move |rack| (rack, team.clone(), job.clone()))
         };
@@ -239,7 +240,7 @@
         let broken = self
             .jobs
             .values_mut()
-            .filter(|w| w.job.shape == Shape::Gang);
+            .filter(|tracked| tracked.job.shape == Shape::Gang);
         broken.filter_map(TrackedJob::gang_to_stop).collect()
     }
 
@@ -262,12 +263,12 @@
     /// Removes all but the last `keep` jobs that have ended and have nothing running. Returns the
     /// jobs whose rows can be deleted.
     pub fn remove_ended(&mut self, keep: usize) -> Vec<(id::Team, id::Job)> {
-        let over = |w: &&TrackedJob| w.phase.is_over() && w.racks().is_empty();
+        let over = |tracked: &&TrackedJob| tracked.phase.is_over() && tracked.racks().is_empty();
         let mut done: Vec<(u64, JobKey)> = self
             .jobs
             .iter()
-            .filter(|(name, w)| over(w) && !self.dirty.contains(*name))
-            .map(|(name, w)| (w.arrival, name.clone()))
+            .filter(|(name, tracked)| over(tracked) && !self.dirty.contains(*name))
+            .map(|(name, tracked)| (tracked.arrival, name.clone()))
             .collect();
         done.sort();
         done.truncate(done.len().saturating_sub(keep));
--- a/crates/cell/src/job_scheduler/digests.rs
+++ b/crates/cell/src/job_scheduler/digests.rs
@@ -72,9 +72,9 @@
     /// Chooses a rack that has capacity for a task. The capacity counts as used until the next
     /// digest of that rack.
     pub fn reserve(&mut self, rule: Rule, size: Size) -> Option<&id::Rack> {
-        let at = self.index.place(rule, size)?;
-        self.index.reserve(at, size);
-        self.rack_of.get(at)
+        let position = self.index.place(rule, size)?;
+        self.index.reserve(position, size);
+        self.rack_of.get(position)
     }
 
     /// Chooses a rack where a task of this band fits once other tasks have been preempted. The
@@ -105,7 +105,7 @@
     #[must_use]
     pub fn free(&self) -> Size {
         (0..self.index.len())
-            .filter_map(|at| self.index.capacity(at))
+            .filter_map(|position| self.index.capacity(position))
             .map(|capacity| capacity.free)
             .sum()
     }
--- a/crates/cell/src/job_scheduler/job.rs
+++ b/crates/cell/src/job_scheduler/job.rs
@@ -132,8 +132,9 @@
 
     pub(super) fn state(&self) -> State {
         let count =
-            |wanted: fn(&TaskState) -> bool| self.tasks.iter().filter(|p| wanted(p)).count();
-        let waits = |p: &TaskState| matches!(p, TaskState::Unknown | TaskState::Waiting { .. });
+            |wanted: fn(&TaskState) -> bool| self.tasks.iter().filter(|task| wanted(task)).count();
+        let waits =
+            |task: &TaskState| matches!(task, TaskState::Unknown | TaskState::Waiting { .. });
         let waiting = if self.phase.is_over() {
             0
         } else {
@@ -143,15 +144,15 @@
             id: self.job.id.clone(),
             phase: self.phase,
             waiting,
-            running: count(|p| matches!(p, TaskState::Placed { .. })) as u32,
-            finished: count(|p| *p == TaskState::Finished) as u32,
+            running: count(|task| matches!(task, TaskState::Placed { .. })) as u32,
+            finished: count(|task| *task == TaskState::Finished) as u32,
             restarts: self.restarts,
         }
     }
 
     /// Racks that hold tasks of this job.
     pub(super) fn racks(&self) -> Vec<id::Rack> {
-        let rack = |p: &TaskState| match p {
+        let rack = |task: &TaskState| match task {
             TaskState::Placed { rack, .. } => Some(rack.clone()),
             _ => None,
         };
@@ -164,7 +165,7 @@
         let placed = self
             .tasks
             .iter()
-            .filter(|p| matches!(p, TaskState::Placed { .. }))
+            .filter(|task| matches!(task, TaskState::Placed { .. }))
             .count();
         self.job.size.times(placed as u64)
     }
@@ -231,7 +232,7 @@
         if let Some(task) = self.tasks.get_mut(index as usize) {
             *task = TaskState::Finished;
         }
-        let all = self.tasks.iter().all(|p| *p == TaskState::Finished);
+        let all = self.tasks.iter().all(|task| *task == TaskState::Finished);
         if all && !self.phase.is_over() {
             self.phase = Phase::Finished;
         }
@@ -286,13 +287,13 @@
     pub(super) fn requeue_unknown_tasks(&mut self) {
         let unknown = (0u32..)
             .zip(&self.tasks)
-            .filter(|(_, p)| **p == TaskState::Unknown);
+            .filter(|(_, task)| **task == TaskState::Unknown);
         let unknown: Vec<u32> = unknown.map(|(index, _)| index).collect();
         for index in &unknown {
             self.requeue(*index, 0);
         }
         if self.job.shape == Shape::Gang && !unknown.is_empty() {
-            let placed = self.tasks.iter().find_map(|p| match p {
+            let placed = self.tasks.iter().find_map(|task| match task {
                 TaskState::Placed { attempt, .. } => Some(*attempt),
                 _ => None,
             });
--- a/crates/cell/src/job_scheduler/schedule.rs
+++ b/crates/cell/src/job_scheduler/schedule.rs
@@ -135,7 +135,7 @@
     fn is_overtaken(&self, name: &JobKey) -> bool {
         self.jobs
             .get(name)
-            .is_some_and(|w| self.arrivals > w.arrival + MAX_OVERTAKING_JOBS)
+            .is_some_and(|tracked| self.arrivals > tracked.arrival + MAX_OVERTAKING_JOBS)
     }
 
     fn place_tasks(
@@ -187,7 +187,7 @@
         let all_waiting = tracked
             .tasks
             .iter()
-            .all(|p| matches!(p, TaskState::Waiting { .. }));
+            .all(|task| matches!(task, TaskState::Waiting { .. }));
         if tracked.has_broken_gang() && !tracked.racks().is_empty() || !all_waiting {
             return None;
         }
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -31,8 +31,8 @@
     Released,
 }
 
-/// Stage of the life cycle in which a process is for one rack. Its name in lower case is the stage
-/// in the rack's status.
+/// Stage that a process has reached in the ownership of one rack. A rack's status contains the name
+/// in lower case.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stage {
     /// It is not the owner.
--- a/crates/cell/src/quick_queue.rs
+++ b/crates/cell/src/quick_queue.rs
@@ -86,7 +86,7 @@
 /// The requests that wait for a key that is in use.
 #[derive(Debug, Default)]
 struct KeyState {
-    /// Set if it is not known whether the key is still in use: when it certainly is free.
+    /// When the key is certainly free. Set if it is not known whether a run still uses the key.
     blocked_until: Option<Now>,
     waiters: VecDeque<Ticket>,
 }
--- a/crates/cell/src/rack.rs
+++ b/crates/cell/src/rack.rs
@@ -69,7 +69,8 @@
     hosts: BTreeMap<id::Worker, WorkerState>,
     quick: QuickQueue,
     attempts: u64,
-    /// Slots whose runs may still be going on: each is counted as free at this time.
+    /// Runs that may still be going on, and when each has certainly ended. Its slot counts as used
+    /// until then.
     unresolved_runs: Vec<(Now, id::Worker, id::Incarnation)>,
     tasks: BTreeMap<TaskId, Attempt>,
     /// Epoch and serial number of the last message accepted from the owner of each home rack.
--- a/crates/cell/src/rack/place.rs
+++ b/crates/cell/src/rack/place.rs
@@ -208,7 +208,7 @@
             Shape::Gang => Rule::BestFit,
         };
         let (names, candidates) = self.candidates(now, &task.id);
-        choose::place(rule, &candidates, task.size).map(|at| names[at].clone())
+        choose::place(rule, &candidates, task.size).map(|index| names[index].clone())
     }
 
     /// Stops batch tasks of lower bands on one worker so that `task` fits there.
@@ -231,8 +231,14 @@
             };
             let victims: Vec<Victim> = lower.iter().map(victim).collect();
             let chosen = evict::victims(free, task.size, &victims)?;
-            let loss: u64 = chosen.iter().map(|&at| victims[at].lost_work_ms).sum();
-            let ids: Vec<TaskId> = chosen.iter().map(|&at| lower[at].id().clone()).collect();
+            let loss: u64 = chosen
+                .iter()
+                .map(|&index| victims[index].lost_work_ms)
+                .sum();
+            let ids: Vec<TaskId> = chosen
+                .iter()
+                .map(|&index| lower[index].id().clone())
+                .collect();
             Some((ids.len(), loss, worker.clone(), ids))
         };
         let evictions =
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -147,6 +147,9 @@
             Kind::TooLarge,
             format!("at most {} bytes are taken", Body::MAX),
         ),
-        _ => Fault::new(Kind::BadInput, "the body is not whole"),
+        _ => Fault::new(
+            Kind::BadInput,
+            "the request body was not received completely",
+        ),
     })
 }
--- a/crates/placer/src/node/rack_calls.rs
+++ b/crates/placer/src/node/rack_calls.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Starts a gang for which a rack has reserved capacity.
+    /// Starts a gang for which a rack holds capacity.
     pub(crate) async fn commit_at(
         self: &Arc<Self>,
         rack: &str,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Abandons a gang on a rack.
+    /// Aborts a gang on a rack.
     pub(crate) async fn undo_at(
         self: &Arc<Self>,
         rack: &str,
--- a/crates/placer/src/node/table_sync.rs
+++ b/crates/placer/src/node/table_sync.rs
@@ -133,8 +133,8 @@
             .ok()
             .flatten()
     });
-    let newer = join_all(queries).await.into_iter().flatten();
-    if let Some((version, raw)) = newer.max_by_key(|(version, _)| *version) {
+    let configs = join_all(queries).await.into_iter().flatten();
+    if let Some((version, raw)) = configs.max_by_key(|(version, _)| *version) {
         node.apply(version, raw);
         node.set_config_confirmed(true);
     }
--- a/crates/placer/src/peers.rs
+++ b/crates/placer/src/peers.rs
@@ -21,7 +21,7 @@
 pub trait Peers: Send + Sync {
     /// Places tasks on a rack.
     async fn place(&self, address: &str, request: PlaceRequest) -> Result<PlaceReply, PeerError>;
-    /// Starts a gang for which capacity is reserved.
+    /// Starts a gang for which capacity is held.
     async fn commit(
         &self,
         address: &str,
@@ -29,7 +29,7 @@
         from: FencingToken,
         gang: Gang,
     ) -> Result<bool, PeerError>;
-    /// Abandons a gang: releases its reserved capacity and stops its started tasks.
+    /// Aborts a gang: releases the capacity held for it and stops its started tasks.
     async fn undo(
         &self,
         address: &str,
--- a/crates/placer/src/shard.rs
+++ b/crates/placer/src/shard.rs
@@ -240,11 +240,11 @@
         else {
             return;
         };
-        while let Next::Start(go) = rack.start_next(now) {
-            let start = pending_starts.remove(&go.ticket);
-            let sent = start.is_some_and(|start| start.send(go.clone()).is_ok());
+        while let Next::Start(quick_run) = rack.start_next(now) {
+            let start = pending_starts.remove(&quick_run.ticket);
+            let sent = start.is_some_and(|start| start.send(quick_run.clone()).is_ok());
             if !sent {
-                rack.finish(&go, cell::RunOutcome::Refused, Duration::ZERO, now);
+                rack.finish(&quick_run, cell::RunOutcome::Refused, Duration::ZERO, now);
             }
         }
     }
--- a/crates/placer/src/shard/heartbeat.rs
+++ b/crates/placer/src/shard/heartbeat.rs
@@ -41,27 +41,27 @@
             .rack
             .as_mut()
             .and_then(|rack| rack.next_heartbeat(worker, sent));
-        let Some((address, pulse)) = next else {
+        let Some((address, heartbeat)) = next else {
             return;
         };
-        match node.workers.heartbeat(&address, pulse.clone()).await {
+        match node.workers.heartbeat(&address, heartbeat.clone()).await {
             Ok(report) => {
                 let now = node.now();
                 let mut state = self.state();
                 let Some(rack) = &mut state.rack else {
                     return;
                 };
-                let commands = rack.heartbeat_answered(worker, &pulse, &report, sent, now);
+                let commands = rack.heartbeat_answered(worker, &heartbeat, &report, sent, now);
                 drop(state);
                 self.execute_commands(node, commands);
             }
             Err(Error::Refused {
                 refusal: Refusal::Fenced { epoch },
-            }) if epoch > pulse.epoch => {
+            }) if epoch > heartbeat.epoch => {
                 node.sync_now.notify_one();
             }
             // The worker has restarted, so it must be adopted again.
-            Err(Error::Refused { .. }) => self.worker_restarted(worker, pulse.epoch),
+            Err(Error::Refused { .. }) => self.worker_restarted(worker, heartbeat.epoch),
             Err(error) => log::debug!(worker = worker; "heartbeat failed: {error}"),
         }
     }
--- a/crates/placer/src/shard/jobs.rs
+++ b/crates/placer/src/shard/jobs.rs
@@ -58,23 +58,23 @@
         for digest in node.local_digests() {
             lock(&node.digests).update(&digest);
         }
-        let plans = {
+        let dispatches = {
             let mut state = self.state();
             let Some(scheduler) = &mut state.scheduler else {
                 return;
             };
             scheduler.schedule(&applied.cell, &mut lock(&node.digests))
         };
-        let (gangs, single): (Vec<Dispatch>, Vec<Dispatch>) = plans
+        let (gangs, single): (Vec<Dispatch>, Vec<Dispatch>) = dispatches
             .into_iter()
-            .partition(|plan| matches!(plan, Dispatch::Gang { .. }));
-        let started = single.into_iter().filter_map(|plan| match plan {
+            .partition(|dispatch| matches!(dispatch, Dispatch::Gang { .. }));
+        let started = single.into_iter().filter_map(|dispatch| match dispatch {
             Dispatch::Start(request) => Some(self.send_place_request(node, request)),
             Dispatch::Gang { .. } => None,
         });
         join_all(started).await;
-        for plan in gangs {
-            if let Dispatch::Gang { gang, requests } = plan {
+        for dispatch in gangs {
+            if let Dispatch::Gang { gang, requests } = dispatch {
                 self.start_gang(node, &gang, requests).await;
             }
         }
--- a/crates/placer/src/shard/jobs/events.rs
+++ b/crates/placer/src/shard/jobs/events.rs
@@ -59,7 +59,7 @@
         self.jobs_changed.notify_one();
     }
 
-    /// Stops the tasks of finished jobs and the remaining members of broken gangs.
+    /// Stops the tasks of ended jobs and the remaining members of broken gangs.
     pub(super) async fn stop_leftovers(self: &Arc<Self>, node: &Arc<Node>) {
         let broken = self
             .with_scheduler(JobScheduler::gangs_to_restart)
--- a/crates/placer/src/shard/jobs/gang.rs
+++ b/crates/placer/src/shard/jobs/gang.rs
@@ -10,8 +10,8 @@
 use crate::Node;
 
 impl Shard {
-    /// Reserves capacity on all racks of a gang, then starts the gang. If a rack refuses or does not
-    /// answer, abandons the gang on all racks asked so far.
+    /// Holds capacity on all racks of a gang, then starts the gang. If a rack refuses or does not
+    /// answer, aborts the gang on all racks that were asked to hold capacity for it.
     pub(super) async fn start_gang(
         self: &Arc<Self>,
         node: &Arc<Node>,
--- a/crates/placer/src/shard/jobs/persistence.rs
+++ b/crates/placer/src/shard/jobs/persistence.rs
@@ -8,8 +8,8 @@
 
 /// Upper bound on job rows in one transaction.
 const MAX_ROWS: usize = 128;
-/// Number of finished jobs that are retained.
-const MAX_FINISHED_JOBS: usize = 1_000;
+/// Number of ended jobs that are retained.
+const MAX_ENDED_JOBS: usize = 1_000;
 
 impl Shard {
     /// Writes the rows of changed jobs; `true` if nothing is left to write.
@@ -50,10 +50,10 @@
         node.table.commit(transaction).await.is_ok()
     }
 
-    /// Deletes the rows of finished jobs beyond [`MAX_FINISHED_JOBS`].
+    /// Deletes the rows of ended jobs beyond [`MAX_ENDED_JOBS`].
     async fn delete_old_jobs(&self, node: &Node) {
         let deleted = self
-            .with_scheduler(|scheduler| scheduler.remove_ended(MAX_FINISHED_JOBS))
+            .with_scheduler(|scheduler| scheduler.remove_ended(MAX_ENDED_JOBS))
             .unwrap_or_default();
         if deleted.is_empty() {
             return;
--- a/crates/placer/src/shard/jobs/placement.rs
+++ b/crates/placer/src/shard/jobs/placement.rs
@@ -27,7 +27,7 @@
         placed
     }
 
-    /// Starts a gang for which this rack has reserved capacity.
+    /// Starts a gang for which this rack holds capacity.
     pub(crate) fn commit(
         self: &Arc<Self>,
         node: &Arc<Node>,
@@ -37,7 +37,7 @@
         self.execute_if_current(node, from, |rack, now| rack.commit(gang, now))
     }
 
-    /// Abandons a gang on this rack.
+    /// Aborts a gang on this rack.
     pub(crate) fn undo(
         self: &Arc<Self>,
         node: &Arc<Node>,
--- a/crates/placer/src/shard/ownership.rs
+++ b/crates/placer/src/shard/ownership.rs
@@ -282,7 +282,7 @@
             .is_some_and(|since| now >= since + ROSTER_CHANGE_DELAY)
     }
 
-    /// Counts workers as fenced that the platform has not listed for [`REMOVAL_DELAY`].
+    /// Counts workers that the platform has not listed for [`REMOVAL_DELAY`] as fenced.
     fn fence_removed_workers(&mut self, now: cell::Now) {
         let Some((_, record)) = &self.record else {
             return;
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -26,8 +26,8 @@
 enum AttemptResult {
     /// The answer for the caller.
     Answer(Answer),
-    /// The request did not run or is idempotent, so it may be tried again; this is the answer if
-    /// it is not.
+    /// The request did not run or is idempotent, so it may be tried again. The fault is the answer
+    /// if no further attempt is made.
     Retry(Fault),
 }
 
@@ -148,19 +148,19 @@
         service: &Service,
         expires: Now,
     ) -> AttemptResult {
-        let go = match self.wait_for_start(node, request, service, expires).await {
-            Ok(go) => go,
+        let quick_run = match self.wait_for_start(node, request, service, expires).await {
+            Ok(quick_run) => quick_run,
             Err(fault) => return AttemptResult::Answer(fault.into()),
         };
         let run = Run {
-            epoch: go.epoch,
-            incarnation: go.incarnation,
-            not_after: go.not_after,
+            epoch: quick_run.epoch,
+            incarnation: quick_run.incarnation,
+            not_after: quick_run.not_after,
             run_ms: service.max_run.as_millis() as u64,
             id: name.to_owned(),
-            attempt: go.attempt,
+            attempt: quick_run.attempt,
             service: request.service.clone(),
-            key: go.key.clone(),
+            key: quick_run.key.clone(),
             body: request.body.clone(),
         };
         let began = node.now();
@@ -171,23 +171,27 @@
         );
         let result = node
             .workers
-            .run(&go.address, run, service.max_run + ROUND_TRIP_ALLOWANCE)
+            .run(
+                &quick_run.address,
+                run,
+                service.max_run + ROUND_TRIP_ALLOWANCE,
+            )
             .await;
         let took = node.now().saturating_sub(began);
-        let (over, next) = match result {
+        let (outcome, next) = match result {
             Ok(ran) => run_result(ran),
             Err(error) if error.had_no_effect() => {
-                let fault = Fault::new(Kind::NoWorker, format!("{}: {error}", go.worker));
+                let fault = Fault::new(Kind::NoWorker, format!("{}: {error}", quick_run.worker));
                 (RunOutcome::Refused, AttemptResult::Retry(fault))
             }
             Err(error) => {
-                self.resolve_attempt(node, name, request, service, &go, &error)
+                self.resolve_attempt(node, name, request, service, &quick_run, &error)
                     .await
             }
         };
         let now = node.now();
         if let Some(rack) = &mut self.state().rack {
-            rack.finish(&go, over, took, now);
+            rack.finish(&quick_run, outcome, took, now);
         }
         self.dispatch(now);
         next
@@ -205,7 +209,7 @@
         self.dispatch(node.now());
         let deadline = node.uptime.instant_at(expires);
         match tokio::time::timeout_at(deadline, &mut start).await {
-            Ok(Ok(go)) => return Ok(go),
+            Ok(Ok(quick_run)) => return Ok(quick_run),
             Ok(Err(_)) => return Err(deposed()),
             Err(_) => {}
         }
@@ -216,8 +220,8 @@
             .as_mut()
             .is_some_and(|rack| rack.withdraw(ticket));
         drop(state);
-        if !withdrawn && let Ok(go) = start.try_recv() {
-            return Ok(go);
+        if !withdrawn && let Ok(quick_run) = start.try_recv() {
+            return Ok(quick_run);
         }
         Err(Fault::new(
             Kind::Deadline,
@@ -251,20 +255,23 @@
         name: &str,
         request: &Request,
         service: &Service,
-        go: &QuickRun,
+        quick_run: &QuickRun,
         error: &Error,
     ) -> (RunOutcome, AttemptResult) {
-        log::warn!(request = name, worker = go.worker.as_str(); "worker did not answer: {error}");
+        log::warn!(request = name, worker = quick_run.worker.as_str(); "worker did not answer: {error}");
         let void = Void {
-            epoch: go.epoch,
+            epoch: quick_run.epoch,
             id: name.to_owned(),
-            attempt: go.attempt,
+            attempt: quick_run.attempt,
         };
-        let lost = || Fault::new(Kind::Lost, format!("no answer from {}", go.worker));
-        match node.workers.void(&go.address, void).await {
+        let lost = || Fault::new(Kind::Lost, format!("no answer from {}", quick_run.worker));
+        match node.workers.void(&quick_run.address, void).await {
             Ok(Voided::Ended(ran)) => run_result(ran),
             Ok(Voided::Never) => {
-                let fault = Fault::new(Kind::NoWorker, format!("{} did not start it", go.worker));
+                let fault = Fault::new(
+                    Kind::NoWorker,
+                    format!("{} did not start it", quick_run.worker),
+                );
                 (RunOutcome::Refused, AttemptResult::Retry(fault))
             }
             Ok(Voided::Stopped) if request.idempotent => (
--- a/crates/placer/tests/cluster/fault_injection.rs
+++ b/crates/placer/tests/cluster/fault_injection.rs
@@ -191,9 +191,9 @@
         self.racks.adopt(address, adopt).await
     }
 
-    async fn heartbeat(&self, address: &str, pulse: Heartbeat) -> Result<Report, Error> {
+    async fn heartbeat(&self, address: &str, heartbeat: Heartbeat) -> Result<Report, Error> {
         self.faults.worker(address).await?;
-        self.racks.heartbeat(address, pulse).await
+        self.racks.heartbeat(address, heartbeat).await
     }
 
     async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<RunResult, Error> {
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -144,16 +144,17 @@
     ///
     /// # Errors
     /// [`Refusal::Fenced`] for another epoch.
-    pub fn pulse(&mut self, pulse: &Heartbeat, now: Moment) -> Result<Report, Refusal> {
-        self.fence.admit(pulse.epoch, pulse.incarnation, 0, 0)?;
+    pub fn heartbeat(&mut self, heartbeat: &Heartbeat, now: Moment) -> Result<Report, Refusal> {
+        self.fence
+            .admit(heartbeat.epoch, heartbeat.incarnation, 0, 0)?;
         self.tick(now);
-        if pulse.lease_ms > 0 && now <= pulse.not_after {
+        if heartbeat.lease_ms > 0 && now <= heartbeat.not_after {
             for running_task in self.tasks.values_mut() {
-                running_task.expires = running_task.expires.max(now + pulse.lease_ms);
+                running_task.expires = running_task.expires.max(now + heartbeat.lease_ms);
             }
         }
         self.ended
-            .retain(|ended| !pulse.forget.contains(&ended.task));
+            .retain(|ended| !heartbeat.forget.contains(&ended.task));
         Ok(self.report(now))
     }
 
--- a/crates/standin/src/racks.rs
+++ b/crates/standin/src/racks.rs
@@ -125,8 +125,9 @@
         self.call(address, |m, now| m.adopt(&adopt, now)).await
     }
 
-    async fn heartbeat(&self, address: &str, pulse: Heartbeat) -> Result<Report, Error> {
-        self.call(address, |m, now| m.pulse(&pulse, now)).await
+    async fn heartbeat(&self, address: &str, heartbeat: Heartbeat) -> Result<Report, Error> {
+        self.call(address, |m, now| m.heartbeat(&heartbeat, now))
+            .await
     }
 
     async fn run(&self, address: &str, run: Run, limit: Duration) -> Result<RunResult, Error> {
--- a/crates/standin/src/serve/machine.rs
+++ b/crates/standin/src/serve/machine.rs
@@ -72,7 +72,7 @@
     Router::new()
         .route("/hello", post(hello))
         .route("/adopt", post(adopt))
-        .route("/pulse", post(pulse))
+        .route("/pulse", post(heartbeat))
         .route("/run", post(run))
         .route("/void", post(void))
         .route("/start", post(start))
@@ -92,8 +92,11 @@
     served.call(|m, now| m.adopt(&adopt, now)).await
 }
 
-async fn pulse(State(served): State<ServedMachine>, Json(pulse): Json<Heartbeat>) -> Response {
-    served.call(|m, now| m.pulse(&pulse, now)).await
+async fn heartbeat(
+    State(served): State<ServedMachine>,
+    Json(heartbeat): Json<Heartbeat>,
+) -> Response {
+    served.call(|m, now| m.heartbeat(&heartbeat, now)).await
 }
 
 async fn run(State(served): State<ServedMachine>, Json(run): Json<Run>) -> Response {
--- a/crates/wire/src/place.rs
+++ b/crates/wire/src/place.rs
@@ -32,13 +32,13 @@
     pub attempt: u64,
 }
 
-/// Whether tasks are started, or capacity is only reserved for them.
+/// Whether tasks are started, or capacity is only held for them.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
     /// Start each task that fits.
     Start,
-    /// Reserve capacity for all tasks or for none, until the reservation is committed, undone or expires.
+    /// Hold capacity for all tasks or for none, until the hold is committed, undone or expires.
     Hold,
 }
 
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Placement {
-    /// The task is being started, or capacity is reserved for it.
+    /// The task is being started, or capacity is held for it.
     Placed,
     /// The rack has no capacity for the task.
     Full,
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -54,7 +54,7 @@
     #[method(name = "commit")]
     async fn commit(&self, rack: id::Rack, from: FencingToken, gang: Gang) -> RpcResult<bool>;
 
-    /// Abandons a gang: releases its reserved capacity and stops its started tasks.
+    /// Aborts a gang: releases the capacity held for it and stops its started tasks.
     #[method(name = "undo")]
     async fn undo(&self, rack: id::Rack, from: FencingToken, gang: Gang) -> RpcResult<bool>;
 
