--- a/crates/entry/src/bin/lentilyoke-entry.rs
+++ b/crates/entry/src/bin/lentilyoke-entry.rs
@@ -13,13 +13,13 @@
 async fn main() -> Result<(), Whatever> {
     let settings = Settings::parse();
     logs::init(&settings.telemetry.log)?;
-    let stop = Shutdown::default();
-    stop.drain_on_signal();
+    let shutdown = Shutdown::default();
+    shutdown.drain_on_signal();
     let placers = settings.placers.iter().map(SocketAddr::to_string).collect();
-    let entry = Entry::new(&settings.name, placers, stop.clone());
+    let entry = Entry::new(&settings.name, placers, shutdown.clone());
     let metrics = entry
         .health()
-        .serve(settings.telemetry.metrics, &stop)
+        .serve(settings.telemetry.metrics, &shutdown)
         .await?;
     let listener = TcpListener::bind(settings.listen)
         .await
@@ -31,7 +31,7 @@
     println!("entry {address} metrics {metrics}");
     log::info!(entry = settings.name.as_str(); "started");
     serve::run(listener, entry, Duration::from_millis(settings.drain_ms)).await;
-    stop.join().await;
+    shutdown.join().await;
     log::info!(entry = settings.name.as_str(); "stopped");
     Ok(())
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -28,10 +28,10 @@
     pub(crate) routes: RouteTable,
     upstream: Upstream,
     admission: Admission,
-    budgets: Mutex<HashMap<String, RetryBudget>>,
+    retry_budgets: Mutex<HashMap<String, RetryBudget>>,
     pub(crate) slo_counts: SloCounts,
     uptime: Uptime,
-    pub(crate) stop: Shutdown,
+    pub(crate) shutdown: Shutdown,
     pub(crate) health: Health,
     refresh_now: Notify,
     refreshed: Notify,
@@ -40,16 +40,16 @@
 impl Entry {
     /// An entry that gets its routes from these placers.
     #[must_use]
-    pub fn new(name: &str, placers: Vec<String>, stop: Shutdown) -> Arc<Self> {
+    pub fn new(name: &str, placers: Vec<String>, shutdown: Shutdown) -> Arc<Self> {
         Arc::new(Self {
             name: name.to_owned(),
             routes: RouteTable::new(placers),
             upstream: Upstream::default(),
             admission: Admission::default(),
-            budgets: Mutex::default(),
+            retry_budgets: Mutex::default(),
             slo_counts: SloCounts::default(),
             uptime: Uptime::start(),
-            stop,
+            shutdown,
             health: Health::default(),
             refresh_now: Notify::new(),
             refreshed: Notify::new(),
@@ -72,13 +72,13 @@
     /// whenever a request is about to be retried.
     pub fn spawn(self: &Arc<Self>, interval: Duration) {
         let entry = Arc::clone(self);
-        self.stop.spawn(async move {
+        self.shutdown.spawn(async move {
             loop {
                 entry.refresh().await;
                 tokio::select! {
                     () = tokio::time::sleep(interval) => {}
                     () = entry.refresh_now.notified() => {}
-                    () = entry.stop.ended() => return,
+                    () = entry.shutdown.ended() => return,
                 }
             }
         });
@@ -99,7 +99,7 @@
         }
         self.refreshed.notify_waiters();
         let fresh = self.routes.is_fresh(self.uptime.elapsed());
-        self.health.set_ready(fresh && !self.stop.is_draining());
+        self.health.set_ready(fresh && !self.shutdown.is_draining());
     }
 
     /// Runs a quick request and counts its outcome.
@@ -268,7 +268,7 @@
 
     /// The applied configuration, if the entry is not draining and its routes are fresh.
     fn serving_config(&self) -> Result<Arc<AppliedConfig>, Fault> {
-        if self.stop.is_draining() {
+        if self.shutdown.is_draining() {
             return Err(Fault::new(Kind::Draining, "this entry is stopping"));
         }
         let fresh = self.routes.is_fresh(self.uptime.elapsed());
@@ -291,7 +291,10 @@
     }
 
     fn deposit_retry_share(&self, team: &str, share: f64) {
-        let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut budgets = self
+            .retry_budgets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let budget = budgets.entry(team.to_owned());
         let budget = budget.or_insert_with(|| RetryBudget::new(share, MAX_SAVED_RETRIES));
         budget.set_share(share);
@@ -302,7 +305,10 @@
     /// not charged to the budget.
     fn may_retry(&self, team: &str, answer: &Answer) -> bool {
         let free = matches!(answer, Answer::Fault(f) if f.kind == Kind::NoOwner);
-        let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut budgets = self
+            .retry_budgets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         free || budgets.get_mut(team).is_some_and(RetryBudget::try_withdraw)
     }
 
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -35,13 +35,13 @@
 /// Serves callers until the entry drains; then accepts no new connection, completes the requests
 /// in flight, for `max_drain` at most, and returns.
 pub async fn run(listener: TcpListener, entry: Arc<Entry>, max_drain: Duration) {
-    let stop = entry.stop.clone();
-    let draining = stop.clone();
+    let shutdown = entry.shutdown.clone();
+    let draining = shutdown.clone();
     let server = axum::serve(listener, router(entry))
         .with_graceful_shutdown(async move { draining.draining().await })
         .into_future();
     let drain_timeout = async {
-        stop.draining().await;
+        shutdown.draining().await;
         tokio::time::sleep(max_drain).await;
     };
     tokio::select! {
--- a/crates/placer/src/shard/run.rs
+++ b/crates/placer/src/shard/run.rs
@@ -53,10 +53,10 @@
             }
             Lookup::New => {
                 let (done, answer) = oneshot::channel();
-                let stop = node.shutdown.clone();
+                let shutdown = node.shutdown.clone();
                 // Runs in a task of its own: if the connection to the entry breaks, this future is
                 // dropped, and the record of what was started would be lost with it.
-                stop.spawn(async move {
+                shutdown.spawn(async move {
                     let result = self.attempts(&node, &name, &request).await;
                     let now = node.now();
                     self.state().requests.end(&name, &result, now);
@@ -75,7 +75,7 @@
         let Some(service) = applied.cell.service(&request.service) else {
             return Answer::fault(Kind::UnknownService, "there is no such service");
         };
-        self.deposit_retry(&request.team, applied.cell.policy.retry_share);
+        self.deposit_retry_share(&request.team, applied.cell.policy.retry_share);
         if !request.idempotent
             && let Err(fault) = self.claim(node, name).await
         {
@@ -291,7 +291,7 @@
         }
     }
 
-    fn deposit_retry(&self, team: &str, share: f64) {
+    fn deposit_retry_share(&self, team: &str, share: f64) {
         let mut state = self.state();
         let budget = state.retry_budgets.entry(team.to_owned());
         budget
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -84,7 +84,7 @@
     #[method(name = "claim")]
     async fn claim(&self, claims: Vec<Claim>) -> RpcResult<Vec<ClaimOutcome>>;
 
-    /// Returns the configuration that this placer applies, if its version is `than`
+    /// Returns the configuration that this placer has confirmed, if its version is `than`
     /// or a newer one.
     #[method(name = "config")]
     async fn config(&self, than: Version) -> RpcResult<Option<(Version, raw::Cell)>>;
