--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -273,12 +273,7 @@
         }
         let fresh = self.routes.is_fresh(self.uptime.elapsed());
         let applied = self.routes.applied().filter(|_| fresh);
-        applied.ok_or_else(|| {
-            Fault::new(
-                Kind::NoOwner,
-                "this entry has no current routes from any placer",
-            )
-        })
+        applied.ok_or_else(|| Fault::new(Kind::NoOwner, "this entry hears of no placer"))
     }
 
     /// Requests a refresh of the routes and waits for it, for `max_wait` at most, then pauses for
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -147,9 +147,6 @@
             Kind::TooLarge,
             format!("at most {} bytes are taken", Body::MAX),
         ),
-        _ => Fault::new(
-            Kind::BadInput,
-            "the request body was not received completely",
-        ),
+        _ => Fault::new(Kind::BadInput, "the body is not whole"),
     })
 }
--- a/crates/entry/tests/failures.rs
+++ b/crates/entry/tests/failures.rs
@@ -126,7 +126,7 @@
     let mut last = None;
     for n in 0..2_000 {
         let got = post_request(cell.address, &format!("a{n}"), &headers("k", true), "x").await;
-        let reported = got.body.contains("no current routes from any placer");
+        let reported = got.body.contains("hears of no placer");
         assert_ne!(got.answer, "done");
         last = Some(got);
         if reported {
--- a/crates/placer/src/shard/jobs/submission.rs
+++ b/crates/placer/src/shard/jobs/submission.rs
@@ -85,8 +85,7 @@
                 node.shutdown
                     .clone()
                     .spawn(async move { shard.confirm_row_later(&node, job, &key).await });
-                let reason =
-                    "the table may or may not have the job; submit it again with the same id";
+                let reason = "the table took it or not; ask again with the same id";
                 Err(Fault::new(Kind::Lost, reason))
             }
         }
@@ -133,7 +132,7 @@
         if self.save(node).await {
             return Ok(state);
         }
-        let reason = "the job is being stopped, but its row was not written; cancel it again";
+        let reason = "it is being stopped, but the table did not take the note; ask again";
         Err(Fault::new(Kind::StoreDown, reason))
     }
 }
@@ -147,6 +146,6 @@
 fn not_home_owner() -> Fault {
     Fault::new(
         Kind::NotOwner,
-        "this placer does not manage the team's jobs",
+        "this placer does not look after the team's jobs",
     )
 }
