--- a/crates/placer/src/shard/jobs/persistence.rs
+++ b/crates/placer/src/shard/jobs/persistence.rs
@@ -8,14 +8,14 @@
 
 /// Upper bound on job rows in one transaction.
 const MAX_ROWS: usize = 128;
-/// Number of finished jobs that are retained.
-const MAX_FINISHED_JOBS: usize = 1_000;
+/// Number of ended jobs that are retained.
+const MAX_ENDED_JOBS: usize = 1_000;
 
 impl Shard {
     /// Writes the rows of changed jobs; `true` if nothing is left to write.
     pub(super) async fn save(&self, node: &Node) -> bool {
         loop {
-            let Some(mut rows) = self.with_desk(JobScheduler::take_unsaved) else {
+            let Some(mut rows) = self.with_scheduler(JobScheduler::take_unsaved) else {
                 return false;
             };
             if rows.is_empty() {
@@ -23,9 +23,13 @@
                 return true;
             }
             let later = rows.split_off(rows.len().min(MAX_ROWS));
-            self.with_desk(|desk| later.iter().for_each(|row| desk.save_failed(row)));
+            self.with_scheduler(|scheduler| {
+                later.iter().for_each(|row| scheduler.save_failed(row));
+            });
             if !self.save_rows(node, &rows).await {
-                self.with_desk(|desk| rows.iter().for_each(|row| desk.save_failed(row)));
+                self.with_scheduler(|scheduler| {
+                    rows.iter().for_each(|row| scheduler.save_failed(row));
+                });
                 return false;
             }
         }
@@ -46,10 +50,10 @@
         node.table.commit(transaction).await.is_ok()
     }
 
-    /// Deletes the rows of finished jobs beyond [`MAX_FINISHED_JOBS`].
+    /// Deletes the rows of ended jobs beyond [`MAX_ENDED_JOBS`].
     async fn delete_old_jobs(&self, node: &Node) {
         let deleted = self
-            .with_desk(|desk| desk.remove_ended(MAX_FINISHED_JOBS))
+            .with_scheduler(|scheduler| scheduler.remove_ended(MAX_ENDED_JOBS))
             .unwrap_or_default();
         if deleted.is_empty() {
             return;
--- a/crates/placer/src/shard/jobs/submission.rs
+++ b/crates/placer/src/shard/jobs/submission.rs
@@ -20,7 +20,7 @@
             return Err(Fault::new(Kind::NoOwner, "no configuration yet"));
         };
         JobScheduler::admit(&job, &applied.cell)?;
-        let known = self.with_desk(|desk| desk.find(&job));
+        let known = self.with_scheduler(|scheduler| scheduler.find(&job));
         match known {
             None => return Err(not_home_owner()),
             Some(Ok(Some(state))) => return Ok(state),
@@ -29,7 +29,7 @@
         }
         self.write_job_row(node, &job).await?;
         let state = self
-            .with_desk(|desk| desk.submit(job))
+            .with_scheduler(|scheduler| scheduler.submit(job))
             .ok_or_else(not_home_owner)?;
         self.jobs_changed.notify_one();
         Ok(state)
@@ -85,18 +85,17 @@
                 node.shutdown
                     .clone()
                     .spawn(async move { shard.confirm_row_later(&node, job, &key).await });
-                let reason =
-                    "the table may or may not have the job; submit it again with the same id";
+                let reason = "the table took it or not; ask again with the same id";
                 Err(Fault::new(Kind::Lost, reason))
             }
         }
     }
 
     async fn confirm_row_later(&self, node: &Node, job: Job, key: &str) {
-        while node.shutdown.sleep(SAVE_INTERVAL).await && self.state().desk.is_some() {
+        while node.shutdown.sleep(SAVE_INTERVAL).await && self.state().scheduler.is_some() {
             match read_row(node, key).await {
                 Ok(Some(_)) => {
-                    self.with_desk(|desk| desk.submit(job));
+                    self.with_scheduler(|scheduler| scheduler.submit(job));
                     self.jobs_changed.notify_one();
                     return;
                 }
@@ -109,7 +108,7 @@
     /// The state of a job.
     pub(crate) fn watch(&self, team: &str, job: &str) -> Result<State, Fault> {
         let state = self
-            .with_desk(|desk| desk.state(team, job))
+            .with_scheduler(|scheduler| scheduler.state(team, job))
             .ok_or_else(not_home_owner)?;
         state.ok_or_else(|| Fault::new(Kind::UnknownJob, "there is no such job"))
     }
@@ -123,7 +122,7 @@
         job: &str,
     ) -> Result<State, Fault> {
         let cancelled = self
-            .with_desk(|desk| desk.cancel(team, job))
+            .with_scheduler(|scheduler| scheduler.cancel(team, job))
             .ok_or_else(not_home_owner)?;
         let Some((state, _)) = cancelled else {
             return Err(Fault::new(Kind::UnknownJob, "there is no such job"));
@@ -133,7 +132,7 @@
         if self.save(node).await {
             return Ok(state);
         }
-        let reason = "the job is being stopped, but its row was not written; cancel it again";
+        let reason = "it is being stopped, but the table did not take the note; ask again";
         Err(Fault::new(Kind::StoreDown, reason))
     }
 }
@@ -147,6 +146,6 @@
 fn not_home_owner() -> Fault {
     Fault::new(
         Kind::NotOwner,
-        "this placer does not manage the team's jobs",
+        "this placer does not look after the team's jobs",
     )
 }
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -54,7 +54,7 @@
     #[method(name = "commit")]
     async fn commit(&self, rack: id::Rack, from: FencingToken, gang: Gang) -> RpcResult<bool>;
 
-    /// Abandons a gang: releases its reserved capacity and stops its started tasks.
+    /// Aborts a gang: releases the capacity held for it and stops its started tasks.
     #[method(name = "undo")]
     async fn undo(&self, rack: id::Rack, from: FencingToken, gang: Gang) -> RpcResult<bool>;
 
@@ -84,7 +84,8 @@
     #[method(name = "claim")]
     async fn claim(&self, claims: Vec<Claim>) -> RpcResult<Vec<ClaimOutcome>>;
 
-    /// Returns the configuration that this placer applies, if it is newer than version `than`.
+    /// Returns the configuration that this placer has confirmed, if its version is `than`
+    /// or a newer one.
     #[method(name = "config")]
     async fn config(&self, than: Version) -> RpcResult<Option<(Version, raw::Cell)>>;
 
